--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,51 @@
+"""Data that an earlier version stored is read by this one: the files were written by commit 8cdb288."""
+
+import gzip
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from glencleat import interface as api
+from glencleat.cli.main import main
+from glencleat.fleet import kept
+from glencleat.scale import report
+
+ROOT = Path(__file__).parent.parent
+STORED = Path(__file__).parent / "data" / "stored"
+WALL_MS = 1.7e12 + 5_000.0
+
+
+def test_an_endpoint_list_kept_over_a_restart_is_read():
+    found = kept.read((STORED / "endpoint-list").read_bytes())
+    assert kept.usable(found, "pool", WALL_MS, 10_000.0) is None
+    told = kept.machines(found, 50.0, WALL_MS)
+    serving, draining = api.Phase.SERVING, api.Phase.DRAINING
+    assert told == (
+        api.Machine("a", "std", "hall-a", 2, draining, 3.5, 70.0, None),
+        api.Machine("c", "std", "hall-a", 2, serving, 3.5, 70.0, 50.0 - 5_600.0),
+        api.Machine("d", "std", "hall-a", 2, serving, -1.25, 70.0, None),
+    )
+
+
+def test_an_endpoint_list_is_written_to_the_same_bytes():
+    machine = api.Machine("a", "std", "hall-a", 2, api.Phase.DRAINING, 3.5, 70.0)
+    line = kept.change(machine, 2_000.0, 1.7e12 + 1_000.0)
+    assert line in (STORED / "endpoint-list").read_bytes().splitlines(keepends=True)
+
+
+def test_the_record_of_a_play_is_judged_as_it_was(tmp_path):
+    record = tmp_path / "record.jsonl"
+    record.write_bytes(gzip.decompress((STORED / "short-day-record.jsonl.gz").read_bytes()))
+    campus = ROOT / "examples" / "campus-short.conf"
+    done = CliRunner().invoke(main, ["report", str(record), str(campus)])
+    assert done.exit_code == 0
+    expected = (STORED / "short-day-report.txt").read_text()
+    assert done.output.split() == expected.split()  # but for the width of the table
+
+
+@pytest.mark.parametrize(
+    "path", sorted((ROOT / "docs" / "results" / "scale").glob("*.json")), ids=lambda path: path.stem
+)
+def test_results_of_scale_runs_are_read(path):
+    assert report.load(path).phases
