--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -182,7 +182,13 @@
             for task in range(1, tasks + 1):
                 host = self.hosts[task % len(self.hosts)].name
                 extras = f"cores:0.1;memory:0.1;service:s1;at:{host}"
-                told = {m.CLASS: "safe", m.WAIT: "8000", m.NAME: f"t{task}", m.EXTRAS: extras, m.DESCRIPTION: "d"}
+                told = {
+                    m.CLASS: "safe",
+                    m.WAIT: "8000",
+                    m.NAME: f"t{task}",
+                    m.EXTRAS: extras,
+                    m.DESCRIPTION: "d",
+                }
                 stream.put(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
             while True:
                 yield from stream.read()
@@ -221,7 +227,15 @@
                 finally:
                     rig.close()
             print(rows[-1], flush=True)
-    head = ["hosts", "version", "idle, of a core", "event of one host", "whole list", "gone at once", "resident"]
+    head = [
+        "hosts",
+        "version",
+        "idle, of a core",
+        "event of one host",
+        "whole list",
+        "gone at once",
+        "resident",
+    ]
     print(f"\nCPU of one allocator, one run each, idle over {IDLE_S:.0f} s. {machine()}.\n")
     print("\n".join(rows_of(head, rows)))
 
@@ -238,7 +252,9 @@
                     taken = sum(len(host.taken) for host in rig.hosts)
                     spent = rig.spent(IDLE_S) / IDLE_S
                     rate = (sum(len(host.taken) for host in rig.hosts) - taken) / IDLE_S
-                    rows.append([f"{hosts:,}", f"{tasks:,} on {live:,}", name, f"{rate:,.0f}", f"{100 * spent:.1f}%"])
+                    rows.append(
+                        [f"{hosts:,}", f"{tasks:,} on {live:,}", name, f"{rate:,.0f}", f"{100 * spent:.1f}%"]
+                    )
                 finally:
                     rig.close()
             print(rows[-1], flush=True)
@@ -248,7 +264,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("index", "node", "looks"))
     parser.add_argument("--base", type=Path, help="an earlier version's tree, measured beside this one")
     chosen = parser.parse_args()
--- a/benchmarks/equal_replies.py
+++ b/benchmarks/equal_replies.py
@@ -74,7 +74,10 @@
                     sys.exit(1)
             totals.update(counts)
         messages = f"{totals['ARRIVAL']:,} arrivals, {totals['BIND']:,} attempts"
-        print(f"{allocators} allocators, {hosts} hosts: {seeds} seeds, {seeds * batches:,} batches, {messages}: equal", flush=True)
+        print(
+            f"{allocators} allocators, {hosts} hosts: {seeds} seeds, {seeds * batches:,} batches, {messages}: equal",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/order_index.py
+++ b/benchmarks/order_index.py
@@ -1,6 +1,6 @@
 """The index of hash orders against other structures, and the decision module's slopes on it.
 
-    python -m benchmarks.order_index [REV]     REV: another revision's logic.py measured beside this one"""
+python -m benchmarks.order_index [REV]     REV: another revision's logic.py measured beside this one"""
 
 import heapq
 import statistics
@@ -53,11 +53,14 @@
     items, new, random = [Item(f"h{i}") for i in range(size)], Item("new"), Random(1)
     order, number = kept(items, new)
     positions = random.sample(range(size), 16)
-    yield "kept index: numbers, hashed at each comparison", (
-        cpu_us(lambda: (order.insert(number), order.remove([number])), 200) / 2,
-        cpu_us(lambda: [order[i] for i in positions], 200),
-        cpu_us(order.sort, 3),
-        2,
+    yield (
+        "kept index: numbers, hashed at each comparison",
+        (
+            cpu_us(lambda: (order.insert(number), order.remove([number])), 200) / 2,
+            cpu_us(lambda: [order[i] for i in positions], 200),
+            cpu_us(order.sort, 3),
+            2,
+        ),
     )
     plain = sorted(items, key=order.key_of)
 
@@ -65,18 +68,24 @@
         insort(plain, new, key=order.key_of)
         plain.remove(new)
 
-    yield "list and bisect.insort, hashed at each comparison", (
-        cpu_us(by_bisect, 50) / 2,
-        cpu_us(lambda: [plain[i] for i in positions], 200),
-        cpu_us(lambda: sorted(items, key=order.key_of), 3),
-        8,
+    yield (
+        "list and bisect.insort, hashed at each comparison",
+        (
+            cpu_us(by_bisect, 50) / 2,
+            cpu_us(lambda: [plain[i] for i in positions], 200),
+            cpu_us(lambda: sorted(items, key=order.key_of), 3),
+            8,
+        ),
     )
     tree = SortedKeyList(items, key=order.key_of)
-    yield "sortedcontainers.SortedKeyList", (
-        cpu_us(lambda: (tree.add(new), tree.remove(new)), 200) / 2,
-        cpu_us(lambda: [tree[i] for i in positions], 200),
-        cpu_us(lambda: SortedKeyList(items, key=order.key_of), 3),
-        16 + sys.getsizeof((1, 2)) + sys.getsizeof(2**63),
+    yield (
+        "sortedcontainers.SortedKeyList",
+        (
+            cpu_us(lambda: (tree.add(new), tree.remove(new)), 200) / 2,
+            cpu_us(lambda: [tree[i] for i in positions], 200),
+            cpu_us(lambda: SortedKeyList(items, key=order.key_of), 3),
+            16 + sys.getsizeof((1, 2)) + sys.getsizeof(2**63),
+        ),
     )
     anew = cpu_us(lambda: sorted(items, key=order.key_of), 3)
     at = cpu_us(lambda: [plain[i] for i in positions], 200)
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -49,7 +49,9 @@
             return None
 
     loop, script = Loop(), load_script(Path(folder) / "day.conf")
-    made = alone.hosts(loop, Forgetful(loop.now), script, load_campus(Path(folder) / "campus.conf"), Random(5))
+    made = alone.hosts(
+        loop, Forgetful(loop.now), script, load_campus(Path(folder) / "campus.conf"), Random(5)
+    )
     host, _, port = agents.rpartition(":")
     for each in made[int(part) :: PARTS]:
         each.allocators = {"a0": (host, int(port))}
@@ -91,7 +93,9 @@
     poll, lines, size = selectors.DefaultSelector(), 0, 0
     for i in range(int(count)):
         sock = socket.create_connection((host, int(port)))
-        query = "watch=1" + (f"&labelSelector=.service%3Dpull-front-{i % 40},.state%3DTASK_RUNNING" if kind == "some" else "")
+        query = "watch=1" + (
+            f"&labelSelector=.service%3Dpull-front-{i % 40},.state%3DTASK_RUNNING" if kind == "some" else ""
+        )
         sock.sendall(f"GET /v1/tasks?{query}&resourceVersion={version} HTTP/1.1\r\nhost: x\r\n\r\n".encode())
         sock.setblocking(False)
         poll.register(sock, selectors.EVENT_READ)
@@ -139,7 +143,9 @@
                 idle.append(key.data)
             if status:
                 told[status] = told.get(status, 0) + 1
-                times.setdefault(status, []).append(1e3 * (time.monotonic() - (key.data.begun or time.monotonic())))
+                times.setdefault(status, []).append(
+                    1e3 * (time.monotonic() - (key.data.begun or time.monotonic()))
+                )
                 if key.data not in idle:
                     idle.append(key.data)
     p50 = {status: round(float(np.percentile(found, 50)), 2) for status, found in times.items()}
@@ -171,7 +177,12 @@
         self.children += [child("hosts", str(folder), str(i), self.bound["agents"]) for i in range(PARTS)]
         host, _, port = self.bound["rest"].rpartition(":")
         self.address = host, int(port)
-        while self.get("/v1/machines?labelSelector=.agent%3Dsubscribed,.phase%3Dserving&limit=99").count(b'"name"') < HOSTS:
+        while (
+            self.get("/v1/machines?labelSelector=.agent%3Dsubscribed,.phase%3Dserving&limit=99").count(
+                b'"name"'
+            )
+            < HOSTS
+        ):
             time.sleep(0.2)
         time.sleep(6.5)  # the cold time after the start
 
@@ -277,7 +288,16 @@
             name, str(len(found)), f"{p50:.1f}", f"{p99:.1f}", f"{p50 / base[0]:.2f}", f"{p99 / base[1]:.2f}",
             f"{lines[name] / spans[name]:,.0f}", f"{cpu[name] / spans[name]:.2f}",
         ])  # fmt: skip
-    head = ["watchers", "tasks placed", "p50, ms", "p99, ms", "p50 / none", "p99 / none", "lines/s to all", "CPU of one core"]
+    head = [
+        "watchers",
+        "tasks placed",
+        "p50, ms",
+        "p99, ms",
+        "p50 / none",
+        "p99 / none",
+        "lines/s to all",
+        "CPU of one core",
+    ]
     size = f"{rate:g} tasks a second of ten Scheduler API owners for {rounds} turns of {seconds:g} s each, {HOSTS} hosts, seed 5"
     notes = "Milliseconds from ACCEPT to the update that says placed. The cases alternate within one run."
     table("rest-watch", "What watchers cost placements", size, head, rows, notes)
@@ -291,9 +311,21 @@
         try:
             best = 0.0
             for rate in (200, 400, 500, 600, 1_000, 2_250):
-                before = rig.metric('glencleat_tasks_answered_total{answer="served"'), rig.cpu(), time.monotonic()
+                before = (
+                    rig.metric('glencleat_tasks_answered_total{answer="served"'),
+                    rig.cpu(),
+                    time.monotonic(),
+                )
                 crowd = [
-                    child("offer", rig.bound["rest"], str(rate / 2), str(seconds), "100", f"r{rate}-{i}", stdout=subprocess.PIPE)
+                    child(
+                        "offer",
+                        rig.bound["rest"],
+                        str(rate / 2),
+                        str(seconds),
+                        "100",
+                        f"r{rate}-{i}",
+                        stdout=subprocess.PIPE,
+                    )
                     for i in range(2)
                 ]
                 told = [json.loads(each.communicate()[0]) for each in crowd]
@@ -315,7 +347,15 @@
                 time.sleep(5.0)
         finally:
             rig.close()
-    head = ["offered/s", "created/s", "turned away/s", "placed/s", "placed / best so far", "p50 of a refusal, ms", "CPU of one core"]
+    head = [
+        "offered/s",
+        "created/s",
+        "turned away/s",
+        "placed/s",
+        "placed / best so far",
+        "p50 of a refusal, ms",
+        "CPU of one core",
+    ]
     size = f"Jobs of one task, lives of 100 to 200 ms, {seconds:g} s a rate, 200 connections, {HOSTS} hosts, seed 7"
     notes = "What 200 busy connections could not send counts as offered; the front reads those that ignore refusals less often."
     table("rest-overload", "Creations beyond what can be taken", size, head, rows, notes)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -1,6 +1,6 @@
 """Idle owners' sessions with heartbeats: CPU and memory of one allocator.
 
-    python -m benchmarks.sessions [count] [seconds]
+python -m benchmarks.sessions [count] [seconds]
 """
 
 import json
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -236,9 +236,7 @@
 @click.option("--keep", is_flag=True, help="other kinds' runs stay as they are in the results")
 @click.option("--resume", is_flag=True, help="all runs stay; what is missing is measured")
 @click.option("--out", default="slopes", help="name of the results")
-def main(
-    checkout: tuple[str, ...], quick: bool, kinds: str, keep: bool, resume: bool, out: str
-) -> None:
+def main(checkout: tuple[str, ...], quick: bool, kinds: str, keep: bool, resume: bool, out: str) -> None:
     """Measures, fits, writes docs/results/OUT.json and OUT.md."""
     trees = {name: Path(folder).resolve() for name, _, folder in (one.partition("=") for one in checkout)}
     trees = trees or {commit_of(TREE): TREE}
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,6 +1,6 @@
 """The timer wheel against the plain heap: most timers are cancelled before they are due.
 
-    python -m benchmarks.timers
+python -m benchmarks.timers
 """
 
 import time
@@ -56,7 +56,15 @@
         for kind in (TimerHeap, TimerWheel):
             best[kind] = min(churn(kind(), count, cancelled, Random(SEED)) for _ in range(3))
         ratio = best[TimerWheel] / best[TimerHeap]
-        rows.append([f"{count:,}", f"{cancelled:.0%}", f"{best[TimerHeap]:.2f}", f"{best[TimerWheel]:.2f}", f"{ratio:.2f}"])
+        rows.append(
+            [
+                f"{count:,}",
+                f"{cancelled:.0%}",
+                f"{best[TimerHeap]:.2f}",
+                f"{best[TimerWheel]:.2f}",
+                f"{ratio:.2f}",
+            ]
+        )
     memory = held(TimerHeap, 100_000), held(TimerWheel, 100_000)
     notes = (
         f"Held after 100,000 timers of 30 s, each cancelled 50 ms later, a timer a millisecond: heap {memory[0]:.1f} MB, "
--- a/benchmarks/watch_index.py
+++ b/benchmarks/watch_index.py
@@ -1,6 +1,6 @@
 """The structures of the REST front against plain ones: the channels' index, versions, the label index of lists.
 
-    python -m benchmarks.watch_index"""
+python -m benchmarks.watch_index"""
 
 import time
 from random import Random
@@ -19,7 +19,12 @@
 
 
 def labels(number: int, kinds: int) -> dict[str, str]:
-    return {".service": f"s{number % kinds}", ".state": f"st{number % 3}", "app": f"a{number % 7}", "owner": f"o{number % 11}"}
+    return {
+        ".service": f"s{number % kinds}",
+        ".state": f"st{number % 3}",
+        "app": f"a{number % 7}",
+        "owner": f"o{number % 11}",
+    }
 
 
 def index(watchers: int, same: bool) -> list[str]:
@@ -50,7 +55,13 @@
         hub.publish(event, 0.0)
     made = (time.perf_counter() - began) / len(events)
     name = "the same selector" if same else "a service each"
-    return [f"{watchers:,}, {name}", f"{1e6 * plain:,.0f}", f"{1e6 * made:,.1f}", f"{plain / made:,.0f}", f"{hits / len(some):.1f}"]
+    return [
+        f"{watchers:,}, {name}",
+        f"{1e6 * plain:,.0f}",
+        f"{1e6 * made:,.1f}",
+        f"{plain / made:,.0f}",
+        f"{hits / len(some):.1f}",
+    ]
 
 
 def lists() -> list[list[str]]:
@@ -79,7 +90,9 @@
 
     def by_copy(selector, after):
         if after is None:
-            copied["all"] = [(k, r) for k, r in told.kinds["k"].records.items() if matches(selector, r.labels)]
+            copied["all"] = [
+                (k, r) for k, r in told.kinds["k"].records.items() if matches(selector, r.labels)
+            ]
         start = 0 if after is None else after
         part = copied["all"][start : start + 500]
         return part, start + 500 if start + 500 < len(copied["all"]) else None
@@ -101,12 +114,41 @@
 
 
 def main() -> None:
-    rows = [index(n, same) for n, same in ((10, False), (100, False), (1_000, False), (5_000, False), (1_000, True))]
-    head = ["watchers", "filter each, us an event", "index, us an event", "filter / index", "watchers concerned"]
-    table("watch-index", "Finding the watchers of an event", f"{EVENTS:,} events, two terms a selector, seed 3", head, rows)
-    head = ["selector", "found", "copy at the first page, ms", "versions and label index, ms", "copy / versions", "a copy holds"]
+    rows = [
+        index(n, same)
+        for n, same in ((10, False), (100, False), (1_000, False), (5_000, False), (1_000, True))
+    ]
+    head = [
+        "watchers",
+        "filter each, us an event",
+        "index, us an event",
+        "filter / index",
+        "watchers concerned",
+    ]
+    table(
+        "watch-index",
+        "Finding the watchers of an event",
+        f"{EVENTS:,} events, two terms a selector, seed 3",
+        head,
+        rows,
+    )
+    head = [
+        "selector",
+        "found",
+        "copy at the first page, ms",
+        "versions and label index, ms",
+        "copy / versions",
+        "a copy holds",
+    ]
     notes = "Versions need no copy kept for a reader that may never come back; the first page of a copy takes it all at once."
-    table("rest-lists", "Consistent lists in pages of 500", f"{TASKS:,} resources, 100 changes between pages, seed 4", head, lists(), notes)
+    table(
+        "rest-lists",
+        "Consistent lists in pages of 500",
+        f"{TASKS:,} resources, 100 changes between pages, seed 4",
+        head,
+        lists(),
+        notes,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/reference_order.py
+++ b/tests/reference_order.py
@@ -239,7 +239,11 @@
 
     def report(self):
         rng = self.rng
-        free = (float(rng.uniform(0.0, 16.0)), float(rng.uniform(0.0, 32.0))) if rng.random() < 0.8 else (None, None)
+        free = (
+            (float(rng.uniform(0.0, 16.0)), float(rng.uniform(0.0, 32.0)))
+            if rng.random() < 0.8
+            else (None, None)
+        )
         return api.Report(*free, float(rng.uniform(0.0, 1.0)), float(rng.integers(0, 4)))
 
     def probed(self, name):
@@ -260,7 +264,9 @@
             outcome, why = api.Outcome.REFUSED, self.pick(REFUSALS)
         else:
             why = api.Why.NONE
-            outcome = self.pick([api.Outcome.TIMED_OUT, api.Outcome.LOST, api.Outcome.ERROR, api.Outcome.NOT_SENT])
+            outcome = self.pick(
+                [api.Outcome.TIMED_OUT, api.Outcome.LOST, api.Outcome.ERROR, api.Outcome.NOT_SENT]
+            )
             spent = bind.timeout_ms if outcome is api.Outcome.TIMED_OUT else spent
         self.later(spent, lambda: self.returned(bind.call, attempt, bind.machine, outcome, spent, why))
 
@@ -277,7 +283,9 @@
     def ended(self, call, attempt, name, life):
         del self.running[call], self.open[call]
         draw = self.rng.random()
-        outcome = api.Outcome.ENDED if draw < 0.8 else api.Outcome.LOST if draw < 0.95 else api.Outcome.STOPPED
+        outcome = (
+            api.Outcome.ENDED if draw < 0.8 else api.Outcome.LOST if draw < 0.95 else api.Outcome.STOPPED
+        )
         why = self.pick([api.Why.EVICTED, api.Why.SENT_AWAY, api.Why.NONE]) if draw >= 0.8 else api.Why.NONE
         report = self.report() if self.rng.random() < 0.3 else None
         return api.Returned(call, attempt, name, outcome, life, True, why, report)
--- a/tests/support/wire_day.py
+++ b/tests/support/wire_day.py
@@ -128,16 +128,30 @@
                 "tells-pressure": True,
                 "view": draw() < 0.6,
             },
-            "feedback": {"fields": ["x0", "x1", "busy", "q"], "how": "on_probe" if draw() < 0.5 else "inline"},
-            "limits": {"max-attempts": 4, "probes": draw() < 0.6, "retry-after": True, "max-retry-after-ms": 3_000.0},
+            "feedback": {
+                "fields": ["x0", "x1", "busy", "q"],
+                "how": "on_probe" if draw() < 0.5 else "inline",
+            },
+            "limits": {
+                "max-attempts": 4,
+                "probes": draw() < 0.6,
+                "retry-after": True,
+                "max-retry-after-ms": 3_000.0,
+            },
             "prices": {"cross-zone": 0.1 if draw() < 0.5 else 0.0, "fleet": 0.15},
-            "rules": {"stop-sending-within-ms": 2_000.0, "warm-within-ms": 10_000.0, "overload-for-ms": 1_000.0},
+            "rules": {
+                "stop-sending-within-ms": 2_000.0,
+                "warm-within-ms": 10_000.0,
+                "overload-for-ms": 1_000.0,
+            },
             "customers": [{"name": f"tenant-{i}"} for i in range(3)],
         }
 
     def _entry(self, name: str, number: int, phase: str = "SERVING") -> Line:
         kind = "large" if number % 5 == 0 else "odd" if number % 97 == 13 else "standard"
-        ready = None if self.random.random() < 0.7 else round(self.now - self.random.uniform(0.0, 20_000.0), 3)
+        ready = (
+            None if self.random.random() < 0.7 else round(self.now - self.random.uniform(0.0, 20_000.0), 3)
+        )
         cores, memory = self.random.uniform(-2.0, 16.0), self.random.uniform(0.0, 32.0)
         place = [ZONES[number % len(ZONES)], number // 3 % 4]
         return [1.0, round(memory, 3), kind, phase, name, round(cores, 3), *place, ready]
@@ -234,7 +248,12 @@
     def _shape(self) -> tuple[str, str, float, float]:
         task_class = self.random.choice(CLASSES)[0]
         rank = min(int(self.random.expovariate(4.0 / self.services)), self.services - 1)
-        return task_class, f"service-{rank}", self.random.choice([0.2, 1.0, 4.0]), self.random.choice([0.5, 2.0, 8.0])
+        return (
+            task_class,
+            f"service-{rank}",
+            self.random.choice([0.2, 1.0, 4.0]),
+            self.random.choice([0.5, 2.0, 8.0]),
+        )
 
     def _arrive(
         self, allocator: Allocator, again: tuple[str, str, float, float] | None = None, flags: int = 0
@@ -253,7 +272,20 @@
         allocator.calls[call] = Call(task_class, service, attempts=1, outstanding=True)
         self._run(allocator, call, 0, host)
         rest = [host, 5_000.0, memory, f"task-{call}"]
-        return [["OPEN", allocator.name, call, cores, 1, service, 8_000.0, f"tenant-{call % 3}", task_class, *rest]]
+        return [
+            [
+                "OPEN",
+                allocator.name,
+                call,
+                cores,
+                1,
+                service,
+                8_000.0,
+                f"tenant-{call % 3}",
+                task_class,
+                *rest,
+            ]
+        ]
 
     def _note(self, allocator: Allocator) -> list[Line]:
         call = self.random.choice(list(allocator.running))
@@ -276,7 +308,10 @@
     def _report(self) -> dict[str, float]:
         report = {"busy": round(self.random.random(), 4), "q": self.random.randrange(4)}
         if self.random.random() < 0.8:
-            report |= {"x0": round(self.random.uniform(0.0, 16.0), 3), "x1": round(self.random.uniform(0.0, 32.0), 3)}
+            report |= {
+                "x0": round(self.random.uniform(0.0, 16.0), 3),
+                "x1": round(self.random.uniform(0.0, 32.0), 3),
+            }
         return report
 
     # ---- what the allocators reply ----
@@ -337,7 +372,9 @@
         if host not in self.hosts or draw < 0.03:
             how, info = UNREACHABLE, None
         elif draw < 0.7:
-            self._guarded(allocator, spent, lambda: self._landed(allocator, number, attempt, host, spent), number)
+            self._guarded(
+                allocator, spent, lambda: self._landed(allocator, number, attempt, host, spent), number
+            )
             return
         elif draw < 0.85:
             how, info = REFUSED, self.random.choice([0, 1, 2, 3, 4])
@@ -345,7 +382,10 @@
             how, info = self.random.choice([TIMED_OUT, LOST, ERROR, NOT_SENT]), None
             spent = timeout_ms if how == TIMED_OUT else spent
         self._guarded(
-            allocator, spent, lambda: self._returned(allocator, number, attempt, host, how, info, spent), number
+            allocator,
+            spent,
+            lambda: self._returned(allocator, number, attempt, host, how, info, spent),
+            number,
         )
 
     def _landed(self, allocator: Allocator, number: int, attempt: int, host: str, spent: float) -> list[Line]:
@@ -366,7 +406,14 @@
         return [["RETURNED", allocator.name, number, attempt, info, how, life, True, host, *report]]
 
     def _returned(
-        self, allocator: Allocator, number: int, attempt: int, host: str, how: int, info: int | None, spent: float
+        self,
+        allocator: Allocator,
+        number: int,
+        attempt: int,
+        host: str,
+        how: int,
+        info: int | None,
+        spent: float,
     ) -> list[Line]:
         call = allocator.calls[number]
         call.outstanding = False
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -9,7 +9,18 @@
 from benchmarks.acceptance import HEAD, Meant
 
 
-def report(day="roll+mass", seed=1, *, fault=None, gate=None, rules=(), servers=60, cpu_s=(1.0, 1.0, 1.0, 1.0), restarts=(), seen=()):
+def report(
+    day="roll+mass",
+    seed=1,
+    *,
+    fault=None,
+    gate=None,
+    rules=(),
+    servers=60,
+    cpu_s=(1.0, 1.0, 1.0, 1.0),
+    restarts=(),
+    seen=(),
+):
     return {
         "row": {
             "name": day,
@@ -26,7 +37,16 @@
             "files": 250,
             "memory_mb": 20,
         },
-        "real": {"cpu_s": list(cpu_s), "seen": {"restart_s": list(restarts), "within_slack": 0, "closed_unserved": 0, "unreached": 0, **dict(seen)}},
+        "real": {
+            "cpu_s": list(cpu_s),
+            "seen": {
+                "restart_s": list(restarts),
+                "within_slack": 0,
+                "closed_unserved": 0,
+                "unreached": 0,
+                **dict(seen),
+            },
+        },
     }
 
 
@@ -93,7 +113,13 @@
 
 
 @pytest.mark.parametrize(
-    ("cpu_s", "says"), [((1.0, 1.0, 1.0, 0.49), "1 of 4"), ((1.0, 1.0, 1.0, 0.5), "0 of 4"), ((0.0, 0.0), "0 of 2"), ((), "0 of 0")]
+    ("cpu_s", "says"),
+    [
+        ((1.0, 1.0, 1.0, 0.49), "1 of 4"),
+        ((1.0, 1.0, 1.0, 0.5), "0 of 4"),
+        ((0.0, 0.0), "0 of 2"),
+        ((), "0 of 0"),
+    ],
 )
 def test_a_process_is_idle_under_half_of_the_median_of_cpu_time(cpu_s, says):
     assert row(report(cpu_s=cpu_s))["idle"] == says
@@ -113,7 +139,9 @@
 
 
 def test_the_kinds_of_a_day_may_be_joined_in_any_order():
-    assert row(report("herd+crowd+mass"), report("crowd+herd+mass", gate="calm"))["ended"].startswith("**flaky (1 of 2)**")
+    assert row(report("herd+crowd+mass"), report("crowd+herd+mass", gate="calm"))["ended"].startswith(
+        "**flaky (1 of 2)**"
+    )
 
 
 def test_another_day_seed_or_size_is_a_row_of_its_own():
@@ -127,7 +155,12 @@
 
 
 def test_a_meant_play_without_a_report_was_not_run_or_ended_as_the_list_says():
-    listed = [Meant("mass+roll", 1), Meant("roll+mass", 10), Meant("roll+mass", 9, "failed: no report"), Meant("x+mass", 1, "not run: refused")]
+    listed = [
+        Meant("mass+roll", 1),
+        Meant("roll+mass", 10),
+        Meant("roll+mass", 9, "failed: no report"),
+        Meant("x+mass", 1, "not run: refused"),
+    ]
     told = rows([report()], listed)
     assert [(each["day"], each["seed"], each["ended"]) for each in told] == [
         ("roll+mass", "1", "kept"),
@@ -142,7 +175,10 @@
 def test_the_list_of_meant_plays(tmp_path):
     path = tmp_path / "meant.txt"
     path.write_text("# day seed\nroll+mass 1\n\nsplit+mass 2 not run: time ran out\n")
-    assert acceptance.meant_plays(path) == [Meant("roll+mass", 1), Meant("split+mass", 2, "not run: time ran out")]
+    assert acceptance.meant_plays(path) == [
+        Meant("roll+mass", 1),
+        Meant("split+mass", 2, "not run: time ran out"),
+    ]
 
 
 def printed(monkeypatch, capsys, *words):
@@ -159,7 +195,9 @@
     (folder / "full-size").mkdir()
     (folder / "full-size" / "c.json").write_text(json.dumps(report(seed=3)))  # a section of its own
     (tmp_path / "score.json").write_text(json.dumps({"days": [report("herd+mass"), report("calm+mass")]}))
-    told = printed(monkeypatch, capsys, "--commit", "1a2b3c4", f"Plays={folder}", f"Score={tmp_path / 'score.json'}").splitlines()
+    told = printed(
+        monkeypatch, capsys, "--commit", "1a2b3c4", f"Plays={folder}", f"Score={tmp_path / 'score.json'}"
+    ).splitlines()
     assert [each.split(" | ")[:2] for each in told if "kept" in each] == [
         ["| roll+mass", "1"],
         ["| roll+mass", "2"],
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -77,7 +77,9 @@
     told = states(made(apart, 24), 24)
     assert told["busiest"] is State.KEPT and told["alike"] is State.BROKEN
     for seed in range(20):
-        record = made(lambda asking, i: 40.0 * i if asking.tries == 0 and asking.again() else asking.again(), 24 + seed)
+        record = made(
+            lambda asking, i: 40.0 * i if asking.tries == 0 and asking.again() else asking.again(), 24 + seed
+        )
         assert states(record, 24 + seed)["alike"] is State.KEPT
 
 
@@ -110,7 +112,10 @@
             entries.append(Entry(4_000.0, "asked", allocator=name, task=task, left=8_000.0))
             at = DOWN_MS + 10.0 + sends(number)
             told = {"allocator": name, "task": task, "attempt": attempt, "who": "h1", "within": 1_000.0}
-            entries += [Entry(at, "offered", **told), Entry(at + 20.0, "said", attempt=attempt, state="TASK_STARTING")]
+            entries += [
+                Entry(at, "offered", **told),
+                Entry(at + 20.0, "said", attempt=attempt, state="TASK_STARTING"),
+            ]
     if late:
         entries += [Entry(DOWN_MS + 1.0, "allocator", allocator="a0", state="killed")]
     ordered = sorted(entries, key=lambda entry: entry.at)
@@ -136,8 +141,14 @@
             told = {"state": state, "reason": "turns away"}
             entries += [Entry(at, "wire", who="list", allocator=name, **told) for name in names]
         for i, passed in enumerate(made(step)):
-            name = f"a{i % CROWD}" if passed.kind == "refused" else f"a{sum(e.state == 'opened' for e in entries)}"
-            entries.append(Entry(passed.at_ms, "passed", who="list", allocator=name, state=passed.kind, number=i))
+            name = (
+                f"a{i % CROWD}"
+                if passed.kind == "refused"
+                else f"a{sum(e.state == 'opened' for e in entries)}"
+            )
+            entries.append(
+                Entry(passed.at_ms, "passed", who="list", allocator=name, state=passed.kind, number=i)
+            )
         return judge_play(sorted(entries, key=lambda entry: entry.at))
 
     everybody = [f"a{i}" for i in range(CROWD)]
@@ -161,7 +172,9 @@
                     Entry(9.0, "passed", who="list", allocator=f"a{i}", state="refused", number=1),
                     Entry(DOWN_MS, "wire", who="list", allocator=f"a{i}", state="ends", reason="turns away")]  # fmt: skip
         if i:
-            entries.append(Entry(DOWN_MS + 50.0, "passed", who="list", allocator=f"a{i}", state="opened", number=2))
+            entries.append(
+                Entry(DOWN_MS + 50.0, "passed", who="list", allocator=f"a{i}", state="opened", number=2)
+            )
     entries.append(Entry(DOWN_MS + 9_000.0, "passed", who="list", allocator="a0", state="opened", number=2))
     assert judge_play(sorted(entries, key=lambda entry: entry.at))[2].state is state
 
@@ -187,7 +200,9 @@
     wires = {(e.who, e.allocator) for e in entries if e.kind == "passed"}
     assert wires == {("agents", "a1"), ("owners", "a2"), *(("list", f"a{i}") for i in range(12))}
     assert any(e.kind == "passed" and e.who == "owners" and e.state == "reset" for e in entries)
-    assert sum(e.size for e in entries if e.state == "bytes" and e.who == "list" and e.text == "back") > 12 * 500
+    assert (
+        sum(e.size for e in entries if e.state == "bytes" and e.who == "list" and e.text == "back") > 12 * 500
+    )
     assert sum(e.kind == "answer" and e.state == "TASK_STARTING" for e in entries) > 30
 
 
@@ -243,7 +258,9 @@
     assert [v.state for v in verdicts] == [State.KEPT] * 3 + [State.NOT_TRIED], verdicts  # one relay
     tries = sorted(one.at_ms for one in rig.record if one.kind == "refused" and one.at_ms > began + 500.0)
     assert max(bisect_left(tries, at + 100.0) - i for i, at in enumerate(tries)) < COUNT / 2  # not in step
-    assert rig.service.whole == 0 and {number for _, number in rig.service.asked} == {1}  # known lists are not sent
+    assert rig.service.whole == 0 and {number for _, number in rig.service.asked} == {
+        1
+    }  # known lists are not sent
     assert all(rig.nodes.resident_mb(i) < 30.0 for i in range(COUNT))
 
 
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -37,6 +37,7 @@
 
 def test_more_hosts_allow_more_and_the_rest_of_the_tokens_goes():
     few, many = Connecting(), Connecting()
+
     def count(one, hosts):
         begun = 0
         while one.may(0.0, hosts):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -28,7 +28,9 @@
     (message,) = read(call)
     world.exchange.owner_asks(next(iter(world.owners.owners)), message, 0.0)
     settled(world)
-    assert not world.told(api.Returned) and [stream for stream, _ in peer.got if stream is not peer.streams[0]]
+    assert not world.told(api.Returned) and [
+        stream for stream, _ in peer.got if stream is not peer.streams[0]
+    ]
     assert sorted(world.exchange.standing["h1"]) == [1, 9] and sock
 
 
@@ -142,7 +144,9 @@
 
     world.until(lambda: world.owners.owners)
     more()
-    world.until(lambda: not world.owners.owners, ms=600.0)  # a message of 60 bytes and more drips on for longer
+    world.until(
+        lambda: not world.owners.owners, ms=600.0
+    )  # a message of 60 bytes and more drips on for longer
 
 
 # ---- hand-overs ----
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -161,7 +161,9 @@
         brisk.ask(day.job(f"b{i}", life=50.0))
         day.until(lambda i=i: "TASK_RUNNING" in day.states(brisk, f"b{i}"))
         if framework.session is not None:
-            framework.session.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)  # its socket fills in a few rounds
+            framework.session.send(
+                b'{"type":"HEARTBEAT"}' + b" " * 60_000
+            )  # its socket fills in a few rounds
         i += 1
         assert i < 400
     slow.slow = False
@@ -198,7 +200,9 @@
     tries, whole = day.daemon.directory.tries, []
     day.daemon.directory.tell = whole.append
     day.daemon.directory.watch()  # the subscription that is there is the answer: no second whole list
-    assert [event.kind for event in whole] == [api.ListKind.WHOLE] and len(whole[0].machines) == len(day.hosts)
+    assert [event.kind for event in whole] == [api.ListKind.WHOLE] and len(whole[0].machines) == len(
+        day.hosts
+    )
     day.until(lambda: True)
     assert day.daemon.directory.tries == tries and len(day.directory.watchers) == 1
 
@@ -233,7 +237,9 @@
 
     def serve(peer):
         yield from peer.read()
-        peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(stream), stream))
+        peer.send(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(stream), stream)
+        )
 
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: loop.spawn(serve(peer), "directory"))
     client = DirectoryClient(loop, listener.address, told.append, Asking(PACE, Random(1)))
@@ -587,7 +593,17 @@
     children = []
 
     def standin(kind, place):
-        words = [sys.executable, "-m", "glencleat", "standin", kind, str(script), f"a0={place}", "--for", "30"]
+        words = [
+            sys.executable,
+            "-m",
+            "glencleat",
+            "standin",
+            kind,
+            str(script),
+            f"a0={place}",
+            "--for",
+            "30",
+        ]
         children.append(subprocess.Popen(words, stdout=subprocess.PIPE, text=True))
         return json.loads(children[-1].stdout.readline())
 
@@ -604,7 +620,10 @@
         for child in children:
             child.kill()
             child.communicate()
-    code = subprocess.run([sys.executable, "-m", "glencleat", "standin", "hosts", str(script), "a0=1.2.3.4:5"], capture_output=True)
+    code = subprocess.run(
+        [sys.executable, "-m", "glencleat", "standin", "hosts", str(script), "a0=1.2.3.4:5"],
+        capture_output=True,
+    )
     assert code.returncode == 2 and b"is no NAME=127.0.0.1:PORT" in code.stderr
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -112,7 +112,18 @@
     assert not loaded & refused
     ours = {name for name in loaded if name.startswith("glencleat.")}
     packages = {name.split(".")[1] for name in ours}
-    allowed = {"node", "isup", "kernel", "allocator", "interface", "logic", "settings", "descriptors", "fleet", "index"}
+    allowed = {
+        "node",
+        "isup",
+        "kernel",
+        "allocator",
+        "interface",
+        "logic",
+        "settings",
+        "descriptors",
+        "fleet",
+        "index",
+    }
     assert packages <= allowed
     assert {name for name in ours if name.startswith("glencleat.allocator.")} <= {
         "glencleat.allocator.contract",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.descriptors import ASIDE, GIVEN, KEPT_FREE, LEAVING, STANDSTILL_MS, Demand, Descriptors, Side, Worth
+from glencleat.descriptors import (
+    ASIDE,
+    GIVEN,
+    KEPT_FREE,
+    LEAVING,
+    STANDSTILL_MS,
+    Demand,
+    Descriptors,
+    Side,
+    Worth,
+)
 
 LINK_WORTHS = (Worth.SPARE, Worth.LISTENED, Worth.LISTENING, Worth.HELD)
 OWNER_WORTHS = (Worth.STRANGER, Worth.FRIEND, Worth.HELD)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -36,5 +36,3 @@
     busy = draining.Seen(False, True, True)
     looks = [made.look(at, busy) for at in (draining.WINDOW_MS, draining.WINDOW_MS + draining.UNHANDLED_MS)]
     assert looks == [draining.State.CLOSING, draining.State.CLOSED]
-
-
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -9,7 +9,14 @@
 
 def follow(world, pace, script):
     tower, told = Tower(world.loop, script), []
-    made = feed.Feed(world.loop, world.channel, Asking(pace, world.hosts.random), tower.address, told.append, world.logs.append)
+    made = feed.Feed(
+        world.loop,
+        world.channel,
+        Asking(pace, world.hosts.random),
+        tower.address,
+        told.append,
+        world.logs.append,
+    )
     return tower, told, made
 
 
@@ -59,5 +66,3 @@
     made.move(new.address)
     world.until(lambda: len(told) == 2)
     assert new.got == [b"resume 1\n"]
-
-
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -143,7 +143,9 @@
     rig.until(lambda: all("stopping" in rig.nodes.log(i).read_text() for i in range(6)), 5_000.0)
     for i in range(3):
         rig.nodes.stall(i)
-    late = {i: [Client(rig.loop, rig.nodes.ready(i)) for _ in range(70)] for i in range(3)}  # a round takes in 64
+    late = {
+        i: [Client(rig.loop, rig.nodes.ready(i)) for _ in range(70)] for i in range(3)
+    }  # a round takes in 64
     rig.until(lambda: all(c.stream for found in late.values() for c in found), 5_000.0)
     for i, found in late.items():
         for number, client in enumerate(found):
@@ -156,7 +158,9 @@
     rig.until(lambda: all(rig.nodes.children[i].poll() is not None for i in range(6)), 15_000.0)
     rig.wait(100.0)
     assert [rig.nodes.children[i].returncode for i in range(6)] == [0] * 6
-    assert [(task, c.told[task]) for c in everyone for task in c.asked if c.told[task] not in ONE_ANSWER] == []
+    assert [
+        (task, c.told[task]) for c in everyone for task in c.asked if c.told[task] not in ONE_ANSWER
+    ] == []
     starts = Counter(task for host in rig.hosts for _, task in host.got)
     assert max(starts.values()) == 1
     assert not any("FAULT" in rig.nodes.log(i).read_text() for i in range(6))
@@ -276,7 +280,9 @@
     clients = [Waiting(rig.loop, rig.nodes.ready(i)) for i in range(COUNT)]
     rig.until(lambda: all(client.stream for client in clients), 10_000.0)
     for i, client in enumerate(clients):
-        for task in range(1 + 1_000 * i, 5 + 1_000 * i):  # services of their own: they go to hosts of their own
+        for task in range(
+            1 + 1_000 * i, 5 + 1_000 * i
+        ):  # services of their own: they go to hosts of their own
             client.stream.send(setup(task, cls="unsafe", extras=f"cores:4;memory:8;service:s{task}"))
     rig.until(lambda: all(len(c.stood | set(c.ends)) == 4 for c in clients), 15_000.0)
     where = {task: host for host in rig.hosts for task in host.links}
@@ -315,9 +321,16 @@
         client.stream.send(setup(task, cls="unsafe", extras=extras))
     handed, clients[5] = rig.loop.now(), client
     untold = lambda: sorted(task for task in held if task not in clients[task // 1_000].ends)  # noqa: E731
-    kind = {host: how for how, found in (("speaks", speak), ("dead", dead), ("silent", silent)) for host in found}
+    kind = {
+        host: how for how, found in (("speaks", speak), ("dead", dead), ("silent", silent)) for host in found
+    }
     said = lambda: [(task, where[task].name, kind[where[task]]) for task in untold()]  # noqa: E731
-    run_until(rig.loop, lambda: not untold(), 12_000.0, lambda: (said(), rig.nodes.log(untold()[0] // 1_000).read_text()[-2_000:]))
+    run_until(
+        rig.loop,
+        lambda: not untold(),
+        12_000.0,
+        lambda: (said(), rig.nodes.log(untold()[0] // 1_000).read_text()[-2_000:]),
+    )
     waits = {i: wait + kept_waiting(pids[i]) for i, wait in waits.items()}
     late = {}
     for task in held:
--- a/tests/test_isup_exchange.py
+++ b/tests/test_isup_exchange.py
@@ -28,7 +28,10 @@
 
 def empty(world):
     x = world.exchange
-    return not (x.calls or x.tasks or x.standing or x.contract.calls or any(x.telling.pending)) and not world.owner.open
+    return (
+        not (x.calls or x.tasks or x.standing or x.contract.calls or any(x.telling.pending))
+        and not world.owner.open
+    )
 
 
 # ---- before the answer ----
@@ -54,7 +57,9 @@
     world.asks(7, bind())
     world.exchange.failed(world.offers[0], fact)
     assert world.outcomes() == [OUTCOMES[fact]]
-    assert (OUTCOMES[fact] in PROOFS) == (fact in (SendOutcome.REFUSED, SendOutcome.NEVER_UP, SendOutcome.NEVER_SENT, SendOutcome.DISCONNECTED))
+    assert (OUTCOMES[fact] in PROOFS) == (
+        fact in (SendOutcome.REFUSED, SendOutcome.NEVER_UP, SendOutcome.NEVER_SENT, SendOutcome.DISCONNECTED)
+    )
     world.exchange.failed(world.offers[0], fact)  # a second word on it changes nothing
     assert len(world.outcomes()) == 1
 
@@ -72,7 +77,8 @@
 
 
 @pytest.mark.parametrize(
-    ("fact", "outcome"), [(SendOutcome.NEVER_SENT, api.Outcome.NOT_SENT), (SendOutcome.NEVER_UP, api.Outcome.UNREACHABLE)]
+    ("fact", "outcome"),
+    [(SendOutcome.NEVER_SENT, api.Outcome.NOT_SENT), (SendOutcome.NEVER_UP, api.Outcome.UNREACHABLE)],
 )
 def test_a_time_out_of_what_never_left(world, fact, outcome):
     world.fact = fact
--- a/tests/test_isup_messages.py
+++ b/tests/test_isup_messages.py
@@ -227,7 +227,9 @@
     """All that it told was taken for repeats: the allocator was deaf to drains from then on."""
     drains = [event(2, entry("h1", lifecycle="DRAINING")), event(3, entry("h2", lifecycle="DELETED"))]
     list(channel.feed(lines(*drains)))
-    list(channel.feed(lines({"cursor": 2}, {"cursor": 3}, {"cursor": 2}, 2)))  # late words are no older numbers
+    list(
+        channel.feed(lines({"cursor": 2}, {"cursor": 3}, {"cursor": 2}, 2))
+    )  # late words are no older numbers
     with pytest.raises(m.PeerError, match="asking for all"):
         list(channel.feed(lines({"cursor": 1})))
     assert channel.resume() == b"resume 0\n"
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -91,7 +91,9 @@
     def __init__(self, path):
         self.logs = []
         listing = Listing()
-        super().__init__(Timing(), path, "p", 600_000.0, listing, lambda event, **more: self.logs.append(event))
+        super().__init__(
+            Timing(), path, "p", 600_000.0, listing, lambda event, **more: self.logs.append(event)
+        )
 
     def whole(self, *machines):
         self.listing.known = {one.name: one for one in machines}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -40,12 +40,16 @@
 
 def test_a_failure_that_is_listed_is_printed_and_passed_over(tmp_path):
     line = "test_few.py::test_red | one is not two yet | 39\n"
-    assert run(tmp_path, "check", line) == (0, "KNOWN RED test_few.py::test_red: one is not two yet (issue 39)\n")
+    assert run(tmp_path, "check", line) == (
+        0,
+        "KNOWN RED test_few.py::test_red: one is not two yet (issue 39)\n",
+    )
     assert run(tmp_path, "deselect", line) == (0, "--deselect=test_few.py::test_red\n")
 
 
 @pytest.mark.parametrize(
-    ("test", "says"), [("test_green", "it passes"), ("test_none", "no such test"), ("test_error", "can not be run")]
+    ("test", "says"),
+    [("test_green", "it passes"), ("test_none", "no such test"), ("test_error", "can not be run")],
 )
 def test_a_line_that_is_not_so_fails(tmp_path, test, says):
     code, said = run(tmp_path, "check", f"test_few.py::test_red | c | 1\ntest_few.py::{test} | c | 1\n")
@@ -53,7 +57,14 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["test_few.py::test_red\n", "test_few.py | c | 1\n", "a::b | | 1\n", "".join(f"a::b{i} | c | 1\n" for i in range(4)), "a::b | c | 1\n" * 2]
+    "text",
+    [
+        "test_few.py::test_red\n",
+        "test_few.py | c | 1\n",
+        "a::b | | 1\n",
+        "".join(f"a::b{i} | c | 1\n" for i in range(4)),
+        "a::b | c | 1\n" * 2,
+    ],
 )
 @pytest.mark.parametrize("word", ["check", "deselect"])
 def test_a_list_that_cannot_be_used_fails(tmp_path, word, text):
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -150,7 +150,11 @@
 
 
 def test_a_draining_host_whose_idle_link_ends_is_over_in_seconds_and_others_at_once():
-    for drains, idle, least, most in ((True, True, 2_500.0, 2_800.0), (True, False, 100.0, 400.0), (False, True, 100.0, 400.0)):
+    for drains, idle, least, most in (
+        (True, True, 2_500.0, 2_800.0),
+        (True, False, 100.0, 400.0),
+        (False, True, 100.0, 400.0),
+    ):
         life = Life(0.0)
         life.listed(draining=drains)
         life.breaks(0.0, idle=idle, alone=True)
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -282,7 +282,9 @@
     bench = Bench([machine("m"), machine("n")])
     first = binds(bench.ask(service="s")[1])[0].machine
     for _ in range(3):
-        assert not bench.tell(api.Reached(first, up=False)) or not binds(bench.tell(api.Reached(first, up=False)))
+        assert not bench.tell(api.Reached(first, up=False)) or not binds(
+            bench.tell(api.Reached(first, up=False))
+        )
     assert all(binds(bench.ask(service="s")[1])[0].machine != first for _ in range(3))
     bench.tell(api.Reached(first, up=True))
     node = bench.scheduler.nodes[first]
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -7,7 +7,9 @@
 from glencleat.standins.machine import Machine, Nature, Offer
 from tests.fakes import Timing
 
-NATURE = Nature(decide_ms=10.0, start_ms=40.0, without_program=5.0, line=3, warm_ms=1_000.0, cold_from=0.2, tip_offers=2.0)
+NATURE = Nature(
+    decide_ms=10.0, start_ms=40.0, without_program=5.0, line=3, warm_ms=1_000.0, cold_from=0.2, tip_offers=2.0
+)
 
 
 class Bench:
@@ -24,9 +26,13 @@
     def fell(self):
         self.falls += 1
 
-    def offer(self, task, cores=1.0, memory=100.0, key="", effect="safe", priority=0, within=1_000.0, life=500.0):
+    def offer(
+        self, task, cores=1.0, memory=100.0, key="", effect="safe", priority=0, within=1_000.0, life=500.0
+    ):
         self.machine.offer(
-            Offer(task, "a0", "svc", key or task, effect, priority, cores, memory, life, self.timing.at, within)
+            Offer(
+                task, "a0", "svc", key or task, effect, priority, cores, memory, life, self.timing.at, within
+            )
         )
 
     def says(self, task):
@@ -66,7 +72,9 @@
     for i in range(6):
         bench.offer(f"t{i}", key="k", effect="keyed")
     bench.timing.advance(100.0)
-    assert bench.says("t0") == [("TASK_STARTING", None)] and bench.says("t1") == [("TASK_DROPPED", "not here")]
+    assert bench.says("t0") == [("TASK_STARTING", None)] and bench.says("t1") == [
+        ("TASK_DROPPED", "not here")
+    ]
     assert bench.says("t5") == [("TASK_DROPPED", "line")]
     bench.machine.faults.false_full = True
     bench.offer("u")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -751,7 +751,10 @@
     good.send(m.encode(m.TEST, 9))
     seen = []
     original = world.owners._message
-    world.owners._message = lambda owner, message, at: (seen.append(message.kind), original(owner, message, at))
+    world.owners._message = lambda owner, message, at: (
+        seen.append(message.kind),
+        original(owner, message, at),
+    )
     world.until(lambda: m.TEST in seen)
     assert len(seen) <= 3 * owners.TURN
 
@@ -769,7 +772,10 @@
     good.send(m.encode(m.TEST, 9))
     seen = []
     original = world.owners._message
-    world.owners._message = lambda owner, message, at: (seen.append(message.kind), original(owner, message, at))
+    world.owners._message = lambda owner, message, at: (
+        seen.append(message.kind),
+        original(owner, message, at),
+    )
     world.until(lambda: m.TEST in seen)
     assert len(seen) <= 3
 
--- a/tests/test_order_index.py
+++ b/tests/test_order_index.py
@@ -28,10 +28,17 @@
 # ---- the index ----
 
 
-CHANGES = st.lists(st.tuples(st.integers(0, 40), st.sampled_from(["put", "take", "again", "a", "b", "c"])), max_size=120)
+CHANGES = st.lists(
+    st.tuples(st.integers(0, 40), st.sampled_from(["put", "take", "again", "a", "b", "c"])), max_size=120
+)
 
 
-@given(changes=CHANGES, bits=st.sampled_from([2, 4, 64]), remembered=st.sampled_from([1, 8, 1024]), most=st.integers(1, 120))
+@given(
+    changes=CHANGES,
+    bits=st.sampled_from([2, 4, 64]),
+    remembered=st.sampled_from([1, 8, 1024]),
+    most=st.integers(1, 120),
+)
 def test_an_order_is_what_a_sort_gives_after_any_changes(changes, bits, remembered, most):
     members = Members[Item](most, 2)
     members.changes = index.deque(maxlen=remembered)
@@ -166,7 +173,9 @@
     for seed in range(13 * part, 13 * part + 13):
         rng = np.random.default_rng([seed, 7])
         hosts, services = int(rng.integers(5, 301)), int(rng.integers(1, 51))
-        monkeypatch.setattr(glencleat.logic, "ENOUGH", int(rng.choice([2, 20])))  # ended or seen tasks that tell
+        monkeypatch.setattr(
+            glencleat.logic, "ENOUGH", int(rng.choice([2, 20]))
+        )  # ended or seen tasks that tell
         monkeypatch.setattr(glencleat.logic, "ORDERED", int(rng.choice([1, 40 * hosts, 10**6])))
         stream = Stream(seed, hosts, services, churn=float(rng.choice([0.02, 0.15, 0.4])))
         one, two = Plain(stream.settings, seed), Scheduler(stream.settings, seed)
@@ -193,7 +202,9 @@
         scheduler.allowed = lambda *a: seen.append("looked") or allowed(*a)
         gone = [api.Machine(m.name, m.kind, m.zone, m.cell, api.Phase.GONE) for m in machines[5:8]]
         scheduler.handle(2.0, api.ListTold(api.ListKind.CHANGES, tuple(gone)))
-        scheduler.handle(3.0, api.Asked(2, "safe", "s", 1000.0, 1.0, 8000.0))  # none has room: all are looked at
+        scheduler.handle(
+            3.0, api.Asked(2, "safe", "s", 1000.0, 1.0, 8000.0)
+        )  # none has room: all are looked at
     return [seen.count(what) for what in ("listed", "looked", "hash")]
 
 
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -90,7 +90,15 @@
 def test_a_bench_day_through_the_real_allocator(tmp_path):
     """Rolling deploy, tasks that swell, a burst, neighbours and late reports, all in one."""
     trouble = "deploy+grow+burst+neighbour+report_late+flush"
-    words = [sys.executable, "-m", "glencleat", "play", str(EXAMPLES / "short-day.conf"), "--folder", str(tmp_path)]
+    words = [
+        sys.executable,
+        "-m",
+        "glencleat",
+        "play",
+        str(EXAMPLES / "short-day.conf"),
+        "--folder",
+        str(tmp_path),
+    ]
     told = subprocess.run([*words, "--trouble", trouble], capture_output=True, text=True, timeout=90)
     assert told.returncode == 0, told.stdout + told.stderr
     entries = list(read(tmp_path / "record.jsonl"))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -139,7 +139,9 @@
     assert (inbox.waits(1), inbox.waits(2)) == (True, False)
     found = [inbox.next() for _ in range(3)]
     assert [message.kind for message, _ in found] == [m.SETUP, m.SETUP, m.RELEASE]
-    assert inbox.next() is None and inbox.partial and inbox.waits(2) and len(inbox.arrivals) == 2  # not one a byte
+    assert (
+        inbox.next() is None and inbox.partial and inbox.waits(2) and len(inbox.arrivals) == 2
+    )  # not one a byte
     inbox.feed(setup(2)[20:], 9.0)
     assert inbox.next()[1] == 9.0 and not inbox.partial
     inbox.feed(b"\0\1", 10.0)
@@ -156,11 +158,26 @@
 def test_an_attempt_leaves_only_if_all_is_as_it_was_when_it_was_decided():
     for values in itertools.product((False, True), repeat=5):
         seen = Seen(*values)
-        expected = None if all(values) else SendOutcome.DISCONNECTED if not seen.client_waits else SendOutcome.NEVER_SENT
+        expected = (
+            None
+            if all(values)
+            else SendOutcome.DISCONNECTED
+            if not seen.client_waits
+            else SendOutcome.NEVER_SENT
+        )
         assert held_back(seen) is expected
-    assert harmless(SAFE, 0.0, 1e9, 2.0) and harmless(UNSAFE, None, 1e9, 2.0) and not harmless(UNSAFE, 0.0, 0.0, 2.0)
+    assert (
+        harmless(SAFE, 0.0, 1e9, 2.0)
+        and harmless(UNSAFE, None, 1e9, 2.0)
+        and not harmless(UNSAFE, 0.0, 0.0, 2.0)
+    )
     assert harmless(KEYED, 10.0, 10.0 + 4996.0, 2.0) and not harmless(KEYED, 10.0, 10.0 + 4996.5, 2.0)
-    assert turn_holds(False, 9e9, 1.0) and turn_holds(True, 9e9, 0.0) and turn_holds(True, 250.0, 1000.0) and not turn_holds(True, 251.0, 1000.0)
+    assert (
+        turn_holds(False, 9e9, 1.0)
+        and turn_holds(True, 9e9, 0.0)
+        and turn_holds(True, 250.0, 1000.0)
+        and not turn_holds(True, 251.0, 1000.0)
+    )
 
 
 @pytest.mark.parametrize("phase", [api.Phase.DRAINING, api.Phase.GONE])
@@ -247,7 +264,12 @@
 def test_a_drain_that_lies_unread_is_known_to_a_timer_that_is_due(world):
     """Held: the event came while we stood still; a held task's timer is due in the same round."""
     peer, sock = linked(world)
-    entry = {"instanceId": "h1", "hostPort": f"127.0.0.1:{peer.address[1]}", "zone": "a", "machineType": "std"}
+    entry = {
+        "instanceId": "h1",
+        "hostPort": f"127.0.0.1:{peer.address[1]}",
+        "zone": "a",
+        "machineType": "std",
+    }
     drain = {"cursor": 1, "nodes": {"instances": [{**entry, "lifecycle": "DRAINING"}]}}
     tower = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
     asking = Asking(Pace(1.0, 1.0, 9e9), world.hosts.random)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -20,7 +20,13 @@
 
 def test_a_stream_waits_out_a_cut_and_keeps_its_order():
     flow = Flow(Weather(State(delay_ms=5.0), cut(100.0, 50.0)), Way.THERE, Random(1))
-    assert [flow.arrives(at, 10) for at in (0.0, 99.0, 100.0, 120.0, 160.0)] == [5.0, 104.0, 155.0, 155.0, 165.0]
+    assert [flow.arrives(at, 10) for at in (0.0, 99.0, 100.0, 120.0, 160.0)] == [
+        5.0,
+        104.0,
+        155.0,
+        155.0,
+        165.0,
+    ]
 
 
 def test_a_cut_for_good_lets_nothing_by_one_way_only():
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -79,7 +79,10 @@
     front = Front()
     status, job, headers = front.create(tasks=2, labels={"app": "web"})
     assert status == 201 and headers["location"] == "/v1/tenants/t/jobs/j"
-    assert job["status"] == {"phase": "waiting", "waiting": 2} and headers["etag"] == f'"{job["resourceVersion"]}"'
+    assert (
+        job["status"] == {"phase": "waiting", "waiting": 2}
+        and headers["etag"] == f'"{job["resourceVersion"]}"'
+    )
     front.run()
     for name in ("j.0", "j.1"):
         front.say("TASK_STARTING", name)
@@ -313,7 +316,9 @@
     first.run()
     ((_, launch),) = first.cluster.offered()
     front = Front(0)
-    front.cluster.agents["h0"] = agent = front.cluster.agents.get("h0") or type(first.agents["h0"])(front.cluster, "h0")
+    front.cluster.agents["h0"] = agent = front.cluster.agents.get("h0") or type(first.agents["h0"])(
+        front.cluster, "h0"
+    )
     agent.subscribe(tasks=[launch])
     front.list = front.cluster.list(["h0"])
     front.run()
@@ -371,7 +376,11 @@
     assert causes(front)["out"]["machine"] == "h0"
     front.say("TASK_DROPPED", cause="memory")  # falsely: the list says that it has all its room
     said = causes(front)["refused-memory"]
-    assert said["count"] == 1 and said["machine"] == "h0" and front.task()["why"]["summary"].startswith("refused (memory)")
+    assert (
+        said["count"] == 1
+        and said["machine"] == "h0"
+        and front.task()["why"]["summary"].startswith("refused (memory)")
+    )
     assert front.ask("GET", "/v1/machines/h0")[1]["memoryLeft" if front.core.settings.view else "phase"]
     front.cluster.list(["h0"], phase=api.Phase.DRAINING)
     front.run(1_000.0)
@@ -404,7 +413,10 @@
                 agent.say(launch.task_id.value, "TASK_DROPPED", cause="line")
         waiting = front.ask("GET", "/v1/tasks?labelSelector=.state%3DTASK_STAGING")[1]["items"]
         assert all(task["why"]["causes"] and task["why"]["summary"] for task in waiting)
-    assert {task["framework"] for task in front.ask("GET", "/v1/tasks")[1]["items"]} == {owner.framework.id, "rest:t"}
+    assert {task["framework"] for task in front.ask("GET", "/v1/tasks")[1]["items"]} == {
+        owner.framework.id,
+        "rest:t",
+    }
 
 
 def test_before_the_opening_a_task_waits_for_it():
@@ -493,7 +505,9 @@
 
 
 def test_bounds_of_creations_and_connections():
-    limits = plane.Limits(gate=overload.Limits(waiting_each=5, connection_rate=1.0, connection_burst=4.0, ignored=2))
+    limits = plane.Limits(
+        gate=overload.Limits(waiting_each=5, connection_rate=1.0, connection_burst=4.0, ignored=2)
+    )
     front = Front(0, limits)
     status, told, headers = front.create(tasks=6)
     assert status == 429 and told["retryAfterMs"] >= 50 and int(headers["retry-after"]) >= 1
@@ -549,7 +563,14 @@
 
 # ---- any history ----
 
-SELECTORS = ["", "app=a", "app!=a,.state in (TASK_STAGING,TASK_RUNNING)", ".machine", ".class=unsafe", ".answer=served"]
+SELECTORS = [
+    "",
+    "app=a",
+    "app!=a,.state in (TASK_STAGING,TASK_RUNNING)",
+    ".machine",
+    ".class=unsafe",
+    ".answer=served",
+]
 WORDS = ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED", "TASK_FAILED", "TASK_DROPPED", "TASK_KILLED"]
 
 
@@ -606,7 +627,9 @@
 
     @initialize()
     def begin(self):
-        limits = plane.Limits(events=40, ended=3, over_ms=3_000.0, watch=WatchLimits(piece=2_000, stall_ms=1e9))
+        limits = plane.Limits(
+            events=40, ended=3, over_ms=3_000.0, watch=WatchLimits(piece=2_000, stall_ms=1e9)
+        )
         self.front = Front(2, limits)
         self.front.plane.gate.limits = overload.Limits(connection_rate=1e9, connection_burst=1e9)
         self.owner = Owner(self.front.cluster).subscribe()
@@ -622,7 +645,10 @@
     def create(self, tenant, app, tasks, cls, lost):
         self.made += 1
         more = {"class": cls, "whenLost": lost, "waitMs": 12_000}
-        assert self.front.create(f"j{self.made}", {"app": app}, tenant, f"k{self.made}", tasks=tasks, **more)[0] == 201
+        assert (
+            self.front.create(f"j{self.made}", {"app": app}, tenant, f"k{self.made}", tasks=tasks, **more)[0]
+            == 201
+        )
 
     @rule(data=st.data())
     def launch(self, data):
@@ -648,14 +674,19 @@
             target = f"/v1/tenants/{tenant}/jobs/{name}"
             if keep:
                 patch = {"labels": {"app": data.draw(st.sampled_from(["a", "b", None]))}}
-                assert self.front.ask("PATCH", target, patch, content_type="application/merge-patch+json")[0] == 200
+                assert (
+                    self.front.ask("PATCH", target, patch, content_type="application/merge-patch+json")[0]
+                    == 200
+                )
             else:
                 assert self.front.ask("DELETE", target)[0] in (202, 204)
 
     @rule(data=st.data())
     def machines(self, data):
         names = data.draw(st.sampled_from([["h0"], ["h0", "h1"], ["h1"]]))
-        self.front.cluster.list(names, phase=data.draw(st.sampled_from([api.Phase.SERVING, api.Phase.DRAINING])))
+        self.front.cluster.list(
+            names, phase=data.draw(st.sampled_from([api.Phase.SERVING, api.Phase.DRAINING]))
+        )
 
     @rule(data=st.data())
     def agent_goes_or_comes(self, data):
@@ -698,7 +729,9 @@
         if not hasattr(self, "front"):
             return
         self.front.cluster.check()
-        waits = [slot for job in self.front.plane.jobs.values() for slot in job.slots if slot.step in plane.WAITS]
+        waits = [
+            slot for job in self.front.plane.jobs.values() for slot in job.slots if slot.step in plane.WAITS
+        ]
         assert len(waits) == self.front.plane.waiting.total()
         for job in self.front.plane.jobs.values():
             for slot in job.slots:
--- a/tests/test_rest_path.py
+++ b/tests/test_rest_path.py
@@ -129,7 +129,9 @@
 def test_a_folded_header_is_one_header_and_no_request(world):
     """obs-fold: RFC 9112 (5.2) lets a server refuse it or read it as a space; it is never a line of its own."""
     day = world()
-    told = raw(day, b"GET /v1/jobs HTTP/1.1\r\nhost: x\r\nx: a\r\n content-length: 5\r\nconnection: close\r\n\r\n")
+    told = raw(
+        day, b"GET /v1/jobs HTTP/1.1\r\nhost: x\r\nx: a\r\n content-length: 5\r\nconnection: close\r\n\r\n"
+    )
     assert told.startswith((b"HTTP/1.1 200", b"HTTP/1.1 400")) and told.count(b"HTTP/1.1") == 1
 
 
@@ -193,7 +195,6 @@
     day.until(lambda: plane.channels.count == 0)
 
 
-
 def test_a_watcher_that_stops_reading_in_a_burst_is_cut_off_and_nobody_waits_for_it(world):
     """10,000 events; another watcher gets them all, and tasks are placed meanwhile."""
     day = world("rest watch-stall 500ms first-round 10m\n")
@@ -211,7 +212,7 @@
             rest = b""
             while len(names) < 10_000:
                 *lines, rest = (rest + sock.recv(1 << 20)).split(b"\n")
-                names.extend(line for line in lines if b'ADDED' in line and b'rest:' in line)
+                names.extend(line for line in lines if b"ADDED" in line and b"rest:" in line)
 
     thread = threading.Thread(target=read)
     thread.start()
@@ -235,7 +236,9 @@
     told = raw(day, post("a") + LAST)
     version = json.loads(told.rsplit(b"\r\n\r\n", 1)[1])["resourceVersion"]
     target = f"/v1/jobs?watch=1&timeoutSeconds=1&resourceVersion={version}"
-    assert raw(day, request("GET", target, headers="connection: close\r\n"), until=b"BOOKMARK").startswith(b"HTTP/1.1 200")
+    assert raw(day, request("GET", target, headers="connection: close\r\n"), until=b"BOOKMARK").startswith(
+        b"HTTP/1.1 200"
+    )
     for i in range(30):
         raw(day, post(f"b{i}"), until=b"}}")
     gone = raw(day, request("GET", target), until=b"}")
@@ -254,7 +257,9 @@
             owner.requests.drop()
     day.until(lambda: not owner.jobs, 15_000.0)
     for i in range(12):
-        states = [e.state for e in day.recorder.entries if e.kind == "answer" and e.task == f"rest:tenant/t{i}.0"]
+        states = [
+            e.state for e in day.recorder.entries if e.kind == "answer" and e.task == f"rest:tenant/t{i}.0"
+        ]
         assert states[-1] == "TASK_FINISHED"
     assert sum(e.kind == "started" for e in day.recorder.entries) == 12
     assert day.broken() == [] and day.core.figures.mismatch() == {}
@@ -268,7 +273,13 @@
     day.until(lambda: owner.live)
     owner.jobs["t1"] = job = day.job("t1")
     job.state = "asked"
-    told = {"job": "t1", "state": "TASK_FINISHED", "answer": "served", "retry": "never", "resourceVersion": "e-1"}
+    told = {
+        "job": "t1",
+        "state": "TASK_FINISHED",
+        "answer": "served",
+        "retry": "never",
+        "resourceVersion": "e-1",
+    }
     owner._task(told)
     owner._task(told)
     answers = [e.state for e in day.recorder.entries if e.kind == "answer" and e.task == "rest:tenant/t1.0"]
@@ -341,7 +352,9 @@
 
 def test_the_front_is_as_its_document_says(world):
     """Schemathesis makes requests from the document that is served, and checks each answer against it."""
-    day = world("rest requests 1000000 tenant-rate 1000000 tenant-burst 1000000 waiting-each 1000000 waiting 1000000\n")
+    day = world(
+        "rest requests 1000000 tenant-rate 1000000 tenant-burst 1000000 waiting-each 1000000 waiting 1000000\n"
+    )
     base = "http://{}:{}".format(*day.bound["rest"])
     checks = (
         openapi_checks.status_code_conformance,
@@ -360,7 +373,11 @@
             tried.append((case.operation.label, told.status_code))
 
         quiet = settings(
-            max_examples=12, deadline=None, derandomize=True, database=None, suppress_health_check=list(HealthCheck)
+            max_examples=12,
+            deadline=None,
+            derandomize=True,
+            database=None,
+            suppress_health_check=list(HealthCheck),
         )
         for result in schema.get_all_operations():
             quiet(given(case=result.ok().as_strategy())(attempt))()
@@ -390,13 +407,31 @@
 def test_the_commands(world):
     day = world()
     spec = ("--class", "pull-front", "--service", "web", "--cores", "1", "--memory", "100MB", "--life", "1m")
-    told = command(day, "submit", "-t", "shop", "--name", "j", "--tasks", "2", "--label", "app=web", *spec, "--follow")
+    told = command(
+        day, "submit", "-t", "shop", "--name", "j", "--tasks", "2", "--label", "app=web", *spec, "--follow"
+    )
     assert "placed" in told
-    assert "web" in command(day, "get", "jobs") and "TASK_" in command(day, "get", "tasks", "-t", "shop", "-l", "app=web")
+    assert "web" in command(day, "get", "jobs") and "TASK_" in command(
+        day, "get", "tasks", "-t", "shop", "-l", "app=web"
+    )
     items = json.loads(command(day, "get", "tasks", "-o", "json", "-t", "shop"))
     assert [item["name"] for item in items] == ["j.0", "j.1"]
     assert "hall-a" in command(day, "get", "machines") and "web" in command(day, "get", "services")
-    command(day, "submit", "-t", "shop", "--name", "big", *spec[:4], "--cores", "9999", "--memory", "1GB", "--wait", "20s")
+    command(
+        day,
+        "submit",
+        "-t",
+        "shop",
+        "--name",
+        "big",
+        *spec[:4],
+        "--cores",
+        "9999",
+        "--memory",
+        "1GB",
+        "--wait",
+        "20s",
+    )
     time_ = day.loop.now()
     day.until(lambda: day.loop.now() > time_ + 800.0)
     assert "no machine is known that takes 9999 cores" in command(day, "why", "big.0", "-t", "shop")
--- a/tests/test_rest_state.py
+++ b/tests/test_rest_state.py
@@ -48,7 +48,9 @@
     assert matches(parse(text), labels) is fits
 
 
-@pytest.mark.parametrize("text", ["a=b,", "=b", "a=(b)", "a in b", "a in (b", ".odd=x", "a b", "a in (b c)", "!", ",a"])
+@pytest.mark.parametrize(
+    "text", ["a=b,", "=b", "a=(b)", "a in b", "a in (b", ".odd=x", "a b", "a in (b c)", "!", ",a"]
+)
 def test_a_bad_selector_says_where(text):
     with pytest.raises(BadSelector, match="labelSelector: .*(expected|no field)"):
         parse(text)
@@ -73,7 +75,9 @@
 LABELS = [{}, {"x": "1"}, {"x": "2"}, {"x": "1", "y": "1"}]
 SELECTORS = ["", "x=1", "x!=1", "x", "!x", "x in (1,2),!y"]
 CHANGES = st.lists(
-    st.tuples(st.sampled_from(KEYS), st.one_of(st.none(), st.tuples(st.integers(0, 2), st.sampled_from(LABELS)))),
+    st.tuples(
+        st.sampled_from(KEYS), st.one_of(st.none(), st.tuples(st.integers(0, 2), st.sampled_from(LABELS)))
+    ),
     max_size=40,
 )
 
@@ -96,7 +100,9 @@
 
 
 def listed(versions, selector, tenant=None, version=None):
-    records, _ = versions.page("k", versions.number if version is None else version, selector, 99, None, tenant)
+    records, _ = versions.page(
+        "k", versions.number if version is None else version, selector, 99, None, tenant
+    )
     return {r.key: r.value.waiting for r in records}
 
 
@@ -109,7 +115,11 @@
     selector = parse(text)
     seen, watcher, resume, past = {}, None, None, {}
     for key, change in changes:
-        event = versions.delete("k", key) if change is None else versions.put("k", key, value(key, change[0]), change[1])
+        event = (
+            versions.delete("k", key)
+            if change is None
+            else versions.put("k", key, value(key, change[0]), change[1])
+        )
         if event is not None:
             hub.publish(event, 0.0)
         past[versions.number] = listed(versions, selector, tenant)
@@ -126,7 +136,9 @@
             if resume is None:
                 seen, early, resume = listed(versions, selector, tenant), None, versions.number
             else:
-                kinds = [(e, e.type_for(selector)) for e in events if tenant is None or e.record.key[0] == tenant]
+                kinds = [
+                    (e, e.type_for(selector)) for e in events if tenant is None or e.record.key[0] == tenant
+                ]
                 early = iter([channels.line(e, kind, versions.told) for e, kind in kinds if kind is not None])
             watcher = hub.join(("k", tenant, selector), early, 0.0)
         elif action in ("take", "stop") and watcher is not None:
@@ -155,13 +167,21 @@
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(CHANGES, st.lists(st.tuples(st.sampled_from(SELECTORS), st.sampled_from([None, "t1", "t2"])), max_size=6))
+@given(
+    CHANGES, st.lists(st.tuples(st.sampled_from(SELECTORS), st.sampled_from([None, "t1", "t2"])), max_size=6)
+)
 def test_the_index_tells_whom_a_filter_over_all_would(changes, wheres):
     versions = Versions("e", {"k": 1_000})
     hub = channels.Channels(channels.Limits(piece=1 << 20), versions.told)
-    watchers = [(hub.join(("k", tenant, parse(text)), None, 0.0), parse(text), tenant, []) for text, tenant in wheres]
+    watchers = [
+        (hub.join(("k", tenant, parse(text)), None, 0.0), parse(text), tenant, []) for text, tenant in wheres
+    ]
     for key, change in changes:
-        event = versions.delete("k", key) if change is None else versions.put("k", key, value(key, change[0]), change[1])
+        event = (
+            versions.delete("k", key)
+            if change is None
+            else versions.put("k", key, value(key, change[0]), change[1])
+        )
         if event is None:
             continue
         hub.publish(event, 0.0)
@@ -249,12 +269,15 @@
 # ---- jobs ----
 
 CLASSES = {
-    effect: api.TaskClass(effect.value, effect, 1_000.0, 8_000.0, 1.0, window_ms=5_000.0) for effect in api.Effect
+    effect: api.TaskClass(effect.value, effect, 1_000.0, 8_000.0, 1.0, window_ms=5_000.0)
+    for effect in api.Effect
 }
 
 
 def job(effect=api.Effect.SAFE, tasks=1, wait=20_000.0, tenant="t", name="j", **more):
-    spec = s.JobSpec(task_class=effect.value, service="svc", tasks=tasks, cores=1.0, memory=1.0, wait_ms=wait, **more)
+    spec = s.JobSpec(
+        task_class=effect.value, service="svc", tasks=tasks, cores=1.0, memory=1.0, wait_ms=wait, **more
+    )
     made = Job(tenant, name, "u", spec, CLASSES[effect], {}, 0.0)
     made.slots = [Slot(made, i, wait, Step.ASKED, rounds=1) for i in range(tasks)]
     return made
@@ -298,7 +321,10 @@
     assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.PAUSE_MOST_MS
     near = jobs.after_round(slot, Given.REFUSED, DROPPED, 58_900.0, Random(1))
     assert near.step is Step.PAUSED and near.pause_ms <= 600.0
-    assert jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0) and jobs.round_ms(slot, 59_960.0, 50.0) == 0.0
+    assert (
+        jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0)
+        and jobs.round_ms(slot, 59_960.0, 50.0) == 0.0
+    )
     assert jobs.round_ms(slot, 0.0, 50.0) == 8_000.0
 
 
@@ -415,7 +441,11 @@
     bucket = made.connection(0.0)
     assert [made.request(bucket, 1.0, 0.0) is None for _ in range(3)] == [True, True, False]
     assert made.request(bucket, 1.0, 101.0) is None
-    assert made.pause_ms(3, 500.0) == 0.0 and made.pause_ms(4, 500.0) == 500.0 and made.pause_ms(9, 9_000.0) == 1_000.0
+    assert (
+        made.pause_ms(3, 500.0) == 0.0
+        and made.pause_ms(4, 500.0) == 500.0
+        and made.pause_ms(9, 9_000.0) == 1_000.0
+    )
 
 
 def test_creations_take_less_of_a_loop_that_runs_late():
@@ -522,7 +552,13 @@
 
 def test_machines_that_drain_are_away_barred_or_cold_are_counted():
     made = facts(
-        [machine("h1", phase=api.Phase.DRAINING), machine("h2"), machine("h3"), machine("h4", up=99_000.0), machine("h5")],
+        [
+            machine("h1", phase=api.Phase.DRAINING),
+            machine("h2"),
+            machine("h3"),
+            machine("h4", up=99_000.0),
+            machine("h5"),
+        ],
         {"h1": "subscribed", "h2": "away", "h3": "subscribed", "h4": "subscribed", "h5": "subscribed"},
         silent={"h3": 2},
     )
@@ -538,7 +574,9 @@
     assert half.text == "limit of 2 tasks of svc a hall: 1 of 2 at it (a)" and half.count == 1
     both = kinds(facts(machines, placed={"svc": Counter(h1=2, h2=3)}), ("spread", "svc", 1.0, 1.0))["spread"]
     assert "2 of 2 at it (a, b)" in both.text
-    assert "spread" not in kinds(facts(machines, placed={"other": Counter(h1=9)}), ("spread", "svc", 1.0, 1.0))
+    assert "spread" not in kinds(
+        facts(machines, placed={"other": Counter(h1=9)}), ("spread", "svc", 1.0, 1.0)
+    )
 
 
 def test_what_has_not_changed_is_the_same_list():
@@ -563,7 +601,10 @@
     assert told.summary == "no answer in time once, by h3"
     spread = s.Cause(kind="spread", text="limit")
     assert reasons.why(None, record, [spread], lambda at: at).summary == "limit"
-    assert [c.kind for c in reasons.why(None, Reasons(), common, lambda at: at).causes] == ["no-room", "not-tried"]
+    assert [c.kind for c in reasons.why(None, Reasons(), common, lambda at: at).causes] == [
+        "no-room",
+        "not-tried",
+    ]
 
 
 def test_a_term_matches_what_it_says():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,8 +37,16 @@
 
     def offered(self, at, host="h", attempt="c.0", task="f/t", effect="safe", within=500.0, run="r", **more):
         return self.add(
-            at, "offered", who=host, allocator="a", attempt=attempt, task=task, effect=effect, within=within,
-            text=run, **more,
+            at,
+            "offered",
+            who=host,
+            allocator="a",
+            attempt=attempt,
+            task=task,
+            effect=effect,
+            within=within,
+            text=run,
+            **more,
         )
 
     def said(self, at, state, attempt="c.0", host="h"):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,6 @@
 from tests.test_logic import SAFE, Bench, binds, kinds, machine
 
 
-
 @pytest.mark.parametrize(("peers", "offers"), [(1, 6.0), (3, 6.0), (40, 10.0), (220, 10.0), (300, 70.0)])
 def test_all_schedulers_together_stay_within_what_a_cold_machine_bears(peers, offers):
     """Each of hundreds sent one offer: the joint sum was far past what the machine bears."""
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -88,7 +88,14 @@
     assert child.returncode == 0, err
     found = report.load(tmp_path / "out" / "small.json")
     names = [phase.name for phase in found.phases]
-    assert names == ["idle", "tasks stand", "steady load", "list event of one host", "whole list", "whole run"]
+    assert names == [
+        "idle",
+        "tasks stand",
+        "steady load",
+        "list event of one host",
+        "whole list",
+        "whole run",
+    ]
     assert not found.partial and "partial" not in out
     whole = found.phases[-1].allocators[0]
     counts = whole.counts
@@ -170,7 +177,9 @@
             event = Cost(1, 10.0, 0.1 + 2e-4 * hosts + 20 * hosts * 1e-6, 0.0, 20.0, 20.0)
             phases.append(Phase("list event of one host", hosts, [event], notes={"events": 20.0}))
     found = {fit.what: fit for fit in report.fits(phases)}
-    assert found["idle CPU"].low < 2.0 < found["idle CPU"].high and found["idle CPU"].at_none == pytest.approx(1.0, rel=0.1)
+    assert found["idle CPU"].low < 2.0 < found["idle CPU"].high and found[
+        "idle CPU"
+    ].at_none == pytest.approx(1.0, rel=0.1)
     assert found["CPU of one host's list event"].slope == pytest.approx(1.0, rel=0.01)
     assert found["resident memory, idle"].slope == pytest.approx(1.0)
     assert "CPU of the whole list" not in found
@@ -179,14 +188,21 @@
 def test_two_runs_are_set_beside_each_other_phase_by_phase():
     one, other = ([Phase("idle", 400, [Cost(1, 10.0, cpu, 0.0, 20.0, 20.0)])] for cpu in (2.0, 0.5))
     lines = compare.beside(one, [*other, Phase("more", 400, other[0].allocators)], ("before", "after"))
-    assert "| 400 | idle | CPU, % of a core | 20 | 5 | 0.25 |" in lines and not any("more" in line for line in lines)
+    assert "| 400 | idle | CPU, % of a core | 20 | 5 | 0.25 |" in lines and not any(
+        "more" in line for line in lines
+    )
 
 
 def test_hollow_and_real_agree_within_ten_percent_or_are_said_not_to():
     real = Cost(1, 10.0, 1.0, 0.0, 20.0, 20.0, {"host a": 1_000, "host b": 1_000, "host c": 20, "host d": 0})
     hollow = {2: {"host a": 1_080, "host b": 800, "host c": 40}}
     said = compare.against([Phase("load", 400, [real], hollow), Phase("whole run", 400, [real], hollow)])
-    assert [line.split(" | ")[-1].strip(" |") for line in said[2:]] == ["yes", "no", "too few to tell", "too few to tell"]
+    assert [line.split(" | ")[-1].strip(" |") for line in said[2:]] == [
+        "yes",
+        "no",
+        "too few to tell",
+        "too few to tell",
+    ]
 
 
 # ---- hollow hosts ----
@@ -270,7 +286,9 @@
     world.until(lambda: not world.host.owed)
     counts = world.group.counts()
     assert counts["3 connections"] == 2 and counts["4 connections"] == 1 and counts["3 ended"] == 1
-    assert peer.sizes + again.sizes == sum(n for name, n in counts.items() if name.startswith("3 out") and name.endswith("bytes"))
+    assert peer.sizes + again.sizes == sum(
+        n for name, n in counts.items() if name.startswith("3 out") and name.endswith("bytes")
+    )
     assert counts["3 in set-up bytes"] == len(setup(7)) and counts["3 in release heard bytes"] == 11
 
 
@@ -349,9 +367,16 @@
     world.until(lambda: hollow.counts().get("3 placed", 0) >= 10)
     hollow.ask_at(0.0)
     every = world.group.hosts.values()
-    world.until(lambda: not any(host.held or host.owed for host in every) and not any(c.tasks for c in hollow.all[3].contacts.values()))
+    world.until(
+        lambda: (
+            not any(host.held or host.owed for host in every)
+            and not any(c.tasks for c in hollow.all[3].contacts.values())
+        )
+    )
     counts, seen = hollow.counts(), world.group.counts()
-    assert counts["3 asked"] == counts["3 placed"] == counts["3 ended"] == seen["3 in set-up"] == seen["3 ended"]
+    assert (
+        counts["3 asked"] == counts["3 placed"] == counts["3 ended"] == seen["3 in set-up"] == seen["3 ended"]
+    )
     assert seen["3 in release heard"] >= seen["3 ended"] and counts.get("3 no answer", 0) == 0
     assert counts["3 out set-up bytes"] == seen["3 in set-up bytes"]
 
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -78,7 +78,8 @@
         self.sock = listen_on_loopback()
         port = self.sock.getsockname()[1]
         self.entries = [
-            {**entry(f"h{i}", port), "hostPort": f"127.{1 + i // 250}.{1 + i % 250}.1:{port}"} for i in range(hosts)
+            {**entry(f"h{i}", port), "hostPort": f"127.{1 + i // 250}.{1 + i % 250}.1:{port}"}
+            for i in range(hosts)
         ]
         nodes = {"generation": 1, "reset": True, "instances": self.entries}
         config = {
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -191,5 +191,7 @@
 def test_the_worker_measures_what_the_table_names(kind):
     found = work(kind)
     assert found and all(math.isfinite(value) and value >= 0.0 for value in found.values())
-    documented = {name for name in found if not name.startswith(("wire.", "bytes.")) and name != "memory.base"}
+    documented = {
+        name for name in found if not name.startswith(("wire.", "bytes.")) and name != "memory.base"
+    }
     assert documented <= set(slopes.WHAT)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,7 +15,11 @@
 from tests.fakes import Agent, Cluster, Owner
 
 ALLOCATORS, HOSTS, HELD = 300, 40, 30
-TAKES_MS, LINE, TIMEOUT_MS = 8.0, 32, 500.0  # of a host: time for one set-up, how many wait, what is waited for
+TAKES_MS, LINE, TIMEOUT_MS = (
+    8.0,
+    32,
+    500.0,
+)  # of a host: time for one set-up, how many wait, what is waited for
 
 
 def opened_at_once(first):
@@ -130,10 +134,14 @@
     assert (ready().status, ready().body) == (503, b"no machine is listed yet\n")
     cluster.timing.advance(1_000.0 - 50.0 - LAST_MS - 5.0)
     assert owner.states("t1") == []
-    cluster.timing.advance(10.0)  # not at the very end: an ask that was 76 ms on its way had its answer too late
+    cluster.timing.advance(
+        10.0
+    )  # not at the very end: an ask that was 76 ms on its way had its answer too late
     assert owner.states("t1") == ["TASK_DROPPED"]
     cluster.list(["h0", "h1"])
-    assert ready().status == 503 and ready().headers["retry-after"] == "1" and b"what they run" in ready().body
+    assert (
+        ready().status == 503 and ready().headers["retry-after"] == "1" and b"what they run" in ready().body
+    )
     opens(cluster, 1)
     assert not cluster.offered() and cluster.core.early.over
     assert ready().status == 200
@@ -195,11 +203,17 @@
     cluster.timing.advance(100.0)
     assert owner.statuses() == []
     labels = [m.Label(*pair) for pair in (("class", "safe"), ("framework", "owner"), ("task", "old"))]
-    old = m.TaskInfo("old", m.Value("a0-before-1.0"), resources=m.resources(1.0, 100.0), labels=m.Labels(labels))
+    old = m.TaskInfo(
+        "old", m.Value("a0-before-1.0"), resources=m.resources(1.0, 100.0), labels=m.Labels(labels)
+    )
     cluster.agents = {"h0": Agent(cluster, "h0").subscribe(tasks=[old])}
     cluster.timing.advance(1.0)
     told = [s for s in owner.statuses("old") if s.reason == "REASON_RECONCILIATION"]
-    assert {s.state for s in told} == {"TASK_STARTING"} and len(told) >= 2 and cluster.core.owners.reconciling.waiting == 0
+    assert (
+        {s.state for s in told} == {"TASK_STARTING"}
+        and len(told) >= 2
+        and cluster.core.owners.reconciling.waiting == 0
+    )
 
 
 def test_a_crowd_that_reconciles_takes_turns_and_none_is_lost():
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -151,7 +151,13 @@
 def left(world):
     """What there is at the end, beside the record."""
     found = {
-        name: (host.again_at, host.heard, host.spoke, host.away, [(li.used, li.visit, li.load) for li in host.links])
+        name: (
+            host.again_at,
+            host.heard,
+            host.spoke,
+            host.away,
+            [(li.used, li.visit, li.load) for li in host.links],
+        )
         for name, host in world.hosts.hosts.items()
     }
     d, c = world.descriptors, world.hosts.connecting
--- a/tests/test_wire_replies.py
+++ b/tests/test_wire_replies.py
@@ -41,7 +41,9 @@
         assert adapter(as_text(batch)) == as_text(reply), f"batch {number}"
 
 
-@pytest.mark.parametrize("day", LONG_DAYS, ids=lambda day: f"{day['allocators']}-allocators-{day['hosts']}-hosts")
+@pytest.mark.parametrize(
+    "day", LONG_DAYS, ids=lambda day: f"{day['allocators']}-allocators-{day['hosts']}-hosts"
+)
 def test_replies_to_a_long_day_have_the_recorded_digest(day):
     stream = Day(day["seed"], day["allocators"], day["hosts"], day["services"], day["gap_ms"])
     digest, counts = play(stream, Adapter(), day["batches"])
