--- a/glencleat/isup/channel.py
+++ b/glencleat/isup/channel.py
@@ -14,7 +14,7 @@
 
 from glencleat import interface as api
 from glencleat.isup.messages import PeerError
-from glencleat.settings import PHASES
+from glencleat.platform_settings import PHASES
 
 MOST_LINE = 4 << 20  # bytes: a whole list of some ten thousand machines
 OLDER = 3  # words in a row, a second apart, that the last number is below ours: not one that was under way
--- a/glencleat/isup/vocabulary.py
+++ b/glencleat/isup/vocabulary.py
@@ -7,7 +7,7 @@
 
 from glencleat import interface as api
 from glencleat.isup import messages as m
-from glencleat.settings import read_report
+from glencleat.platform_settings import read_report
 
 BEFORE = {m.FULL: api.Outcome.REFUSED, m.ERROR: api.Outcome.ERROR, m.MOOT: api.Outcome.NOT_SENT}
 AFTER = {m.ENDED: api.Outcome.ENDED, m.STOPPED: api.Outcome.STOPPED}  # every other cause: LOST
--- a/glencleat/node/hosts.py
+++ b/glencleat/node/hosts.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from glencleat import interface as api
-from glencleat.descriptors import Demand, Descriptors, Worth
+from glencleat.descriptor_budget import Demand, Descriptors, Worth
 from glencleat.fleet.asking import HOST
 from glencleat.fleet.connecting import Connecting, look_ms
 from glencleat.index.due import DueIndex
--- a/glencleat/node/links.py
+++ b/glencleat/node/links.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from glencleat.descriptors import Descriptors, Side, Worth
+from glencleat.descriptor_budget import Descriptors, Side, Worth
 from glencleat.fleet.asking import HOST, Asking
 from glencleat.isup import messages as m
 from glencleat.fleet.connecting import Connecting
--- a/glencleat/node/owners.py
+++ b/glencleat/node/owners.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from glencleat.descriptors import BACKLOG, Descriptors, Side, Worth
+from glencleat.descriptor_budget import BACKLOG, Descriptors, Side, Worth
 from glencleat.isup import messages as m
 from glencleat.isup.exchange import Exchange
 from glencleat.isup.inbox import Inbox
--- a/glencleat/node/process.py
+++ b/glencleat/node/process.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from glencleat import interface as api
-from glencleat.descriptors import Descriptors
+from glencleat.descriptor_budget import Descriptors
 from glencleat.fleet.asking import CHANNEL, Asking
 from glencleat.isup.channel import Channel, News, address
 from glencleat.isup.exchange import Attempt, Exchange
@@ -31,7 +31,7 @@
 from glencleat.node.hosts import Hosts
 from glencleat.node.log import Log
 from glencleat.node.owners import Owners
-from glencleat.settings import read_settings
+from glencleat.platform_settings import read_settings
 
 LOOK_MS = 10.0  # between two looks whether all is answered
 # After the start: nine in ten have to be ready within 10 s, whether discovery is up or not. Sooner would cost
--- a/glencleat/benchlink.py
+++ b/glencleat/simulator_adapter.py
@@ -9,7 +9,7 @@
 
 from glencleat import interface as api
 from glencleat.logic import Scheduler
-from glencleat.settings import PHASES, read_report, read_settings
+from glencleat.platform_settings import PHASES, read_report, read_settings
 
 OUTCOMES = {
     0: api.Outcome.ERROR,
@@ -207,7 +207,7 @@
     try:
         Link(sys.stdin, sys.stdout).run()
     except WireError as error:
-        print(f"glencleat.benchlink: {error}", file=sys.stderr)
+        print(f"glencleat.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptors import ASIDE, Descriptors
+from glencleat.descriptor_budget import ASIDE, Descriptors
 from glencleat.isup import messages as m
 from glencleat.isup.channel import Channel, Host, News
 from glencleat.isup.exchange import Exchange
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from glencleat.benchlink import Link, WireError
+from glencleat.simulator_adapter import Link, WireError
 
 CONFIG = {
     "az": "z",
@@ -88,7 +88,7 @@
     with pytest.raises(WireError, match="expected"):
         play(text)
     done = subprocess.run(
-        [sys.executable, "-m", "glencleat.benchlink"], input=text, capture_output=True, text=True
+        [sys.executable, "-m", "glencleat.simulator_adapter"], input=text, capture_output=True, text=True
     )
     assert done.returncode != 0 and "Traceback" not in done.stderr
     assert len(done.stderr.strip().splitlines()) == 1
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.descriptors import ASIDE, STANDSTILL_MS, Demand, Side
+from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
 from glencleat.isup import messages as m
 from glencleat.isup.ends import KEEP_MS
 from glencleat.node import owners
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.descriptors import (
+from glencleat.descriptor_budget import (
     ASIDE,
     GIVEN,
     KEPT_FREE,
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 from glencleat import interface as api
 from glencleat.fleet import connecting
 from glencleat.fleet.asking import Asking, Pace
-from glencleat.descriptors import Side, Worth
+from glencleat.descriptor_budget import Side, Worth
 from glencleat.isup import messages as m
 from glencleat.isup.channel import News
 from glencleat.kernel import ConnectFailed, StreamClosed, streams
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -5,7 +5,7 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.descriptors import Demand
+from glencleat.descriptor_budget import Demand
 from glencleat.isup import messages as m
 from glencleat.node import hosts, life
 from glencleat.node.hosts import Hosts
--- a/tests/test_wire_replies.py
+++ b/tests/test_wire_replies.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from glencleat.benchlink import Link
+from glencleat.simulator_adapter import Link
 from tests.support.wire_day import Day, as_text, play
 
 DATA = Path(__file__).parent / "data" / "wire"
