--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -128,14 +128,14 @@
         BYTES,
         "KB/s",
         FRAMES,
-        "`isup/messages.py`; the platform's protocol",
+        "`platform_protocol/messages.py`; the platform's protocol",
     ),
     Bound(
         "bytes: notes",
         BYTES,
         "KB/s",
         "hosts * note_s / allocators * bytes.note",
-        "`isup/messages.py`; the platform's protocol",
+        "`platform_protocol/messages.py`; the platform's protocol",
     ),
     Bound("CPU at the peak, all of it", CPU, "core", PEAK, "the lines below it"),
     Bound("CPU: looks at quiet hosts", CPU, "core", LOOK, LOOKS),
@@ -168,7 +168,7 @@
     ),
     Bound("links to hosts with own tasks", 1.0, "x", f"{SEEN} / descriptors", LOOKS),
     Bound(
-        "a whole list, read and taken in", URGENT, "s", "channel.whole + module.whole", "`isup/channel.py`"
+        "a whole list, read and taken in", URGENT, "s", "channel.whole + module.whole", "`platform_protocol/channel.py`"
     ),
     Bound(
         "ready after a start", 10.0, "s", "node.start + tasks / allocators * looks.adopt", "`node/process.py`"
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -21,7 +21,7 @@
 
 from benchmarks.common import cpu_s, machine, rows_of, rss_mb
 from glencleat.index.due import DueIndex
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop, Timer, TimerWheel, connect
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -195,7 +195,7 @@
 
 def node_looks(hosts: int, tasks: int, services: int, peers: int, seed: int) -> dict[str, float]:
     """Tasks handed over at silent hosts, spread evenly: what looking whether those live costs."""
-    from glencleat.isup import messages as m
+    from glencleat.platform_protocol import messages as m
     from glencleat.kernel import Stream, connect
 
     with rig(hosts, peers, seed) as one:
--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -225,7 +225,7 @@
 
 def channel(hosts: int, tasks: int, services: int, peers: int, seed: int) -> Figures:
     """The command channel's bytes to news: a whole list, a change of one, a heartbeat."""
-    from glencleat.isup.channel import Channel
+    from glencleat.platform_protocol.channel import Channel
 
     drawn = random.Random(seed)
     first = event(1, [entry(i) for i in range(hosts)], whole=True)
@@ -257,7 +257,7 @@
 
 def wire(hosts: int, tasks: int, services: int, peers: int, seed: int) -> Figures:
     """Each message of the protocol page: bytes, CPU seconds of making and of reading one."""
-    from glencleat.isup import messages as m
+    from glencleat.platform_protocol import messages as m
 
     extras = b"cores:1;memory:2;service:00000000b4d65521"
     named = {m.CLASS: b"batch", m.WAIT: b"1500", m.NAME: b"7f3a9c21e0b4d655"}
--- a/glencleat/node/links.py
+++ b/glencleat/node/links.py
@@ -12,10 +12,10 @@
 
 from glencleat.descriptor_budget import Descriptors, Side, Worth
 from glencleat.fleet.asking import HOST, Asking
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.fleet.connecting import Connecting
-from glencleat.isup.exchange import Attempt, Exchange
-from glencleat.isup.sending import SendOutcome
+from glencleat.platform_protocol.exchange import Attempt, Exchange
+from glencleat.platform_protocol.sending import SendOutcome
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
 from glencleat.node.life import Life
--- a/glencleat/node/owners.py
+++ b/glencleat/node/owners.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from glencleat.descriptor_budget import BACKLOG, Descriptors, Side, Worth
-from glencleat.isup import messages as m
-from glencleat.isup.exchange import Exchange
-from glencleat.isup.inbox import Inbox
+from glencleat.platform_protocol import messages as m
+from glencleat.platform_protocol.exchange import Exchange
+from glencleat.platform_protocol.inbox import Inbox
 from glencleat.kernel import Listener, Loop, Stream, StreamClosed
 from glencleat.kernel.loop import Coroutine
 
--- a/glencleat/node/trace.py
+++ b/glencleat/node/trace.py
@@ -10,10 +10,10 @@
 
 from glencleat import interface as api
 from glencleat.allocator.contract import Module
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 
 if TYPE_CHECKING:
-    from glencleat.isup.exchange import Call
+    from glencleat.platform_protocol.exchange import Call
 
 DULL = (api.TimerDue, api.ListTold, api.Noted)  # told only where the module answers with more than a timer
 
--- a/glencleat/isup/channel.py
+++ b/glencleat/platform_protocol/channel.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from glencleat import interface as api
-from glencleat.isup.messages import PeerError
+from glencleat.platform_protocol.messages import PeerError
 from glencleat.platform_settings import PHASES
 
 MOST_LINE = 4 << 20  # bytes: a whole list of some ten thousand machines
--- a/glencleat/isup/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -21,13 +21,13 @@
 from glencleat import interface as api
 from glencleat.allocator.contract import Contract, Module
 from glencleat.allocator.telling import Telling
-from glencleat.isup import messages as m
-from glencleat.isup import vocabulary
-from glencleat.isup.channel import News
-from glencleat.isup.ends import Ends
-from glencleat.isup.sending import OUTCOMES, NEVER_RAN, SendOutcome, Seen, harmless, held_back, turn_holds
-from glencleat.isup.setups import BadSetup, Reader, Setup
-from glencleat.isup.vocabulary import AFTER, BEFORE, TOPICS
+from glencleat.platform_protocol import messages as m
+from glencleat.platform_protocol import vocabulary
+from glencleat.platform_protocol.channel import News
+from glencleat.platform_protocol.ends import Ends
+from glencleat.platform_protocol.sending import OUTCOMES, NEVER_RAN, SendOutcome, Seen, harmless, held_back, turn_holds
+from glencleat.platform_protocol.setups import BadSetup, Reader, Setup
+from glencleat.platform_protocol.vocabulary import AFTER, BEFORE, TOPICS
 
 
 class State(Enum):
--- a/glencleat/isup/inbox.py
+++ b/glencleat/platform_protocol/inbox.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 
 
 class Inbox:
--- a/glencleat/isup/setups.py
+++ b/glencleat/platform_protocol/setups.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from glencleat import interface as api
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 
 MOST_TEXT = 128  # characters of a name, a key, a service
 MOST_WAIT_MS = 3_600_000.0
--- a/glencleat/isup/vocabulary.py
+++ b/glencleat/platform_protocol/vocabulary.py
@@ -1,12 +1,12 @@
 """What hosts say of reasons, figures and notes, in the module's types.
 
-Imports messages, the interface and the settings' names; `isup/exchange.py` asks it. PeerError where a figure
+Imports messages, the interface and the settings' names; `platform_protocol/exchange.py` asks it. PeerError where a figure
 can't be read."""
 
 from __future__ import annotations
 
 from glencleat import interface as api
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.platform_settings import read_report
 
 BEFORE = {m.FULL: api.Outcome.REFUSED, m.ERROR: api.Outcome.ERROR, m.MOOT: api.Outcome.NOT_SENT}
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from glencleat.fleet.connecting import Connecting, look_ms
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
--- a/glencleat/scale/counting.py
+++ b/glencleat/scale/counting.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 
 NAMES = {
     m.SETUP: "set-up",
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop, Stream, StreamClosed
 from glencleat.kernel.loop import READ, Coroutine
 from glencleat.scale.counting import Tally
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from random import Random
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
--- a/glencleat/standins/live.py
+++ b/glencleat/standins/live.py
@@ -1,6 +1,6 @@
 """Hosts and owners of the platform's kind, many in one process, for measuring `glencleat node` at size.
 
-They speak by `isup/messages.py`, so they don't check its reading of the page; tests and the operators' bench
+They speak by `platform_protocol/messages.py`, so they don't check its reading of the page; tests and the operators' bench
 do. A host takes whatever comes and ends it after its life; an owner asks at a rate and counts the answers."""
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections import Counter
 from random import Random
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
 from glencleat.standins.relay import reset
--- a/tests/live.py
+++ b/tests/live.py
@@ -1,10 +1,10 @@
 """The exchange on a clock of its own: ports that record, owners and hosts that are lists of messages."""
 
 from glencleat import interface as api
-from glencleat.isup import messages as m
-from glencleat.isup.channel import Host, News
-from glencleat.isup.exchange import Exchange
-from glencleat.isup.sending import SendOutcome
+from glencleat.platform_protocol import messages as m
+from glencleat.platform_protocol.channel import Host, News
+from glencleat.platform_protocol.exchange import Exchange
+from glencleat.platform_protocol.sending import SendOutcome
 from tests.fakes import Timing
 
 SAFE = api.TaskClass("safe", api.Effect.SAFE, 1000.0, 8000.0, 1.0)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -5,9 +5,9 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, Descriptors
-from glencleat.isup import messages as m
-from glencleat.isup.channel import Channel, Host, News
-from glencleat.isup.exchange import Exchange
+from glencleat.platform_protocol import messages as m
+from glencleat.platform_protocol.channel import Channel, Host, News
+from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import Listener, Loop, StreamClosed
 from glencleat.node import hosts, owners
 from tests.live import SETTINGS, Script, setup
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -9,7 +9,7 @@
 import pytest
 
 from glencleat.check.bounds import busiest
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop, StreamClosed, connect
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost, LiveOwner
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -8,7 +8,7 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from tests.live import setup
 from tests.sockets import Peer, cancel, settled, stands
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,8 +11,8 @@
 from glencleat.fleet import connecting
 from glencleat.fleet.asking import Asking, Pace
 from glencleat.descriptor_budget import Side, Worth
-from glencleat.isup import messages as m
-from glencleat.isup.channel import News
+from glencleat.platform_protocol import messages as m
+from glencleat.platform_protocol.channel import News
 from glencleat.kernel import ConnectFailed, StreamClosed, streams
 from glencleat.node import feed, hosts, life, links, owners
 from tests.live import setup
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop
 from glencleat.node.draining import WINDOW_MS
 from glencleat.node.process import READY_MS, Process, load
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -9,7 +9,7 @@
 import psutil
 import pytest
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import ConnectFailed, Loop, StreamClosed, connect
 from glencleat.scale import compare, report, size as sizes
 from glencleat.scale.allocators import HollowAllocators
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop
 from glencleat.kernel.loop import EpollPoller
 from glencleat.node.process import Process, load
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -6,7 +6,7 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand
-from glencleat.isup import messages as m
+from glencleat.platform_protocol import messages as m
 from glencleat.node import hosts, life
 from glencleat.node.hosts import Hosts
 from tests.quiet import World
