--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -72,7 +72,7 @@
             "region back": f"{LIST} + node.zone_back * zones / regions",
             "all start cold": "0",
         },
-        "`platform_protocol/channel.py`, `logic.on_list`, `Hosts.list_told`",
+        "`platform_protocol/command_channel.py`, `logic.on_list`, `Hosts.list_told`",
     ),
     Line(
         "start, hand-over of own tasks",
@@ -83,7 +83,7 @@
     ),
 ]
 TRAFFIC = [
-    Line("heartbeats", "KB/s", "beat", carrier="`platform_protocol/channel.py`"),
+    Line("heartbeats", "KB/s", "beat", carrier="`platform_protocol/command_channel.py`"),
     Line(
         "list entries",
         "KB/s",
@@ -95,7 +95,7 @@
             "region back": "2 * starts * bytes.entry + hosts / regions * bytes.entry",
             "all start cold": "bytes.whole",
         },
-        "`platform_protocol/channel.py`; " + PART,
+        "`platform_protocol/command_channel.py`; " + PART,
     ),
     Line("looks (TCP/IP, no payload)", "KB/s", "looks.connections * knock", carrier=LOOKS),
     Line("notes", "KB/s", "hosts * note_s / allocators * bytes.note", carrier="protocol page"),
@@ -132,7 +132,7 @@
             "`node/process.py`",
         ),
         State("hosts, as the module knows them", "hosts", "memory.listed / hosts", "`logic.Node`"),
-        State("hosts, as the channel knows them", "hosts", "channel.held / hosts", "`platform_protocol/channel.py`"),
+        State("hosts, as the channel knows them", "hosts", "channel.held / hosts", "`platform_protocol/command_channel.py`"),
         State(
             "own tasks: calls, module, links",
             "tasks / allocators",
@@ -147,7 +147,7 @@
         ),
     ],
     "list service, its client": [
-        State("a whole list's line", "1", "bytes.whole", "`platform_protocol/channel.py`, at most 4 MiB"),
+        State("a whole list's line", "1", "bytes.whole", "`platform_protocol/command_channel.py`, at most 4 MiB"),
         State("machines that leave, remembered", "10000", "record", "`Channel.leaving`"),
     ],
     "agent side of a host": [
@@ -213,9 +213,9 @@
             "region back",
             "allocators * hosts / regions",
             "bytes.entry",
-            "`platform_protocol/channel.py`",
+            "`platform_protocol/command_channel.py`",
         ),
-        Flow("heartbeats", "allocators", "allocators", "-", "allocators", "beat", "`platform_protocol/channel.py`"),
+        Flow("heartbeats", "allocators", "allocators", "-", "allocators", "beat", "`platform_protocol/command_channel.py`"),
         Flow("whole lists", "0", "0", "all start cold", "allocators", "bytes.whole", "`Channel.resume`"),
     ],
     "agent side of a host": [
--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -225,7 +225,7 @@
 
 def channel(hosts: int, tasks: int, services: int, peers: int, seed: int) -> Figures:
     """The command channel's bytes to news: a whole list, a change of one, a heartbeat."""
-    from glencleat.platform_protocol.channel import Channel
+    from glencleat.platform_protocol.command_channel import Channel
 
     drawn = random.Random(seed)
     first = event(1, [entry(i) for i in range(hosts)], whole=True)
--- a/glencleat/node/hosts.py
+++ b/glencleat/node/hosts.py
@@ -23,16 +23,16 @@
 from glencleat.index.due import DueIndex
 from glencleat.index.turns import Turns
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.channel import Host, News, when
+from glencleat.platform_protocol.command_channel import Host, News, when
 from glencleat.platform_protocol.exchange import Attempt, Exchange
-from glencleat.platform_protocol.sending import SendOutcome
+from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop
 from glencleat.node import links
 from glencleat.node.life import NEVER, Do
 from glencleat.node.links import HostLinks, Link
 
 if TYPE_CHECKING:
-    from glencleat.platform_protocol.channel import Channel
+    from glencleat.platform_protocol.command_channel import Channel
     from glencleat.node.trace import Trace
 
 TICK_MS, LATE_MS = 200.0, 1_000.0  # between two ticks; one that comes so late tells of a standstill
--- a/glencleat/node/links.py
+++ b/glencleat/node/links.py
@@ -15,7 +15,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.fleet.connecting import Connecting
 from glencleat.platform_protocol.exchange import Attempt, Exchange
-from glencleat.platform_protocol.sending import SendOutcome
+from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
 from glencleat.node.life import Life
--- a/glencleat/node/process.py
+++ b/glencleat/node/process.py
@@ -20,10 +20,10 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import Descriptors
 from glencleat.fleet.asking import CHANNEL, Asking
-from glencleat.platform_protocol.channel import Channel, News, address
+from glencleat.platform_protocol.command_channel import Channel, News, address
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.platform_protocol.sending import SendOutcome
+from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop, Signals, Timer
 from glencleat.policy.scheduler import Scheduler
 from glencleat.node.draining import WINDOW_MS, Draining, Seen, State
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -22,12 +22,12 @@
 from glencleat.allocator.contract import Contract, Module
 from glencleat.allocator.telling import Telling
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol import vocabulary
-from glencleat.platform_protocol.channel import News
-from glencleat.platform_protocol.ends import Ends
-from glencleat.platform_protocol.sending import OUTCOMES, NEVER_RAN, SendOutcome, Seen, harmless, held_back, turn_holds
-from glencleat.platform_protocol.setups import BadSetup, Reader, Setup
-from glencleat.platform_protocol.vocabulary import AFTER, BEFORE, TOPICS
+from glencleat.platform_protocol import value_mapping
+from glencleat.platform_protocol.command_channel import News
+from glencleat.platform_protocol.ended_tasks import Ends
+from glencleat.platform_protocol.delivery import OUTCOMES, NEVER_RAN, SendOutcome, Seen, harmless, held_back, turn_holds
+from glencleat.platform_protocol.setup_requests import BadSetup, Reader, Setup
+from glencleat.platform_protocol.value_mapping import AFTER, BEFORE, TOPICS
 
 
 class State(Enum):
@@ -311,7 +311,7 @@
         """A whole message of a host; PeerError if it can't be read, before anything is changed."""
         if message.kind == m.TESTED:
             outcome = api.Outcome.ENDED if message.cause == 1 else api.Outcome.ERROR
-            report = vocabulary.report(message)
+            report = value_mapping.report(message)
             if self.tests.get(message.task) == host:
                 self._tested(message.task, outcome, report)
             return
@@ -325,7 +325,7 @@
             else:
                 self.late += 1  # after its time, a second time, or of nothing: the page says it means nothing
         elif message.kind == m.RELEASE:
-            cause, why, report = message.cause, vocabulary.why(message), vocabulary.report(message)
+            cause, why, report = message.cause, value_mapping.why(message), value_mapping.report(message)
             if attempt is not None and attempt.call.state is State.STANDS:
                 self.ends.heard(message.task, host, cause, True, self.ports.now())
                 self._back(attempt, AFTER.get(cause, api.Outcome.LOST), why, report)
--- a/tests/live.py
+++ b/tests/live.py
@@ -2,9 +2,9 @@
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.channel import Host, News
+from glencleat.platform_protocol.command_channel import Host, News
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.platform_protocol.sending import SendOutcome
+from glencleat.platform_protocol.delivery import SendOutcome
 from tests.fakes import Timing
 
 SAFE = api.TaskClass("safe", api.Effect.SAFE, 1000.0, 8000.0, 1.0)
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -9,7 +9,7 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, Descriptors
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.channel import Channel, Host, News
+from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import ConnectFailed, Loop, StreamClosed
 from glencleat.node import links
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -9,7 +9,7 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.ends import KEEP_MS
+from glencleat.platform_protocol.ended_tasks import KEEP_MS
 from glencleat.node import owners
 from tests.live import World as Virtual
 from tests.live import read, setup
--- a/tests/test_isup_exchange.py
+++ b/tests/test_isup_exchange.py
@@ -6,7 +6,7 @@
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.exchange import State
-from glencleat.platform_protocol.sending import OUTCOMES, SendOutcome
+from glencleat.platform_protocol.delivery import OUTCOMES, SendOutcome
 from tests.live import SETTINGS, Owner, World, machine, news, read
 
 PROOFS = {api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT}
--- a/tests/test_isup_messages.py
+++ b/tests/test_isup_messages.py
@@ -9,8 +9,8 @@
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.channel import TOLD_LATE_MS, Channel, when
-from glencleat.platform_protocol.setups import BadSetup, Reader
+from glencleat.platform_protocol.command_channel import TOLD_LATE_MS, Channel, when
+from glencleat.platform_protocol.setup_requests import BadSetup, Reader
 from tests.live import SETTINGS, read, setup
 
 PARAMETERS = st.dictionaries(st.integers(0, 255), st.binary(max_size=40), max_size=6)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 from glencleat.fleet.asking import Asking, Pace
 from glencleat.descriptor_budget import Side, Worth
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.channel import News
+from glencleat.platform_protocol.command_channel import News
 from glencleat.kernel import ConnectFailed, StreamClosed, streams
 from glencleat.node import feed, hosts, life, links, owners
 from tests.live import setup
