--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -171,7 +171,7 @@
         "a whole list, read and taken in", URGENT, "s", "channel.whole + module.whole", "`platform_protocol/command_channel.py`"
     ),
     Bound(
-        "ready after a start", 10.0, "s", "node.start + tasks / allocators * looks.adopt", "`node/process.py`"
+        "ready after a start", 10.0, "s", "node.start + tasks / allocators * looks.adopt", "`platform_server/process.py`"
     ),
 ]
 
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -38,9 +38,9 @@
         "heartbeats, sweep",
         "core",
         "node.idle",
-        carrier="`node/hosts.py`: a sweep at 0293f78, turns since",
+        carrier="`platform_server/hosts.py`: a sweep at 0293f78, turns since",
     ),
-    Line("looks at quiet hosts", "core", LOOK, carrier="`node/life.py`, `Hosts._again`"),
+    Line("looks at quiet hosts", "core", LOOK, carrier="`platform_server/life.py`, `Hosts._again`"),
     Line(
         "placements",
         "core",
@@ -79,7 +79,7 @@
         "core",
         "0",
         faults={"all start cold": "node.start + tasks / allocators * looks.adopt"},
-        carrier="`node/process.py`, `Exchange._adopt`",
+        carrier="`platform_server/process.py`, `Exchange._adopt`",
     ),
 ]
 TRAFFIC = [
@@ -129,7 +129,7 @@
             "program, libraries, a HostLinks for each host",
             "1",
             "node.resident - memory.listed - channel.held",
-            "`node/process.py`",
+            "`platform_server/process.py`",
         ),
         State("hosts, as the module knows them", "hosts", "memory.listed / hosts", "`logic.Node`"),
         State("hosts, as the channel knows them", "hosts", "channel.held / hosts", "`platform_protocol/command_channel.py`"),
@@ -239,7 +239,7 @@
             "zone lost",
             "starts + tasks / zones",
             "bytes.ask",
-            "`node/owners.py`",
+            "`platform_server/owners.py`",
         ),
         Flow(
             "answers",
--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -196,7 +196,7 @@
 
 def memory(hosts: int, tasks: int, services: int, peers: int, seed: int) -> Figures:
     """Resident bytes of the module, and what its list and tasks add."""
-    import glencleat.node.process  # noqa: F401 - the base is the program's, not the module's alone
+    import glencleat.platform_server.process  # noqa: F401 - the base is the program's, not the module's alone
 
     base = resident()
     world = Module(hosts, tasks, services, peers, seed)
--- a/glencleat/__main__.py
+++ b/glencleat/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 if sys.argv[1:] == ["node"]:
-    from glencleat.node.process import main as node
+    from glencleat.platform_server.process import main as node
 
     sys.exit(node())
 
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -75,7 +75,7 @@
 @main.command()
 def node() -> None:
     """Run one allocator on the operators' platform, by the file that ROUTER_CONFIG names, until SIGTERM."""
-    from glencleat.node.process import main as run
+    from glencleat.platform_server.process import main as run
 
     sys.exit(run())
 
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -1,6 +1,6 @@
 """Owners' and hosts' messages, the module between them: calls, attempts and tasks that stand.
 
-Imports messages, set-ups, `allocator.contract` and the interface. `glencleat/node/` tells what passed on its
+Imports messages, set-ups, `allocator.contract` and the interface. `glencleat/platform_server/` tells what passed on its
 links and does what Ports says; time is an argument. The only place of the live path that knows the module.
 
     state    begins with             ends with
--- a/glencleat/node/hosts.py
+++ b/glencleat/platform_server/hosts.py
@@ -27,13 +27,13 @@
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop
-from glencleat.node import links
-from glencleat.node.life import NEVER, Do
-from glencleat.node.links import HostLinks, Link
+from glencleat.platform_server import links
+from glencleat.platform_server.life import NEVER, Do
+from glencleat.platform_server.links import HostLinks, Link
 
 if TYPE_CHECKING:
     from glencleat.platform_protocol.command_channel import Channel
-    from glencleat.node.trace import Trace
+    from glencleat.platform_server.trace import Trace
 
 TICK_MS, LATE_MS = 200.0, 1_000.0  # between two ticks; one that comes so late tells of a standstill
 PER_HOST = 8  # links: one open set-up each where there is room, since one bad byte costs all on its link
--- a/glencleat/node/owners.py
+++ b/glencleat/platform_server/owners.py
@@ -17,7 +17,7 @@
 from glencleat.kernel.loop import Coroutine
 
 if TYPE_CHECKING:
-    from glencleat.node.trace import Trace
+    from glencleat.platform_server.trace import Trace
 
 SWEEP_MS = 250.0
 SPEAK_MS = 2_000.0  # for the first whole message, and for each one begun
--- a/glencleat/node/process.py
+++ b/glencleat/platform_server/process.py
@@ -26,11 +26,11 @@
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop, Signals, Timer
 from glencleat.policy.scheduler import Scheduler
-from glencleat.node.draining import WINDOW_MS, Draining, Seen, State
-from glencleat.node.feed import Feed
-from glencleat.node.hosts import Hosts
-from glencleat.node.log import Log
-from glencleat.node.owners import Owners
+from glencleat.platform_server.draining import WINDOW_MS, Draining, Seen, State
+from glencleat.platform_server.feed import Feed
+from glencleat.platform_server.hosts import Hosts
+from glencleat.platform_server.log import Log
+from glencleat.platform_server.owners import Owners
 from glencleat.platform_settings import read_settings
 
 LOOK_MS = 10.0  # between two looks whether all is answered
@@ -118,7 +118,7 @@
         return bool(self.channel.hosts) or self.loop.now() - self.started > READY_MS
 
     def _trace(self) -> None:
-        from glencleat.node.trace import Trace
+        from glencleat.platform_server.trace import Trace
 
         line, contract = Log("trace", most=1 << 30, width=500), self.exchange.contract
         contract.module = trace = Trace(contract.module, self.exchange.calls, line)
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -1,4 +1,4 @@
-"""`node/hosts.py` with its exchange on a clock of their own: no sockets, and hosts that do as a script says.
+"""`platform_server/hosts.py` with its exchange on a clock of their own: no sockets, and hosts that do as a script says.
 
 Everything that passes between them is written down, so that two ways to do the work can be set side by side."""
 
@@ -12,8 +12,8 @@
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import ConnectFailed, Loop, StreamClosed
-from glencleat.node import links
-from glencleat.node.hosts import Hosts
+from glencleat.platform_server import links
+from glencleat.platform_server.hosts import Hosts
 from tests.live import SETTINGS, Owner, read, setup
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,7 +9,7 @@
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import Listener, Loop, StreamClosed
-from glencleat.node import hosts, owners
+from glencleat.platform_server import hosts, owners
 from tests.live import SETTINGS, Script, setup
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,7 +6,7 @@
 import pytest
 
 from glencleat.fleet.asking import CHANNEL, HOST, LIST, Asking, Pace
-from glencleat.node import feed
+from glencleat.platform_server import feed
 
 
 def crowd(count, until_ms, down=lambda at: True, lasted=0.0, pace=LIST):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,7 +10,7 @@
 from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.ended_tasks import KEEP_MS
-from glencleat.node import owners
+from glencleat.platform_server import owners
 from tests.live import World as Virtual
 from tests.live import read, setup
 from tests.sockets import Peer, World, cancel, kinds, linked, settled, stands
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -104,7 +104,7 @@
 
 def test_run_imports_nothing_that_the_page_refuses():
     """No fronts, stand-ins or tools; nothing that forks, splices or has a loop of its own."""
-    code = "import sys, glencleat.node.process; print('\\n'.join(sys.modules))"
+    code = "import sys, glencleat.platform_server.process; print('\\n'.join(sys.modules))"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     loaded = set(done.stdout.split())
     refused = {"asyncio", "subprocess", "multiprocessing", "concurrent.futures", "ssl", "pydantic", "structlog",
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from glencleat.node import draining
+from glencleat.platform_server import draining
 
 
 def test_every_order_of_signals_and_looks_ends_in_order():
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -3,7 +3,7 @@
 import pytest
 
 from glencleat.fleet.asking import Asking, Pace
-from glencleat.node import feed
+from glencleat.platform_server import feed
 from tests.test_node import Tower, list_event
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import News
 from glencleat.kernel import ConnectFailed, StreamClosed, streams
-from glencleat.node import feed, hosts, life, links, owners
+from glencleat.platform_server import feed, hosts, life, links, owners
 from tests.live import setup
 from tests.sockets import Peer, kinds, stands
 
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -15,8 +15,8 @@
 
 from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop
-from glencleat.node.draining import WINDOW_MS
-from glencleat.node.process import READY_MS, Process, load
+from glencleat.platform_server.draining import WINDOW_MS
+from glencleat.platform_server.process import READY_MS, Process, load
 from tests.live import setup
 
 SETTINGS = {
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,7 +14,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_protocol.delivery import SendOutcome, Seen, harmless, held_back, turn_holds
-from glencleat.node import feed, owners
+from glencleat.platform_server import feed, owners
 from tests.live import KEYED, SAFE, SETTINGS, UNSAFE, setup
 from tests.live import World as Virtual
 from tests.sockets import Peer, cancel, kinds, linked, sent, settled, stands
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -13,7 +13,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop
 from glencleat.kernel.loop import EpollPoller
-from glencleat.node.process import Process, load
+from glencleat.platform_server.process import Process, load
 from glencleat.scale.hosts import listen_on_loopback
 from glencleat.standins.channel import entry
 from glencleat.standins.processes import SETTINGS
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -7,8 +7,8 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand
 from glencleat.platform_protocol import messages as m
-from glencleat.node import hosts, life
-from glencleat.node.hosts import Hosts
+from glencleat.platform_server import hosts, life
+from glencleat.platform_server.hosts import Hosts
 from tests.quiet import World
 
 STREAMS, BATCH, STEPS = 240, 12, 140
