--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -38,9 +38,9 @@
         "heartbeats, sweep",
         "core",
         "node.idle",
-        carrier="`platform_server/hosts.py`: a sweep at 0293f78, turns since",
+        carrier="`platform_server/connection_pool.py`: a sweep at 0293f78, turns since",
     ),
-    Line("looks at quiet hosts", "core", LOOK, carrier="`platform_server/life.py`, `Hosts._again`"),
+    Line("looks at quiet hosts", "core", LOOK, carrier="`platform_server/failure_detector.py`, `Hosts._again`"),
     Line(
         "placements",
         "core",
@@ -239,7 +239,7 @@
             "zone lost",
             "starts + tasks / zones",
             "bytes.ask",
-            "`platform_server/owners.py`",
+            "`platform_server/client_connections.py`",
         ),
         Flow(
             "answers",
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -4,7 +4,7 @@
     python -m benchmarks.due_index node [--base TREE]
     python -m benchmarks.due_index looks [--base TREE]
 
-`index` drives each structure as `platform_server/hosts.py` does: ticks of 200 ms, hosts with standing tasks that are due
+`index` drives each structure as `platform_server/connection_pool.py` does: ticks of 200 ms, hosts with standing tasks that are due
 every second and are put off about twice in between. `node` and `looks` start real processes, one at a time, of
 this tree and of an earlier version's; CPU is theirs alone, as the system counts it."""
 
--- a/glencleat/platform_server/hosts.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -27,9 +27,9 @@
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop
-from glencleat.platform_server import links
-from glencleat.platform_server.life import NEVER, Do
-from glencleat.platform_server.links import HostLinks, Link
+from glencleat.platform_server import host_connections
+from glencleat.platform_server.failure_detector import NEVER, Do
+from glencleat.platform_server.host_connections import HostLinks, Link
 
 if TYPE_CHECKING:
     from glencleat.platform_protocol.command_channel import Channel
@@ -439,7 +439,7 @@
             if not (link.visit or (stands and host.draining)):
                 due = min(due, link.used + self.idle_ms)
             if self.descriptors.filed.get(link) is Worth.LISTENING:
-                due = min(due, link.since + links.VISIT_MS)
+                due = min(due, link.since + host_connections.VISIT_MS)
         return due
 
     def _check(self, now: float) -> None:
--- a/glencleat/platform_server/links.py
+++ b/glencleat/platform_server/host_connections.py
@@ -1,6 +1,6 @@
 """One link to a host, and what is kept of a host: connections by host id, what of a set-up left.
 
-Imports the kernel, `isup`, `descriptors`, `life`; `platform_server/hosts.py` makes them. A link tells facts and names
+Imports the kernel, `isup`, `descriptors`, `life`; `platform_server/connection_pool.py` makes them. A link tells facts and names
 no outcome."""
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
-from glencleat.platform_server.life import Life
+from glencleat.platform_server.failure_detector import Life
 
 if TYPE_CHECKING:
     from glencleat.platform_server.trace import Trace
@@ -29,7 +29,7 @@
 
 
 class Keeper(Protocol):
-    """What links need of who makes them; `platform_server/hosts.py` is it."""
+    """What links need of who makes them; `platform_server/connection_pool.py` is it."""
 
     loop: Loop
     connecting: Connecting
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -26,11 +26,11 @@
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import Loop, Signals, Timer
 from glencleat.policy.scheduler import Scheduler
-from glencleat.platform_server.draining import WINDOW_MS, Draining, Seen, State
-from glencleat.platform_server.feed import Feed
-from glencleat.platform_server.hosts import Hosts
-from glencleat.platform_server.log import Log
-from glencleat.platform_server.owners import Owners
+from glencleat.platform_server.graceful_shutdown import WINDOW_MS, Draining, Seen, State
+from glencleat.platform_server.watch_client import Feed
+from glencleat.platform_server.connection_pool import Hosts
+from glencleat.platform_server.rate_limited_log import Log
+from glencleat.platform_server.client_connections import Owners
 from glencleat.platform_settings import read_settings
 
 LOOK_MS = 10.0  # between two looks whether all is answered
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -1,4 +1,4 @@
-"""`platform_server/hosts.py` with its exchange on a clock of their own: no sockets, and hosts that do as a script says.
+"""`platform_server/connection_pool.py` with its exchange on a clock of their own: no sockets, and hosts that do as a script says.
 
 Everything that passes between them is written down, so that two ways to do the work can be set side by side."""
 
@@ -12,8 +12,8 @@
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import ConnectFailed, Loop, StreamClosed
-from glencleat.platform_server import links
-from glencleat.platform_server.hosts import Hosts
+from glencleat.platform_server import host_connections
+from glencleat.platform_server.connection_pool import Hosts
 from tests.live import SETTINGS, Owner, read, setup
 
 
@@ -205,7 +205,7 @@
         self.offer, self.cancel, self.unread = self.hosts.offer, self.hosts.cancel, self.hosts.unread
         self.cut, self.test = self.hosts.cut, self.hosts.test
         if patch is not None:
-            patch.setattr(links, "connect", lambda loop, address, ms: self.connect(address, ms))
+            patch.setattr(host_connections, "connect", lambda loop, address, ms: self.connect(address, ms))
 
     def note(self, *what):
         self.counts[what[0]] += 1
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -9,7 +9,7 @@
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.kernel import Listener, Loop, StreamClosed
-from glencleat.platform_server import hosts, owners
+from glencleat.platform_server import connection_pool, client_connections
 from tests.live import SETTINGS, Script, setup
 
 
@@ -60,10 +60,10 @@
         self.loop, self.module, self.logs = Loop(), Script(), []
         self.channel = Channel(self.loop.clock.wall() - self.loop.now())
         self.descriptors = Descriptors(room + ASIDE)
-        self.hosts = hosts.Hosts(
+        self.hosts = connection_pool.Hosts(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), self.logs.append
         )
-        self.owners = owners.Owners(self.loop, self.descriptors, self.logs.append)
+        self.owners = client_connections.Owners(self.loop, self.descriptors, self.logs.append)
         self.now, self.call_in, self.log = self.loop.now, self.loop.call_in, self.logs.append
         self.exchange = Exchange(SETTINGS, self.module, self, 250.0)
         self.hosts.exchange = self.owners.exchange = self.exchange
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,7 +6,7 @@
 import pytest
 
 from glencleat.fleet.asking import CHANNEL, HOST, LIST, Asking, Pace
-from glencleat.platform_server import feed
+from glencleat.platform_server import watch_client
 
 
 def crowd(count, until_ms, down=lambda at: True, lasted=0.0, pace=LIST):
@@ -78,6 +78,6 @@
 
 def test_a_list_that_is_well_again_is_had_within_the_shortest_grace():
     """What the channel tells counts as told at once: the longest wait, and a try that came just before."""
-    assert CHANNEL.most_ms + feed.CONNECT_MS <= 2_000.0
+    assert CHANNEL.most_ms + watch_client.CONNECT_MS <= 2_000.0
     waits = [Asking(CHANNEL, Random(seed)) for seed in range(200)]
     assert max(asking.again() for asking in waits for _ in range(20)) <= CHANNEL.most_ms
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,7 +10,7 @@
 from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.ended_tasks import KEEP_MS
-from glencleat.platform_server import owners
+from glencleat.platform_server import client_connections
 from tests.live import World as Virtual
 from tests.live import read, setup
 from tests.sockets import Peer, World, cancel, kinds, linked, settled, stands
@@ -89,7 +89,7 @@
 
 def test_a_set_up_that_lies_unread_keeps_its_connection(world, monkeypatch):
     """Held: the sweep comes before the reader, as after a standstill."""
-    monkeypatch.setattr(owners, "SPEAK_MS", -1.0)
+    monkeypatch.setattr(client_connections, "SPEAK_MS", -1.0)
     sock = world.client()
     world.until(lambda: world.owners.owners)
     (owner,) = world.owners.owners
@@ -124,14 +124,14 @@
     world.descriptors.file(first)
     assert world.descriptors.make_room(Demand.OWNER)
     assert first.stream.closed is None and second.stream.closed is not None
-    monkeypatch.setattr(owners, "READS_MS", -1.0)
+    monkeypatch.setattr(client_connections, "READS_MS", -1.0)
     world.owners._sweep()
     assert first.stream.closed == "it reads nothing" and clients
 
 
 def test_one_that_drips_a_message_is_closed_in_time(world, monkeypatch):
-    monkeypatch.setattr(owners, "SPEAK_MS", 100.0)
-    monkeypatch.setattr(owners, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(client_connections, "SPEAK_MS", 100.0)
+    monkeypatch.setattr(client_connections, "SWEEP_MS", 10.0)
     world.owners._sweep()
     sock = world.client()
     sock.send(m.encode(m.TEST, 1))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -3,13 +3,13 @@
 import pytest
 
 from glencleat.fleet.asking import Asking, Pace
-from glencleat.platform_server import feed
+from glencleat.platform_server import watch_client
 from tests.test_node import Tower, list_event
 
 
 def follow(world, pace, script):
     tower, told = Tower(world.loop, script), []
-    made = feed.Feed(
+    made = watch_client.Feed(
         world.loop,
         world.channel,
         Asking(pace, world.hosts.random),
@@ -21,7 +21,7 @@
 
 
 def test_a_channel_that_drips_half_a_line_is_silent(world, monkeypatch):
-    monkeypatch.setattr(feed, "SILENT_MS", 120.0)
+    monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
     tower, told, _ = follow(world, Pace(1.0, 1.0, 9e9), lambda n: list_event(1) if n == 1 else list_event(2))
     world.until(lambda: told)
 
@@ -35,8 +35,8 @@
 
 
 def test_a_long_list_that_comes_slowly_is_not_silent(world, monkeypatch):
-    monkeypatch.setattr(feed, "SILENT_MS", 120.0)
-    monkeypatch.setattr(feed, "PROGRESS", 100)
+    monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
+    monkeypatch.setattr(watch_client, "PROGRESS", 100)
     tower, told, made = follow(world, Pace(1.0, 1.0, 9e9), lambda n: b" " * 64)
 
     def more(left=40):
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.platform_server.life import NEVER, NEVER_UP_MS, Do, Life
+from glencleat.platform_server.failure_detector import NEVER, NEVER_UP_MS, Do, Life
 
 SWEEP_MS, STEP_MS, TRY_MS, CONNECT_MS, TOLD_MS = 200.0, 1_000.0, 1_000.0, 250.0, 8_000.0
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import News
 from glencleat.kernel import ConnectFailed, StreamClosed, streams
-from glencleat.platform_server import feed, hosts, life, links, owners
+from glencleat.platform_server import watch_client, connection_pool, failure_detector, host_connections, client_connections
 from tests.live import setup
 from tests.sockets import Peer, kinds, stands
 
@@ -93,7 +93,7 @@
 
 def cut_off(monkeypatch):
     """No connection comes up while the list's one entry is true; those that are up stay, and say nothing."""
-    real, cut = links.connect, [True]
+    real, cut = host_connections.connect, [True]
 
     def connect(loop, address, timeout_ms):
         if cut[0]:
@@ -101,13 +101,13 @@
             raise ConnectFailed(address, errno.ETIMEDOUT)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(links, "connect", connect)
+    monkeypatch.setattr(host_connections, "connect", connect)
     return cut
 
 
 def test_nothing_is_sent_on_a_link_left_over_from_before_a_cut(world, monkeypatch):
     """It takes the bytes and keeps silent: a time-out, after which an unsafe task may not be tried again."""
-    monkeypatch.setattr(life, "QUIET_MS", 20.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     world.hosts.connect_ms = 10.0
     (peer,), owner = standing(world, 1)
     cut_off(monkeypatch)
@@ -125,8 +125,8 @@
 
 def test_the_module_is_told_of_hosts_that_looks_do_not_reach(world, monkeypatch):
     """And when one is heard again, if only on a link from before."""
-    monkeypatch.setattr(life, "QUIET_MS", 20.0)
-    monkeypatch.setattr(hosts, "TICK_MS", 20.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
+    monkeypatch.setattr(connection_pool, "TICK_MS", 20.0)
     world.hosts.connect_ms = 10.0
     (peer,), _ = standing(world, 1)
     told = lambda: [(e.machine, e.up) for e in world.module.events if isinstance(e, api.Reached)]  # noqa: E731
@@ -146,9 +146,9 @@
 @pytest.mark.parametrize("heals", [True, False])
 def test_a_cut_ends_what_stands_only_when_its_release_is_nearly_due(world, monkeypatch, heals):
     """3.5 s of failed connections ended thousands of tasks that ran on behind a cut of 6 s."""
-    monkeypatch.setattr(hosts, "TICK_MS", 5.0)
+    monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
     for name, ms in (("QUIET_MS", 20.0), ("NEVER_UP_MS", 900.0)):
-        monkeypatch.setattr(life, name, ms)
+        monkeypatch.setattr(failure_detector, name, ms)
     (peer,), _ = standing(world, 1)
     cut, host = cut_off(monkeypatch), world.hosts.hosts["h0"]
     heard = host.heard
@@ -233,7 +233,7 @@
     world.until(lambda: len(world.exchange.standing.get("h1", ())) == 2)
     world.list(("h1", peer.address), phase=api.Phase.DRAINING)
     peer.die()
-    assert world.back(2, ms=0.6 * life.DRAIN_REFUSED_MS) == [api.Outcome.LOST] * 2
+    assert world.back(2, ms=0.6 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST] * 2
 
 
 @pytest.mark.parametrize("idle", [False, True])
@@ -259,8 +259,8 @@
     """A draining one answered tests for 5 s without the releases of tasks that ended, which are due 8 s after.
 
     Nor is it asked: that had a price, and told nothing that the list and the links don't."""
-    monkeypatch.setattr(life, "QUIET_MS", 50.0)
-    monkeypatch.setattr(life, "NEVER_UP_MS", 600.0 if "nothing" not in says else 60_000.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 50.0)
+    monkeypatch.setattr(failure_detector, "NEVER_UP_MS", 600.0 if "nothing" not in says else 60_000.0)
 
     words = {"notes": m.encode(m.NOTE, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
              "tests passed": m.caused(m.TESTED, 9, 0)}  # fmt: skip
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("how", ["replaced", "restarted", "unlisted"])
 def test_what_the_list_says_of_a_hosts_end(world, monkeypatch, how):
-    monkeypatch.setattr(life, "UNLISTED_MS", 50.0)
+    monkeypatch.setattr(failure_detector, "UNLISTED_MS", 50.0)
     peer, owner = Peer(world.loop, stands), world.client()
     name = "h9" if how == "unlisted" else "h1"
     world.list(("h1", peer.address))
@@ -343,7 +343,7 @@
 @pytest.mark.parametrize("moved", ["elsewhere", "replaced"])
 def test_what_still_comes_up_at_an_address_given_away_carries_nothing(world, monkeypatch, moved):
     """It would bring a set-up for one host to the one that has its address now."""
-    held, begun, real = [True], [], links.connect
+    held, begun, real = [True], [], host_connections.connect
 
     def connect(loop, address, timeout_ms):
         begun.append(address)
@@ -351,7 +351,7 @@
             yield from loop.sleep(1.0)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(links, "connect", connect)
+    monkeypatch.setattr(host_connections, "connect", connect)
     peer, other, owner = Peer(world.loop, stands), Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1, timeout=3_000.0)
@@ -454,7 +454,7 @@
 
 def test_a_host_that_takes_connections_and_ends_them_is_asked_in_growing_steps(world, monkeypatch):
     """With a task there, each link that broke was opened again at once: some thousand times a second."""
-    monkeypatch.setattr(hosts, "TICK_MS", 5.0)
+    monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
     (peer,), owner = standing(world, 1)
     taken, real = [], peer.listener.accept
 
@@ -492,14 +492,14 @@
     monkeypatch.setattr(connecting, "LEAST_COMING", 2)
     peers, owner = [Peer(world.loop, stands) for _ in range(6)], world.client()
     world.list(*((f"h{i}", peer.address) for i, peer in enumerate(peers)))
-    real, most = links.connect, []
+    real, most = host_connections.connect, []
 
     def connect(loop, address, timeout_ms):
         most.append(world.hosts.connecting.coming)
         yield from loop.sleep(20.0)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(links, "connect", connect)
+    monkeypatch.setattr(host_connections, "connect", connect)
     for i in range(6):
         world.ask(owner, i + 1, host=f"h{i}")
     world.until(lambda: sum(map(len, world.exchange.standing.values())) == 6)
@@ -508,7 +508,7 @@
 
 
 def test_the_line_is_bounded(world, monkeypatch):
-    monkeypatch.setattr(hosts, "MOST_WAITING", 1)
+    monkeypatch.setattr(connection_pool, "MOST_WAITING", 1)
     peer, owner = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.until(lambda: world.owners.owners)
@@ -533,9 +533,9 @@
 
 def test_more_hosts_than_descriptors_take_turns(world, monkeypatch):
     """Every release is heard, though two links serve six hosts."""
-    monkeypatch.setattr(hosts, "TICK_MS", 10.0)
-    monkeypatch.setattr(life, "HEAR_MS", 100.0)
-    monkeypatch.setattr(links, "VISIT_MS", 20.0)
+    monkeypatch.setattr(connection_pool, "TICK_MS", 10.0)
+    monkeypatch.setattr(failure_detector, "HEAR_MS", 100.0)
+    monkeypatch.setattr(host_connections, "VISIT_MS", 20.0)
     world.descriptors.room, world.descriptors.rights = 3, {Side.OWNERS: 1, Side.LINKS: 2}
     peers, owner = standing(world, 6)
     owed = {}
@@ -559,7 +559,7 @@
 
 def test_a_life_test_leaves_one_link(world, monkeypatch):
     """A quiet host is tried by a new connection each time; they were kept until nothing was free."""
-    monkeypatch.setattr(life, "QUIET_MS", 30.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 30.0)
     (peer,), _ = standing(world, 1)
     (first,) = live(world)
     world.until(lambda: len(peer.streams) >= 4)
@@ -569,7 +569,7 @@
 
 def test_a_visit_ends_only_when_the_next_is_opened(world, monkeypatch):
     """A release cut off with it comes again on the next one; a host that drains meanwhile takes none."""
-    monkeypatch.setattr(life, "QUIET_MS", 20.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     (peer,), _ = standing(world, 1)
     world.until(lambda: len(live(world)) == 2)
     host = world.hosts.hosts["h0"]
@@ -582,7 +582,7 @@
 
 def test_a_visit_goes_before_the_link_it_is_beside_and_with_the_last_task(world, monkeypatch):
     """The link that carries set-ups is paid for; closed in its place it was opened, and paid for, again."""
-    monkeypatch.setattr(life, "QUIET_MS", 20.0)
+    monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     (peer,), owner = standing(world, 1)
     (first,) = live(world)
     world.until(lambda: len(live(world)) == 2)
@@ -607,7 +607,7 @@
 
 
 def test_a_host_that_never_closes_a_link_that_we_end(world, monkeypatch):
-    monkeypatch.setattr(links, "LEAVE_MS", 30.0)
+    monkeypatch.setattr(host_connections, "LEAVE_MS", 30.0)
     (peer,), _ = standing(world, 1)
     peer.serve = lambda stream: iter(())
     (link,) = live(world)
@@ -648,14 +648,14 @@
 
 def test_a_host_whose_link_we_gave_up_may_have_begun_to_drain(world, monkeypatch):
     """The list may not tell it yet, and it refuses new connections while its tasks run."""
-    monkeypatch.setattr(life, "HEAR_MS", 50.0)
+    monkeypatch.setattr(failure_detector, "HEAR_MS", 50.0)
     (peer,), _ = standing(world, 1)
     live(world)[0].give_up()
     peer.listener.close()
     host = world.hosts.hosts["h0"]
-    world.until(lambda: host.refused < world.loop.now() - 5.0 * life.REFUSED_MS)
+    world.until(lambda: host.refused < world.loop.now() - 5.0 * failure_detector.REFUSED_MS)
     assert "h0" in world.exchange.standing
-    assert world.back(ms=2.0 * life.DRAIN_REFUSED_MS) == [api.Outcome.LOST]
+    assert world.back(ms=2.0 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST]
 
 
 def test_the_last_owner_that_releases_can_go_by_stays(world):
@@ -670,7 +670,7 @@
 
 
 def test_a_further_link_goes_once_it_is_not_needed(world, monkeypatch):
-    monkeypatch.setattr(hosts, "SURPLUS_MS", 50.0)
+    monkeypatch.setattr(connection_pool, "SURPLUS_MS", 50.0)
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h0", peer.address))
     held = []
@@ -730,17 +730,17 @@
 
 @pytest.mark.parametrize("data", [b"", setup(1)[:20]], ids=["silent", "half a message"])
 def test_who_says_nothing_whole_is_closed_in_time(world, monkeypatch, data):
-    monkeypatch.setattr(owners, "SPEAK_MS", 60.0)
+    monkeypatch.setattr(client_connections, "SPEAK_MS", 60.0)
     bad = world.client()
     bad.send(data)
-    assert world.says(bad) == b"" and owners.SPEAK_MS < 3_000.0
+    assert world.says(bad) == b"" and client_connections.SPEAK_MS < 3_000.0
 
 
 def test_the_same_again_after_each_refusal_ends(world):
     bad = world.client()
-    for i in range(owners.MOST_BAD + 1):
+    for i in range(client_connections.MOST_BAD + 1):
         bad.send(setup(i + 1, cls="nope"))
-    world.until(lambda: world.exchange.bad > owners.MOST_BAD and not world.owners.owners)
+    world.until(lambda: world.exchange.bad > client_connections.MOST_BAD and not world.owners.owners)
     assert world.module.events == []
 
 
@@ -756,7 +756,7 @@
         original(owner, message, at),
     )
     world.until(lambda: m.TEST in seen)
-    assert len(seen) <= 3 * owners.TURN
+    assert len(seen) <= 3 * client_connections.TURN
 
 
 def test_one_that_sends_long_messages_faster_than_we_read_takes_turns_too(world):
@@ -890,10 +890,10 @@
 
 @pytest.mark.parametrize("trouble", ["breaks", "silent", "noise"])
 def test_the_feed_asks_again_from_where_it_was(world, monkeypatch, trouble):
-    monkeypatch.setattr(feed, "SILENT_MS", 120.0)
+    monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
     second = {"noise": b"{{\n"}.get(trouble, list_event(2)[:30])
     tower, told = Tower(world.loop, lambda n: list_event(1) + second if n == 1 else list_event(2)), []
-    feed.Feed(world.loop, world.channel, asking(), tower.address, told.append, world.logs.append)
+    watch_client.Feed(world.loop, world.channel, asking(), tower.address, told.append, world.logs.append)
     world.until(lambda: told)
     if trouble == "breaks":
         tower.streams[0].close()
@@ -907,7 +907,7 @@
 def test_the_feed_moves_and_the_numbers_go_on(world):
     old, new = (Tower(world.loop, lambda n, c=c: list_event(c)) for c in (1, 2))
     told = []
-    made = feed.Feed(world.loop, world.channel, asking(), old.address, told.append, world.logs.append)
+    made = watch_client.Feed(world.loop, world.channel, asking(), old.address, told.append, world.logs.append)
     world.until(lambda: told)
     made.move(new.address)
     world.until(lambda: len(told) == 2)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -15,7 +15,7 @@
 
 from glencleat.platform_protocol import messages as m
 from glencleat.kernel import Loop
-from glencleat.platform_server.draining import WINDOW_MS
+from glencleat.platform_server.graceful_shutdown import WINDOW_MS
 from glencleat.platform_server.process import READY_MS, Process, load
 from tests.live import setup
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,7 +14,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_protocol.delivery import SendOutcome, Seen, harmless, held_back, turn_holds
-from glencleat.platform_server import feed, owners
+from glencleat.platform_server import watch_client, client_connections
 from tests.live import KEYED, SAFE, SETTINGS, UNSAFE, setup
 from tests.live import World as Virtual
 from tests.sockets import Peer, cancel, kinds, linked, sent, settled, stands
@@ -125,7 +125,7 @@
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
     last = world.client()
-    last.send(b"".join(m.encode(m.PROGRESS, n) for n in range(3 * owners.TURN)) + cancel(1))
+    last.send(b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.TURN)) + cancel(1))
     last.close()
     settled(world)
     assert m.RELEASE in kinds(peer) and not world.exchange.standing
@@ -273,7 +273,7 @@
     drain = {"cursor": 1, "nodes": {"instances": [{**entry, "lifecycle": "DRAINING"}]}}
     tower = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
     asking = Asking(Pace(1.0, 1.0, 9e9), world.hosts.random)
-    feed.Feed(world.loop, world.channel, asking, tower.address, world.hosts.list_told, world.logs.append)
+    watch_client.Feed(world.loop, world.channel, asking, tower.address, world.hosts.list_told, world.logs.append)
     world.until(lambda: tower.got)
     sock.send(setup(1))  # the module holds it
     world.until(lambda: len(world.told(api.Asked)) == 2)
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -7,8 +7,8 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_server import hosts, life
-from glencleat.platform_server.hosts import Hosts
+from glencleat.platform_server import connection_pool, failure_detector
+from glencleat.platform_server.connection_pool import Hosts
 from tests.quiet import World
 
 STREAMS, BATCH, STEPS = 240, 12, 140
@@ -18,9 +18,9 @@
     """The plain way, which the program went until hosts were looked at when due: all of them in each tick."""
 
     def _tick(self):
-        self.loop.call_in(hosts.TICK_MS, self._tick)
+        self.loop.call_in(connection_pool.TICK_MS, self._tick)
         now = self.loop.now()
-        late, self.ticked = now - self.ticked > hosts.LATE_MS, now
+        late, self.ticked = now - self.ticked > connection_pool.LATE_MS, now
         if late:
             return
         self._freed()
@@ -210,7 +210,7 @@
 def test_hosts_with_tasks_cost_the_same_among_four_times_as_many(monkeypatch):
     small, large = (looked(many(count, monkeypatch, tasks=20)[0], 10_000.0) for count in (100, 400))
     assert small == large
-    looks = 10_000.0 / life.QUIET_MS
+    looks = 10_000.0 / failure_detector.QUIET_MS
     assert 20 * looks * 0.7 < small[0] < 20 * looks * 4.0  # as each is due, comes up, and ends the one before
 
 
