--- a/glencleat/fronts/kept_list.py
+++ b/glencleat/fronts/kept_list.py
@@ -1,4 +1,4 @@
-"""Keeps the machine list in a file (`fleet/kept.py`), and takes it from there at a start.
+"""Keeps the machine list in a file (`flow_control/kept.py`), and takes it from there at a start.
 
 A change of phase is written before the module hears of it; the whole file anew now and then, by a rename. No
 fsync: it outlives the process, not the machine. What can't be written makes the file untrue; it goes."""
@@ -13,7 +13,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
-from glencleat.fleet import kept
+from glencleat.flow_control import kept
 from glencleat.kernel import Loop
 
 ANEW_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -7,8 +7,8 @@
 import pytest
 
 from glencleat.check.bounds import busiest
-from glencleat.fleet.asking import HOST, Asking
-from glencleat.fleet.connecting import AT_ONE, BURST_S, LEAST_COMING, LEAST_RATE, Connecting, look_ms
+from glencleat.flow_control.asking import HOST, Asking
+from glencleat.flow_control.connecting import AT_ONE, BURST_S, LEAST_COMING, LEAST_RATE, Connecting, look_ms
 
 HOSTS = 400
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -4,7 +4,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
-from glencleat.fleet import kept
+from glencleat.flow_control import kept
 from glencleat.fronts.kept_list import ANEW_MS, KeptList
 from tests.fakes import Timing
 from tests.world import World
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,8 +8,8 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.fleet import connecting
-from glencleat.fleet.asking import Asking, Pace
+from glencleat.flow_control import connecting
+from glencleat.flow_control.asking import Asking, Pace
 from glencleat.descriptor_budget import Side, Worth
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import News
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,7 +8,7 @@
 
 from glencleat import interface as api
 from glencleat.cli.main import main
-from glencleat.fleet import kept
+from glencleat.flow_control import kept
 from glencleat.scale import report
 
 ROOT = Path(__file__).parent.parent
