--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.cold_model --counts 100,300,1000,10000 --served 100,500,2000
 
-Each allocator asks by `flow_control/asking.py`; one that is turned away costs the service a connection and no more.
+Each allocator asks by `flow_control/backoff.py`; one that is turned away costs the service a connection and no more.
 Beside it the fixed steps of 100 ms that came before."""
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from glencleat.flow_control.asking import LIST, Asking
+from glencleat.flow_control.backoff import LIST, Asking
 
 DOWN_MS, SLOT_MS, FIXED_MS, MOST_MS = 10_000.0, 100.0, 100.0, 120_000.0
 
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -15,7 +15,7 @@
 from glencleat.allocator.core import Core
 from glencleat.allocator.options import Options
 from glencleat.config import Config, ConfigError, load
-from glencleat.flow_control.asking import LIST, Asking, Pace
+from glencleat.flow_control.backoff import LIST, Asking, Pace
 from glencleat.fronts.directory import DirectoryClient
 from glencleat.fronts.kept_list import KeptList
 from glencleat.fronts.executor_api import ExecutorApi
--- a/glencleat/fronts/directory.py
+++ b/glencleat/fronts/directory.py
@@ -1,7 +1,7 @@
 """The directory's client: subscribes to the Operator API at /api/v1 and tells the module what it says.
 
 The module asks by `Watch`; a failed or broken subscription is told as FAILED, at once. When the next try
-leaves is for `flow_control/asking.py` to say, as on the platform: a crowd that lost its directory comes back spread,
+leaves is for `flow_control/backoff.py` to say, as on the platform: a crowd that lost its directory comes back spread,
 and no sooner than a Retry-After says."""
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
-from glencleat.flow_control.asking import Asking
+from glencleat.flow_control.backoff import Asking
 from glencleat.kernel import Loop, Stream, StreamClosed, Task
 from glencleat.kernel.loop import Coroutine
 from glencleat.kernel.streams import connect
--- a/glencleat/fronts/kept_list.py
+++ b/glencleat/fronts/kept_list.py
@@ -1,4 +1,4 @@
-"""Keeps the machine list in a file (`flow_control/kept.py`), and takes it from there at a start.
+"""Keeps the machine list in a file (`endpoint_snapshot.py`), and takes it from there at a start.
 
 A change of phase is written before the module hears of it; the whole file anew now and then, by a rename. No
 fsync: it outlives the process, not the machine. What can't be written makes the file untrue; it goes."""
@@ -13,7 +13,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
-from glencleat.flow_control import kept
+from glencleat import endpoint_snapshot
 from glencleat.kernel import Loop
 
 ANEW_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
@@ -41,15 +41,15 @@
         try:
             with self.path.open("rb") as file:
                 data = file.read(MOST)
-            found = kept.read(data)
+            found = endpoint_snapshot.read(data)
             wall = self.loop.clock.wall()
-            why = kept.usable(found, self.pool, wall, self.most_age_ms)
-            told = kept.machines(found, self.loop.now(), wall) if why is None else ()
+            why = endpoint_snapshot.usable(found, self.pool, wall, self.most_age_ms)
+            told = endpoint_snapshot.machines(found, self.loop.now(), wall) if why is None else ()
         except FileNotFoundError:
             return ()
         except OSError as error:
             why, told = str(error.strerror), ()
-        except kept.BadList as error:
+        except endpoint_snapshot.BadList as error:
             why, told = str(error), ()
         if why is not None:
             self.log("kept list not used", file=str(self.path), why=why)
@@ -79,7 +79,7 @@
         for machine in machines:
             if self.phases.get(machine.name) is not machine.phase:
                 self.phases[machine.name] = machine.phase
-                lines += kept.change(machine, now, wall)
+                lines += endpoint_snapshot.change(machine, now, wall)
         if lines and self.file is not None:
             try:
                 self.file.write(lines)
@@ -97,7 +97,7 @@
         try:
             file = beside.open("wb")
             self.file = file
-            file.write(kept.whole(self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()))
+            file.write(endpoint_snapshot.whole(self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()))
             file.flush()
             os.replace(beside, self.path)
         except OSError as error:
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -18,8 +18,8 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand, Descriptors, Worth
-from glencleat.flow_control.asking import HOST
-from glencleat.flow_control.connecting import Connecting, look_ms
+from glencleat.flow_control.backoff import HOST
+from glencleat.flow_control.connection_limiter import Connecting, look_ms
 from glencleat.index.due import DueIndex
 from glencleat.index.turns import Turns
 from glencleat.platform_protocol import messages as m
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -11,9 +11,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from glencleat.descriptor_budget import Descriptors, Side, Worth
-from glencleat.flow_control.asking import HOST, Asking
+from glencleat.flow_control.backoff import HOST, Asking
 from glencleat.platform_protocol import messages as m
-from glencleat.flow_control.connecting import Connecting
+from glencleat.flow_control.connection_limiter import Connecting
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.delivery import SendOutcome
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -19,7 +19,7 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import Descriptors
-from glencleat.flow_control.asking import CHANNEL, Asking
+from glencleat.flow_control.backoff import CHANNEL, Asking
 from glencleat.platform_protocol.command_channel import Channel, News, address
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.messages import PeerError
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from glencleat.flow_control.asking import Asking
+from glencleat.flow_control.backoff import Asking
 from glencleat.platform_protocol.command_channel import Channel, News
 from glencleat.platform_protocol.messages import PeerError
 from glencleat.kernel import Loop, Pause, Stream, StreamClosed, connect
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -11,7 +11,7 @@
 import contextlib
 from random import Random
 
-from glencleat.flow_control.connecting import Connecting, look_ms
+from glencleat.flow_control.connection_limiter import Connecting, look_ms
 from glencleat.platform_protocol import messages as m
 from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.kernel.loop import Coroutine
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from glencleat.flow_control.asking import CHANNEL, HOST, LIST, Asking, Pace
+from glencleat.flow_control.backoff import CHANNEL, HOST, LIST, Asking, Pace
 from glencleat.platform_server import watch_client
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -18,7 +18,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.agent_side import NotSubscribed
-from glencleat.flow_control.asking import Asking
+from glencleat.flow_control.backoff import Asking
 from glencleat.fronts.directory import DirectoryClient
 from glencleat.fronts.executor_api import ExecutorApi
 from glencleat.fronts.scheduler_api import SchedulerApi
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from glencleat.flow_control.asking import Asking, Pace
+from glencleat.flow_control.backoff import Asking, Pace
 from glencleat.platform_server import watch_client
 from tests.test_node import Tower, list_event
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -4,7 +4,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
-from glencleat.flow_control import kept
+from glencleat import endpoint_snapshot
 from glencleat.fronts.kept_list import ANEW_MS, KeptList
 from tests.fakes import Timing
 from tests.world import World
@@ -19,18 +19,18 @@
 
 def written():
     """A whole list, then a drain and one that is gone."""
-    first = kept.whole("p", [machine("a"), machine("b"), machine("c", ready=400.0)], 1_000.0, WALL)
-    return [first, kept.change(machine("a", DRAINING), 2_000.0, WALL + 1_000.0),
-            kept.change(machine("b", GONE), 3_000.0, WALL + 2_000.0)]  # fmt: skip
+    first = endpoint_snapshot.whole("p", [machine("a"), machine("b"), machine("c", ready=400.0)], 1_000.0, WALL)
+    return [first, endpoint_snapshot.change(machine("a", DRAINING), 2_000.0, WALL + 1_000.0),
+            endpoint_snapshot.change(machine("b", GONE), 3_000.0, WALL + 2_000.0)]  # fmt: skip
 
 
 def phases(data, now=50.0, wall=WALL + 5_000.0):
-    return {told.name: told.phase for told in kept.machines(kept.read(data), now, wall)}
+    return {told.name: told.phase for told in endpoint_snapshot.machines(endpoint_snapshot.read(data), now, wall)}
 
 
 def test_it_comes_back_as_it_was_told():
-    found = kept.read(b"".join(written()))
-    told = {one.name: one for one in kept.machines(found, 50.0, WALL + 5_000.0)}
+    found = endpoint_snapshot.read(b"".join(written()))
+    told = {one.name: one for one in endpoint_snapshot.machines(found, 50.0, WALL + 5_000.0)}
     assert told == {
         "a": machine("a", DRAINING), "c": machine("c", ready=50.0 - 5_600.0),  # of the new monotonic clock
     }  # fmt: skip
@@ -42,8 +42,8 @@
     data, ends = b"".join(lines), [len(lines[0]), len(lines[0] + lines[1])]
     for length in range(len(data)):
         if length < ends[0]:
-            with pytest.raises(kept.BadList, match="no whole line"):
-                kept.read(data[:length])
+            with pytest.raises(endpoint_snapshot.BadList, match="no whole line"):
+                endpoint_snapshot.read(data[:length])
         else:
             assert phases(data[:length])["a"] is (DRAINING if length >= ends[1] else SERVING)
 
@@ -53,26 +53,26 @@
     for place in range(len(data) - 1):
         wrong = bytearray(data)
         wrong[place] ^= 4
-        with pytest.raises(kept.BadList):
-            kept.read(bytes(wrong))
+        with pytest.raises(endpoint_snapshot.BadList):
+            endpoint_snapshot.read(bytes(wrong))
 
 
 @pytest.mark.parametrize(
     "data",
     [b"", b"\n", b"garbage\n", b"%08x {}\n" % 0, written()[1], written()[0] * 2,
-     kept._line(kept.Whole(9, "p", WALL, []))],
+     endpoint_snapshot._line(endpoint_snapshot.Whole(9, "p", WALL, []))],
     ids=["empty", "blank", "garbage", "no checksum", "change first", "twice", "format"],
 )  # fmt: skip
 def test_what_is_no_list_is_refused(data):
-    with pytest.raises(kept.BadList):
-        kept.read(data)
+    with pytest.raises(endpoint_snapshot.BadList):
+        endpoint_snapshot.read(data)
 
 
 def test_a_phase_that_nobody_knows_is_refused():
-    one = kept.kept(machine("a"), 0.0, WALL)
+    one = endpoint_snapshot.kept(machine("a"), 0.0, WALL)
     one.phase = "dancing"
-    with pytest.raises(kept.BadList, match="dancing"):
-        kept.machines(kept.List("p", WALL, {"a": one}), 0.0, WALL)
+    with pytest.raises(endpoint_snapshot.BadList, match="dancing"):
+        endpoint_snapshot.machines(endpoint_snapshot.List("p", WALL, {"a": one}), 0.0, WALL)
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
      ("p", WALL - 900.0, None), ("p", WALL - 90_000.0, "90 s ahead")],
 )  # fmt: skip
 def test_when_it_may_be_used(pool, wall, why):
-    told = kept.usable(kept.List("p", WALL), pool, wall, 600_000.0)
+    told = endpoint_snapshot.usable(endpoint_snapshot.List("p", WALL), pool, wall, 600_000.0)
     assert told is None if why is None else why in told
 
 
@@ -121,10 +121,10 @@
     keeper.whole(machine("a"))
     keeper.start()
     keeper.loop.advance(2.5 * ANEW_MS)
-    at = kept.read(keeper.path.read_bytes()).at_ms
+    at = endpoint_snapshot.read(keeper.path.read_bytes()).at_ms
     keeper.told(api.ListTold(api.ListKind.FAILED))
     keeper.loop.advance(5.0 * ANEW_MS)
-    assert kept.read(keeper.path.read_bytes()).at_ms == at >= keeper.loop.wall() - 5.6 * ANEW_MS
+    assert endpoint_snapshot.read(keeper.path.read_bytes()).at_ms == at >= keeper.loop.wall() - 5.6 * ANEW_MS
 
 
 def test_an_empty_list_takes_the_place_of_none(tmp_path):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,8 +8,8 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.flow_control import connecting
-from glencleat.flow_control.asking import Asking, Pace
+from glencleat.flow_control import connection_limiter
+from glencleat.flow_control.backoff import Asking, Pace
 from glencleat.descriptor_budget import Side, Worth
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import News
@@ -489,7 +489,7 @@
 
 def test_more_than_may_come_up_at_once_wait_in_line(world, monkeypatch):
     """Where many hosts vanish each connect hangs for its time-out; the line goes on as they end."""
-    monkeypatch.setattr(connecting, "LEAST_COMING", 2)
+    monkeypatch.setattr(connection_limiter, "LEAST_COMING", 2)
     peers, owner = [Peer(world.loop, stands) for _ in range(6)], world.client()
     world.list(*((f"h{i}", peer.address) for i, peer in enumerate(peers)))
     real, most = host_connections.connect, []
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,7 +10,7 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.flow_control.asking import Asking, Pace
+from glencleat.flow_control.backoff import Asking, Pace
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_protocol.delivery import SendOutcome, Seen, harmless, held_back, turn_holds
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from glencleat.fronts.metrics import MetricsApi
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
-from glencleat.flow_control.start import LAST_MS, WINDOW_MOST, SlowStart
+from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
 from tests.fakes import Agent, Cluster, Owner
 
 ALLOCATORS, HOSTS, HELD = 300, 40, 30
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,7 +8,7 @@
 
 from glencleat import interface as api
 from glencleat.cli.main import main
-from glencleat.flow_control import kept
+from glencleat import endpoint_snapshot
 from glencleat.scale import report
 
 ROOT = Path(__file__).parent.parent
@@ -17,9 +17,9 @@
 
 
 def test_an_endpoint_list_kept_over_a_restart_is_read():
-    found = kept.read((STORED / "endpoint-list").read_bytes())
-    assert kept.usable(found, "pool", WALL_MS, 10_000.0) is None
-    told = kept.machines(found, 50.0, WALL_MS)
+    found = endpoint_snapshot.read((STORED / "endpoint-list").read_bytes())
+    assert endpoint_snapshot.usable(found, "pool", WALL_MS, 10_000.0) is None
+    told = endpoint_snapshot.machines(found, 50.0, WALL_MS)
     serving, draining = api.Phase.SERVING, api.Phase.DRAINING
     assert told == (
         api.Machine("a", "std", "hall-a", 2, draining, 3.5, 70.0, None),
@@ -30,7 +30,7 @@
 
 def test_an_endpoint_list_is_written_to_the_same_bytes():
     machine = api.Machine("a", "std", "hall-a", 2, api.Phase.DRAINING, 3.5, 70.0)
-    line = kept.change(machine, 2_000.0, 1.7e12 + 1_000.0)
+    line = endpoint_snapshot.change(machine, 2_000.0, 1.7e12 + 1_000.0)
     assert line in (STORED / "endpoint-list").read_bytes().splitlines(keepends=True)
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -5,7 +5,7 @@
 from glencleat.config import load
 from glencleat.daemon import Daemon
 from glencleat.kernel import Loop
-from glencleat.flow_control.asking import Pace
+from glencleat.flow_control.backoff import Pace
 from glencleat.standins.directory import Directory, Entry
 from glencleat.standins.hosts import Host
 from glencleat.standins.machine import Nature
