--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -78,7 +78,7 @@
     "B/s": (1.0, "B/s"),
 }
 
-INDEX = "work follows events: `index/due.py`, `index/turns.py` (hosts), `index/order.py` (services)"
+INDEX = "work follows events: `index/due_queue.py`, `index/dirty_set.py` (hosts), `index/rendezvous.py` (services)"
 LOOKS = "*missing*: shared failure detector, one look for all allocators"
 PART = "*missing*: partition of the list by region"
 
--- a/benchmarks/order_index.py
+++ b/benchmarks/order_index.py
@@ -15,7 +15,7 @@
 from benchmarks.common import machine, rows_of
 from benchmarks.equal_actions import at_revision
 from glencleat import interface as api
-from glencleat.index.order import Members, hashed
+from glencleat.index.rendezvous import Members, hashed
 from glencleat.policy.scheduler import Scheduler
 
 SERVICES, TASKS, PEERS = 100, 2_050, 20
--- a/glencleat/index/turns.py
+++ b/glencleat/index/dirty_set.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import Any, Generic, TypeVar
 
-from glencleat.index.due import DueIndex
+from glencleat.index.due_queue import DueIndex
 
 K = TypeVar("K", bound=Hashable)
 
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -20,8 +20,8 @@
 from glencleat.descriptor_budget import Demand, Descriptors, Worth
 from glencleat.flow_control.backoff import HOST
 from glencleat.flow_control.connection_limiter import Connecting, look_ms
-from glencleat.index.due import DueIndex
-from glencleat.index.turns import Turns
+from glencleat.index.due_queue import DueIndex
+from glencleat.index.dirty_set import Turns
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import Host, News, when
 from glencleat.platform_protocol.exchange import Attempt, Exchange
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -14,7 +14,7 @@
 from itertools import chain, count, islice
 from typing import Any
 
-from glencleat.index.order import Columns, Members, Order, hashed
+from glencleat.index.rendezvous import Columns, Members, Order, hashed
 from glencleat.interface import Accepted, Action, Asked, Bind, Effect, Event, Fail, Left, ListKind, ListTold
 from glencleat.interface import Log, Machine, Noted, NoteKind, Outcome, Phase, Probe, Probed, Refuse, Report
 from glencleat.interface import Reached, Returned, SetTimer, Settings, Size, TaskClass, TimerDue, Watch, Why
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,8 @@
 import pytest
 from hypothesis import settings
 
-from glencleat.index.due import DueIndex
-from glencleat.index.order import Members
+from glencleat.index.due_queue import DueIndex
+from glencleat.index.rendezvous import Members
 from tests.sockets import World
 
 settings.register_profile("fixed", derandomize=True, deadline=None)
--- a/tests/reference_order.py
+++ b/tests/reference_order.py
@@ -1,4 +1,4 @@
-"""Plain forms of what `glencleat.index.order` answers, and seeded streams of events to compare both by.
+"""Plain forms of what `glencleat.index.rendezvous` answers, and seeded streams of events to compare both by.
 
 `Plain` is the scheduler with its list, orders and walk from scratch at each use. `Stream` is a small fleet with a
 clock and a numpy generator: it answers what schedulers do, by the contract in `glencleat/interface.py`."""
@@ -11,7 +11,7 @@
 
 from glencleat import interface as api
 from glencleat.policy import scheduler
-from glencleat.index.order import hashed, mixed
+from glencleat.index.rendezvous import hashed, mixed
 from glencleat.policy.scheduler import EXAMINED, Node, Scheduler
 
 
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.index.due import LEAST, DueIndex
-from glencleat.index.turns import Turns
+from glencleat.index.due_queue import LEAST, DueIndex
+from glencleat.index.dirty_set import Turns
 
 NAMES = st.integers(0, 12)
 TIMES = st.integers(0, 40).map(float)
--- a/tests/test_order_index.py
+++ b/tests/test_order_index.py
@@ -7,8 +7,8 @@
 
 import glencleat.policy.scheduler
 from glencleat import interface as api
-from glencleat.index import order as index
-from glencleat.index.order import Members, hashed
+from glencleat.index import rendezvous as index
+from glencleat.index.rendezvous import Members, hashed
 from glencleat.policy.scheduler import EXAMINED, Scheduler
 from tests.reference_order import CLASSES, KINDS, Plain, Stream, differ
 
