--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -19,8 +19,8 @@
 
 from benchmarks.cold_start import until
 from glencleat.check.bounds import busiest
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import READ
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import READ
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost, LiveOwner
 from glencleat.standins.processes import Nodes
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -16,7 +16,7 @@
 
 from benchmarks.cold_start import start_all, until
 from glencleat.check.bounds import busiest
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost, LiveOwner
 from glencleat.standins.processes import Nodes
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -13,7 +13,7 @@
 import click
 
 from glencleat.check.bounds import busiest
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.processes import Nodes
 from glencleat.standins.relay import Passed, Relay
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -22,7 +22,7 @@
 from benchmarks.common import cpu_s, machine, rows_of, rss_mb
 from glencleat.index.due_queue import DueIndex
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import Loop, Timer, TimerWheel, connect
+from glencleat.event_loop import Loop, Timer, TimerWheel, connect
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost
 from glencleat.standins.processes import Nodes
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -40,7 +40,7 @@
 
 def hosts(folder: str, part: str, agents: str) -> None:
     from glencleat.check.record import Recorder
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins import alone
     from glencleat.standins.script import load_campus, load_script
 
@@ -219,7 +219,7 @@
 def places(rig: Rig, rate: float, seconds: float, tag: str) -> list[float]:
     """Milliseconds from ACCEPT to the update that says placed, of tasks of ten Scheduler API owners."""
     from glencleat.check.record import Recorder
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins.owners import Job, Owner, Want
 
     loop = Loop()
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from benchmarks.common import cpu_s, rss_mb, table
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.mesos import messages as m
 from glencleat.standins.client import Subscription
 
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -58,8 +58,8 @@
     """A loop with the list service, the listener of all hosts, one node."""
 
     def __init__(self, folder: Path, hosts: int, peers: int, seed: int) -> None:
-        from glencleat.kernel import Loop
-        from glencleat.kernel.loop import READ
+        from glencleat.event_loop import Loop
+        from glencleat.event_loop.loop import READ
         from glencleat.standins.channel import ChannelService
 
         self.loop, self.accepted, self.peers = Loop(), 0, peers
@@ -83,7 +83,7 @@
         self.pid = self.process.pid
 
     def _take(self, mask: int) -> None:
-        from glencleat.kernel import Stream
+        from glencleat.event_loop import Stream
 
         for _ in range(AT_ONCE):
             try:
@@ -94,7 +94,7 @@
             self.loop.spawn(self._hear(Stream(self.loop, sock)), "silent host")
 
     def _hear(self, stream: Any) -> Iterator[Any]:
-        from glencleat.kernel import StreamClosed
+        from glencleat.event_loop import StreamClosed
 
         self.open.add(stream)
         try:
@@ -196,7 +196,7 @@
 def node_looks(hosts: int, tasks: int, services: int, peers: int, seed: int) -> dict[str, float]:
     """Tasks handed over at silent hosts, spread evenly: what looking whether those live costs."""
     from glencleat.platform_protocol import messages as m
-    from glencleat.kernel import Stream, connect
+    from glencleat.event_loop import Stream, connect
 
     with rig(hosts, peers, seed) as one:
         place = one.place()
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from benchmarks.common import table
-from glencleat.kernel import TimerHeap, TimerWheel
+from glencleat.event_loop import TimerHeap, TimerWheel
 
 SEED = 5
 
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from glencleat.check.record import Entry
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins.script import Script
 
 Places = tuple[tuple[str, tuple[str, int]], ...]
@@ -172,7 +172,7 @@
 @placed
 def standin_directory(script: Path, places: Places, seconds: float | None) -> None:
     """Serve SCRIPT's hosts as the machine list, at an address for each allocator (port 0: any)."""
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins import alone
 
     loop = Loop()
@@ -190,7 +190,7 @@
 @placed
 def standin_hosts(script: Path, places: Places, seconds: float | None) -> None:
     """Run SCRIPT's hosts against the allocators' agents addresses."""
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins import alone
 
     loop = Loop()
@@ -203,7 +203,7 @@
 @placed
 def standin_owners(script: Path, places: Places, seconds: float | None) -> None:
     """Ask SCRIPT's tasks of the allocators' owners addresses, and print how the asks ended."""
-    from glencleat.kernel import Loop
+    from glencleat.event_loop import Loop
     from glencleat.standins import alone
 
     loop = Loop()
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -23,7 +23,7 @@
 from glencleat.fronts.rest_api import RestApi, problem
 from glencleat.fronts.scheduler_api import SchedulerApi
 from glencleat.fronts.server import Handler, Limits, Server, plain
-from glencleat.kernel import Loop, Signals
+from glencleat.event_loop import Loop, Signals
 from glencleat.policy.scheduler import Scheduler
 from glencleat.rest import plane as rest
 from glencleat.rest.channels import Limits as WatchLimits
--- a/glencleat/kernel/__init__.py
+++ b/glencleat/event_loop/__init__.py
@@ -2,10 +2,10 @@
 
 It imports nothing of glencleat. Clock and sockets come in from outside (`Loop(clock, poller)`)."""
 
-from glencleat.kernel.loop import Cancelled, Clock, Loop, Pause, Poller, SystemClock, Task
-from glencleat.kernel.signals import Signals
-from glencleat.kernel.streams import ConnectFailed, Listener, Overflow, Stream, StreamClosed, connect
-from glencleat.kernel.timers import Timer, TimerHeap, TimerWheel
+from glencleat.event_loop.loop import Cancelled, Clock, Loop, Pause, Poller, SystemClock, Task
+from glencleat.event_loop.signals import Signals
+from glencleat.event_loop.streams import ConnectFailed, Listener, Overflow, Stream, StreamClosed, connect
+from glencleat.event_loop.timers import Timer, TimerHeap, TimerWheel
 
 __all__ = [
     "Cancelled",
--- a/glencleat/kernel/loop.py
+++ b/glencleat/event_loop/loop.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
 
-from glencleat.kernel.timers import Timer, Timers, TimerWheel
+from glencleat.event_loop.timers import Timer, Timers, TimerWheel
 
 Arm = Callable[["Task"], Callable[[], None]]  # starts a wait, returns what ends it early
 Coroutine = Generator[Arm, Any, Any]
--- a/glencleat/kernel/signals.py
+++ b/glencleat/event_loop/signals.py
@@ -8,7 +8,7 @@
 import signal
 from collections.abc import Callable
 
-from glencleat.kernel.loop import READ, Loop
+from glencleat.event_loop.loop import READ, Loop
 
 
 class Signals:
--- a/glencleat/kernel/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from glencleat.kernel.loop import READ, WRITE, Coroutine, Loop, Task
+from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, Task
 
 CHUNK = 65_536
 AT_ONCE = 4  # reads of one stream that need no wait before others have their turn
--- a/glencleat/fronts/directory.py
+++ b/glencleat/fronts/directory.py
@@ -12,9 +12,9 @@
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
 from glencleat.flow_control.backoff import Asking
-from glencleat.kernel import Loop, Stream, StreamClosed, Task
-from glencleat.kernel.loop import Coroutine
-from glencleat.kernel.streams import connect
+from glencleat.event_loop import Loop, Stream, StreamClosed, Task
+from glencleat.event_loop.loop import Coroutine
+from glencleat.event_loop.streams import connect
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
 from glencleat.mesos.recordio import Decoder, RecordError
--- a/glencleat/fronts/kept_list.py
+++ b/glencleat/fronts/kept_list.py
@@ -14,7 +14,7 @@
 from glencleat import interface as api
 from glencleat.allocator.listing import Listing
 from glencleat import endpoint_snapshot
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 
 ANEW_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
 MOST = 64 << 20  # bytes of a file that is read
--- a/glencleat/fronts/rest_api.py
+++ b/glencleat/fronts/rest_api.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from glencleat.fronts.server import Pour, Sink
-from glencleat.kernel import StreamClosed
-from glencleat.kernel.loop import Coroutine, Task
+from glencleat.event_loop import StreamClosed
+from glencleat.event_loop.loop import Coroutine, Task
 from glencleat.mesos.http import HttpError, Request, Response
 from glencleat.rest import channels, openapi, overload
 from glencleat.rest import schema as s
--- a/glencleat/fronts/server.py
+++ b/glencleat/fronts/server.py
@@ -12,9 +12,9 @@
 from itertools import islice
 from typing import Protocol
 
-from glencleat.kernel import Listener, Loop, Stream, StreamClosed
-from glencleat.kernel.loop import Coroutine, Task
-from glencleat.kernel.timers import Timer
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop.loop import Coroutine, Task
+from glencleat.event_loop.timers import Timer
 from glencleat.mesos import messages as m
 from glencleat.mesos import recordio
 from glencleat.mesos.http import HttpError, Request, Response, ServerConnection
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -13,8 +13,8 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.platform_protocol.inbox import Inbox
-from glencleat.kernel import Listener, Loop, Stream, StreamClosed
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop.loop import Coroutine
 
 if TYPE_CHECKING:
     from glencleat.platform_server.trace import Trace
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -26,7 +26,7 @@
 from glencleat.platform_protocol.command_channel import Host, News, when
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.delivery import SendOutcome
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.platform_server import host_connections
 from glencleat.platform_server.failure_detector import NEVER, Do
 from glencleat.platform_server.host_connections import HostLinks, Link
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -16,8 +16,8 @@
 from glencleat.flow_control.connection_limiter import Connecting
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.delivery import SendOutcome
-from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.platform_server.failure_detector import Life
 
 if TYPE_CHECKING:
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -24,7 +24,7 @@
 from glencleat.platform_protocol.exchange import Attempt, Exchange
 from glencleat.platform_protocol.messages import PeerError
 from glencleat.platform_protocol.delivery import SendOutcome
-from glencleat.kernel import Loop, Signals, Timer
+from glencleat.event_loop import Loop, Signals, Timer
 from glencleat.policy.scheduler import Scheduler
 from glencleat.platform_server.graceful_shutdown import WINDOW_MS, Draining, Seen, State
 from glencleat.platform_server.watch_client import Feed
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -10,8 +10,8 @@
 from glencleat.flow_control.backoff import Asking
 from glencleat.platform_protocol.command_channel import Channel, News
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.kernel import Loop, Pause, Stream, StreamClosed, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Loop, Pause, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import Coroutine
 
 CONNECT_MS = 500.0
 SILENT_MS = 1_800.0  # a line is due every second
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -13,8 +13,8 @@
 
 from glencleat.flow_control.connection_limiter import Connecting, look_ms
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
 from glencleat.scale.counting import Tally
 
--- a/glencleat/scale/arrivals.py
+++ b/glencleat/scale/arrivals.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from random import Random
 
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 
 
 class Arrivals:
--- a/glencleat/scale/channel.py
+++ b/glencleat/scale/channel.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.channel import ChannelService, entry
 
 
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import Loop, Stream, StreamClosed
-from glencleat.kernel.loop import READ, Coroutine
+from glencleat.event_loop import Loop, Stream, StreamClosed
+from glencleat.event_loop.loop import READ, Coroutine
 from glencleat.scale.counting import Tally
 from glencleat.standins.relay import reset
 
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import ConnectFailed, Loop, Stream, StreamClosed, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
 from glencleat.scale.counting import Tally
 
--- a/glencleat/scale/parts.py
+++ b/glencleat/scale/parts.py
@@ -12,8 +12,8 @@
 from types import TracebackType
 from typing import Any
 
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import READ
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import READ
 
 JOIN_S = 5.0
 
--- a/glencleat/standins/alone.py
+++ b/glencleat/standins/alone.py
@@ -11,8 +11,8 @@
 
 from glencleat.check.record import Recorder
 from glencleat.config import Config
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import Coroutine
 from glencleat.standins.client import Address
 from glencleat.standins.directory import Directory, Entry
 from glencleat.standins.hosts import Host
--- a/glencleat/standins/between.py
+++ b/glencleat/standins/between.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from glencleat.check.record import Recorder
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.client import Address
 from glencleat.standins.relay import Passed, Relay
 from glencleat.standins.script import At, Script
--- a/glencleat/standins/channel.py
+++ b/glencleat/standins/channel.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from glencleat.kernel import Listener, Loop, Stream, StreamClosed
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop.loop import Coroutine
 
 EVERY_MS = 1_000.0
 ASK = 100  # bytes at most of what an allocator writes
--- a/glencleat/standins/client.py
+++ b/glencleat/standins/client.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from glencleat.kernel import Loop, Stream, StreamClosed, Task, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Loop, Stream, StreamClosed, Task, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
 from glencleat.mesos.messages import BadMessage
 from glencleat.mesos.recordio import Decoder, RecordError
--- a/glencleat/standins/directory.py
+++ b/glencleat/standins/directory.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from glencleat.check.record import Recorder
-from glencleat.kernel import Listener, Loop, Stream, StreamClosed
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Response, ServerConnection
 from glencleat.mesos.recordio import encode
--- a/glencleat/standins/hosts.py
+++ b/glencleat/standins/hosts.py
@@ -9,8 +9,8 @@
 from random import Random
 
 from glencleat.check.record import Recorder
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 from glencleat.standins.client import Address, Calls, Reconnecting, Subscription
 from glencleat.standins.machine import Held, Machine, Nature, Offer
--- a/glencleat/standins/live.py
+++ b/glencleat/standins/live.py
@@ -9,8 +9,8 @@
 from random import Random
 
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.standins.relay import reset
 
 AGAIN_MS = 500.0
--- a/glencleat/standins/machine.py
+++ b/glencleat/standins/machine.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from glencleat.kernel import Loop
-from glencleat.kernel.timers import Timer
+from glencleat.event_loop import Loop
+from glencleat.event_loop.timers import Timer
 
 LANES = 2  # starts at once
 
--- a/glencleat/standins/owners.py
+++ b/glencleat/standins/owners.py
@@ -11,9 +11,9 @@
 from random import Random
 
 from glencleat.check.record import Recorder
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import Coroutine
-from glencleat.kernel.timers import Timer
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import Coroutine
+from glencleat.event_loop.timers import Timer
 from glencleat.mesos import messages as m
 from glencleat.standins.client import Address, Calls, Reconnecting, Subscription
 
--- a/glencleat/standins/play.py
+++ b/glencleat/standins/play.py
@@ -17,8 +17,8 @@
 
 from glencleat.check.record import Recorder
 from glencleat.config import Config
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import READ, Coroutine, Task
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import READ, Coroutine, Task
 from glencleat.standins import alone
 from glencleat.standins.between import Wires
 from glencleat.standins.client import Address
--- a/glencleat/standins/relay.py
+++ b/glencleat/standins/relay.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from glencleat.kernel import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
-from glencleat.kernel.loop import READ, Coroutine
+from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop.loop import READ, Coroutine
 from glencleat.standins.wire import Datagrams, Door, Flow, Way, Weather
 
 HELD = 1 << 20  # bytes that one direction holds back before it stops reading
--- a/glencleat/standins/rest_owners.py
+++ b/glencleat/standins/rest_owners.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from glencleat.check.record import Recorder
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import Coroutine
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 from glencleat.standins.client import Address, Answer, Exchanges, Lines, Subscription
 from glencleat.standins.owners import Job, Owner
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -4,7 +4,7 @@
 from glencleat import interface as api
 from glencleat.allocator.core import Core
 from glencleat.allocator.options import Options
-from glencleat.kernel import TimerHeap
+from glencleat.event_loop import TimerHeap
 from glencleat.mesos import messages as m
 
 CLASSES = (
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -11,7 +11,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.kernel import ConnectFailed, Loop, StreamClosed
+from glencleat.event_loop import ConnectFailed, Loop, StreamClosed
 from glencleat.platform_server import host_connections
 from glencleat.platform_server.connection_pool import Hosts
 from tests.live import SETTINGS, Owner, read, setup
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -8,7 +8,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import Channel, Host, News
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.kernel import Listener, Loop, StreamClosed
+from glencleat.event_loop import Listener, Loop, StreamClosed
 from glencleat.platform_server import connection_pool, client_connections
 from tests.live import SETTINGS, Script, setup
 
--- a/tests/support/public_surface.py
+++ b/tests/support/public_surface.py
@@ -18,7 +18,7 @@
 from glencleat.daemon import Daemon
 from glencleat.fronts.metrics import MetricsApi
 from glencleat.fronts.rest_api import RestApi
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.script import load_campus, load_script
 
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,7 +13,7 @@
 from glencleat.check.bounds import State, chance_limit, poisson_tail
 from glencleat.check.record import Entry, read
 from glencleat.flow_control.backoff import LIST, Asking
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.processes import MOST, Nodes, ProcessError
 from glencleat.standins.relay import Passed, Relay
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -22,7 +22,7 @@
 from glencleat.fronts.directory import DirectoryClient
 from glencleat.fronts.executor_api import ExecutorApi
 from glencleat.fronts.scheduler_api import SchedulerApi
-from glencleat.kernel import Listener, Loop
+from glencleat.event_loop import Listener, Loop
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request
 from tests.fakes import Cluster, Owner
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -10,7 +10,7 @@
 
 from glencleat.check.bounds import busiest
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import Loop, StreamClosed, connect
+from glencleat.event_loop import Loop, StreamClosed, connect
 from glencleat.standins.channel import ChannelService, entry
 from glencleat.standins.live import LiveHost, LiveOwner
 from glencleat.standins.processes import Nodes
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.kernel import (
+from glencleat.event_loop import (
     Cancelled,
     Listener,
     Loop,
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -8,7 +8,7 @@
 
 from glencleat.check import rules
 from glencleat.check.record import Recorder, read
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.standins.play import Play, Process
 from glencleat.standins.script import figures, load_campus, load_script
 from glencleat.standins.troubles import TROUBLES, faults
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.kernel import Listener, Loop, StreamClosed
+from glencleat.event_loop import Listener, Loop, StreamClosed
 from glencleat.standins.relay import DatagramRelay, Relay
 from glencleat.standins.wire import Datagrams, Door, Fault, Flow, State, Way, Weather
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -10,7 +10,7 @@
 import pytest
 
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import ConnectFailed, Loop, StreamClosed, connect
+from glencleat.event_loop import ConnectFailed, Loop, StreamClosed, connect
 from glencleat.scale import compare, report, size as sizes
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -11,8 +11,8 @@
 import pytest
 
 from glencleat.platform_protocol import messages as m
-from glencleat.kernel import Loop
-from glencleat.kernel.loop import EpollPoller
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import EpollPoller
 from glencleat.platform_server.process import Process, load
 from glencleat.scale.hosts import listen_on_loopback
 from glencleat.standins.channel import entry
--- a/tests/world.py
+++ b/tests/world.py
@@ -4,7 +4,7 @@
 from glencleat.check.record import Recorder
 from glencleat.config import load
 from glencleat.daemon import Daemon
-from glencleat.kernel import Loop
+from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import Pace
 from glencleat.standins.directory import Directory, Entry
 from glencleat.standins.hosts import Host
