--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 
 from glencleat import interface as api
-from glencleat.allocator import tables
-from glencleat.allocator.ledger import Call, Ledger
-from glencleat.allocator.seam import Asking, Verdict
-from glencleat.allocator.tables import Fate
+from glencleat.allocator import status_mapping
+from glencleat.allocator.call_table import Call, Ledger
+from glencleat.allocator.domain_events import Asking, Verdict
+from glencleat.allocator.status_mapping import Fate
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,4 +77,4 @@
         if before.given is not None and before.over and before.fate() is Fate.NEVER_RAN:
             return None
         text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
-        return Verdict(tables.Answer(tables.ERROR, tables.Retry.NEVER, tables.TASK_INVALID), text)
+        return Verdict(status_mapping.Answer(status_mapping.ERROR, status_mapping.Retry.NEVER, status_mapping.TASK_INVALID), text)
--- a/glencleat/allocator/early.py
+++ b/glencleat/allocator/admission_queue.py
@@ -11,10 +11,10 @@
 
 from sortedcontainers import SortedDict
 
-from glencleat.allocator import tables
-from glencleat.allocator.ledger import Call, Given
-from glencleat.allocator.middle import Middle
-from glencleat.allocator.seam import Answered, Happened
+from glencleat.allocator import status_mapping
+from glencleat.allocator.call_table import Call, Given
+from glencleat.allocator.ports import Middle
+from glencleat.allocator.domain_events import Answered, Happened
 from glencleat.flow_control.slow_start import LAST_MS, SLOT_MS, SlowStart
 
 Place = tuple[float, float, int]
@@ -103,4 +103,4 @@
         call = self.line.pop(place, None)
         if call is not None and call.given is None:
             self.refused += 1
-            self.core.answer(call, Given.REFUSED, tables.refusal(False))
+            self.core.answer(call, Given.REFUSED, status_mapping.refusal(False))
--- a/glencleat/allocator/agent_side.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from glencleat import interface as api
-from glencleat.allocator import late, tables
-from glencleat.allocator.asks import BadAsk, read
-from glencleat.allocator.ledger import Attempt, Call, Given
-from glencleat.allocator.members import State, split_id
-from glencleat.allocator.middle import Middle
-from glencleat.allocator.seam import AgentSeen, Taken
-from glencleat.allocator.tables import Fate, Step, Told
+from glencleat.allocator import delivery_status, status_mapping
+from glencleat.allocator.task_requests import BadAsk, read
+from glencleat.allocator.call_table import Attempt, Call, Given
+from glencleat.allocator.agent_membership import State, split_id
+from glencleat.allocator.ports import Middle
+from glencleat.allocator.domain_events import AgentSeen, Taken
+from glencleat.allocator.status_mapping import Fate, Step, Told
 from glencleat.mesos import messages as m
 
 
@@ -81,14 +81,14 @@
         for attempt in self.core.ledger.at(agent):
             if attempt.session is not session or attempt.back:
                 continue
-            verdict = late.on_session_lost(attempt.step, self.core.handed(attempt), attempt.call.effect)
-            if verdict.do is late.Do.RETURN:
+            verdict = delivery_status.on_session_lost(attempt.step, self.core.handed(attempt), attempt.call.effect)
+            if verdict.do is delivery_status.Do.RETURN:
                 self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
     def _compare(self, attempt: Attempt, listed: bool, same_run: bool) -> None:
         """An attempt of an earlier session, against what the agent says it holds."""
-        verdict = late.on_resubscribe(attempt.step, listed, same_run)
-        if verdict.do is late.Do.IGNORE:
+        verdict = delivery_status.on_resubscribe(attempt.step, listed, same_run)
+        if verdict.do is delivery_status.Do.IGNORE:
             return
         never = not verdict.may_have_run
         if attempt.back:
@@ -124,7 +124,7 @@
         effect = core.classes[ask.task_class].effect
         call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
         attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=Step.ACCEPTED)
-        if late.on_unknown(elsewhere) is late.Late.KILL:
+        if delivery_status.on_unknown(elsewhere) is delivery_status.Late.KILL:
             core.kill(attempt)
         else:
             self._adopt(attempt, call)
@@ -142,7 +142,7 @@
         core.figures.adopted[call.ask.task_class] += 1
         core.happened(Taken(call))
         core.tell_asked(call, 0.0, attempt.machine)
-        core.told.status(call, tables.reconciled(attempt.fate(), attempt.step is Step.ACCEPTED))
+        core.told.status(call, status_mapping.reconciled(attempt.fate(), attempt.step is Step.ACCEPTED))
 
     # ---- updates ----
 
@@ -155,7 +155,7 @@
             link: Any = core.members.session(agent)
             done = m.Acknowledged(status.task_id, status.uuid)
             link.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=done)))
-        told = tables.read_status(status.state, status.reason, m.label(status.labels, "cause"))
+        told = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
         if attempt is None or told is None or attempt.machine != agent:
             core.figures.events["update unknown"] += 1
             return
@@ -179,7 +179,7 @@
             attempt.step = Step.RUNS
             self.core.tell(api.Noted(attempt.call.number, attempt.machine, api.NoteKind.RUNS, 1.0))
             if attempt.call.given is not None:
-                self.core.told.status(attempt.call, tables.Answer(tables.RUNNING, tables.Retry.NEVER))
+                self.core.told.status(attempt.call, status_mapping.Answer(status_mapping.RUNNING, status_mapping.Retry.NEVER))
         elif told.step is Step.OVER:
             self._over(attempt, told, report)
 
@@ -196,9 +196,9 @@
         if self.core.ledger.task(call.framework, call.task_id) is not call:
             return  # it was asked for again since
         if was_placed and call.given is Given.SERVED and attempt is call.last():
-            self.core.told.status(call, tables.ended(told.outcome, told.why))
+            self.core.told.status(call, status_mapping.ended(told.outcome, told.why))
         elif call.given is Given.FAILED and call.fate() in (Fate.NEVER_RAN, Fate.ENDED):
-            self.core.told.status(call, tables.reconciled(call.fate()))
+            self.core.told.status(call, status_mapping.reconciled(call.fate()))
 
     def _accepted(self, attempt: Attempt) -> None:
         """The agent's yes: the task is placed, which is its answer."""
@@ -207,7 +207,7 @@
         attempt.step, attempt.placed = Step.ACCEPTED, True
         spent = max(0.0, core.now() - attempt.sent_at)
         core.tell(api.Accepted(call.number, attempt.number, attempt.machine, spent))
-        core.answer(call, Given.SERVED, tables.Answer(tables.STARTING, tables.Retry.NEVER))
+        core.answer(call, Given.SERVED, status_mapping.Answer(status_mapping.STARTING, status_mapping.Retry.NEVER))
         if call.left:
             core.kill(attempt)  # its owner gave up just as the machine said yes
 
@@ -217,7 +217,7 @@
         attempt.step = Step.OVER
         core.ledger.settle(attempt)
         core.returned(attempt, told.outcome, True, told.why, report)
-        core.told.status(call, tables.ended(told.outcome, told.why))
+        core.told.status(call, status_mapping.ended(told.outcome, told.why))
 
     def _late_yes(self, attempt: Attempt, was_placed: bool) -> None:
         """An agent holds a task of which the module was told that the attempt came to nothing."""
@@ -227,11 +227,11 @@
         answered = latest.given.value if latest.given is not None else None
         gone = call.left or not core.wanted(call)
         core.figures.events["late yes"] += 1
-        verdict = late.on_late_yes(
+        verdict = delivery_status.on_late_yes(
             answered, was_placed, latest.out() is not None and not placed, placed, gone
         )
         core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=verdict.value)
-        if verdict is late.Late.ADOPT:
+        if verdict is delivery_status.Late.ADOPT:
             call.attempts.remove(attempt)
             core.ledger.forget(latest)
             again = Call(
@@ -282,6 +282,6 @@
             call = attempt.call
             self.core.returned(attempt, api.Outcome.LOST, over=True)
             safe = call.effect is api.Effect.SAFE
-            retry = tables.Retry.HARMLESS if safe else tables.Retry.RECONCILE
-            answer = tables.Answer(tables.UNREACHABLE, retry, tables.AGENT_REMOVED)
+            retry = status_mapping.Retry.HARMLESS if safe else status_mapping.Retry.RECONCILE
+            answer = status_mapping.Answer(status_mapping.UNREACHABLE, retry, status_mapping.AGENT_REMOVED)
             self.core.told.status(call, answer)
--- a/glencleat/allocator/ledger.py
+++ b/glencleat/allocator/call_table.py
@@ -12,9 +12,9 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.late import merge
-from glencleat.allocator.tables import Fate, Step
-from glencleat.allocator.why import Record
+from glencleat.allocator.delivery_status import merge
+from glencleat.allocator.status_mapping import Fate, Step
+from glencleat.allocator.pending_reasons import Record
 from glencleat.mesos.messages import TaskInfo
 
 UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -15,20 +15,20 @@
 from typing import Any, Protocol
 
 from glencleat import interface as api
-from glencleat.allocator import late, tables
+from glencleat.allocator import delivery_status, status_mapping
 from glencleat.allocator.admission import Twins
-from glencleat.allocator.agent_side import AgentSide
+from glencleat.allocator.agent_sessions import AgentSide
 from glencleat.allocator.contract import Contract, Module
-from glencleat.allocator.early import Early
-from glencleat.allocator.figures import Figures
+from glencleat.allocator.admission_queue import Early
+from glencleat.allocator.counters import Figures
 from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.ledger import Attempt, Call, Given, Ledger
-from glencleat.allocator.members import Members, State
-from glencleat.allocator.middle import Timing
+from glencleat.allocator.call_table import Attempt, Call, Given, Ledger
+from glencleat.allocator.agent_membership import Members, State
+from glencleat.allocator.ports import Timing
 from glencleat.allocator.options import Options
-from glencleat.allocator.owner_side import OwnerSide
-from glencleat.allocator.recovery import Opening
-from glencleat.allocator.seam import (
+from glencleat.allocator.framework_sessions import OwnerSide
+from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.domain_events import (
     AgentSeen,
     Answered,
     Asking,
@@ -43,8 +43,8 @@
     Sent,
     Verdict,
 )
-from glencleat.allocator.telling import Telling
-from glencleat.allocator.tables import Answer, Step
+from glencleat.allocator.event_dispatcher import Telling
+from glencleat.allocator.status_mapping import Answer, Step
 from glencleat.mesos import messages as m
 
 
@@ -157,7 +157,7 @@
             return
         left = call.ask.left_ms - (self.now() - call.taken_at)
         if left <= 0.0:
-            self.answer(call, Given.REFUSED, tables.refusal(False))
+            self.answer(call, Given.REFUSED, status_mapping.refusal(False))
         else:
             self.tell_asked(call, left)
 
@@ -205,9 +205,9 @@
             self._bind(action)
         elif isinstance(action, api.Refuse):
             call = self.ledger.calls[action.call]
-            self.answer(call, Given.REFUSED, tables.refusal(call.may_have_run()))
+            self.answer(call, Given.REFUSED, status_mapping.refusal(call.may_have_run()))
         elif isinstance(action, api.Fail):
-            self.answer(self.ledger.calls[action.call], Given.FAILED, tables.failure())
+            self.answer(self.ledger.calls[action.call], Given.FAILED, status_mapping.failure())
         elif isinstance(action, api.SetTimer):
             token = action.token
             self.timing.call_in(action.in_ms, lambda: self.tell(api.TimerDue(token)))
@@ -267,20 +267,20 @@
         )
         return m.encode(m.ExecutorEvent("LAUNCH", launch=m.LaunchEvent(info)))
 
-    def handed(self, attempt: Attempt) -> late.Handed:
+    def handed(self, attempt: Attempt) -> delivery_status.Handed:
         session: Any = attempt.session
         if session is None:
-            return late.Handed.NOTHING
-        return late.handed(session.written(), attempt.begin, attempt.end)
+            return delivery_status.Handed.NOTHING
+        return delivery_status.handed(session.written(), attempt.begin, attempt.end)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if attempt.back:
             return
-        verdict = late.on_timeout(attempt.step, self.handed(attempt))
-        if verdict.do is late.Do.CUT:
+        verdict = delivery_status.on_timeout(attempt.step, self.handed(attempt))
+        if verdict.do is delivery_status.Do.CUT:
             session: Any = attempt.session
             session.close("the agent does not read")  # ends as a lost session, which settles the attempt
-        if verdict.do is not late.Do.IGNORE and not attempt.back:
+        if verdict.do is not delivery_status.Do.IGNORE and not attempt.back:
             self.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
     def give_up(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
@@ -318,9 +318,9 @@
     def _withdrawn(self, call: Call) -> None:
         """The owner killed the task while an attempt was out, and the attempt is back."""
         if call.may_have_run():
-            self.answer(call, Given.FAILED, tables.failure())
+            self.answer(call, Given.FAILED, status_mapping.failure())
         else:
-            self.answer(call, Given.REFUSED, Answer(tables.KILLED, tables.Retry.HARMLESS))
+            self.answer(call, Given.REFUSED, Answer(status_mapping.KILLED, status_mapping.Retry.HARMLESS))
 
     def stop_timer(self, attempt: Attempt) -> None:
         timer: Any = attempt.timer
@@ -439,14 +439,14 @@
             if call.told:
                 self.tell(api.Left(call.number))
             out = call.out()
-            if out is not None and self.handed(out) is not late.Handed.WHOLE:
+            if out is not None and self.handed(out) is not delivery_status.Handed.WHOLE:
                 session: Any = out.session
                 session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
             elif out is not None:
                 self.kill(out)
             if call.given is None:
                 may = call.may_have_run() and call.effect is not api.Effect.SAFE
-                answer = tables.failure() if may else tables.refusal(call.may_have_run())
+                answer = status_mapping.failure() if may else status_mapping.refusal(call.may_have_run())
                 self.answer(call, Given.FAILED if may else Given.REFUSED, answer)
 
     def framework_of(self, call: Call) -> Framework | None:
--- a/glencleat/allocator/figures.py
+++ b/glencleat/allocator/counters.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from glencleat.allocator.ledger import Given, Ledger
+from glencleat.allocator.call_table import Given, Ledger
 
 
 class Figures:
--- a/glencleat/allocator/late.py
+++ b/glencleat/allocator/delivery_status.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.tables import Fate, Step
+from glencleat.allocator.status_mapping import Fate, Step
 
 
 class Handed(Enum):
--- a/glencleat/allocator/seam.py
+++ b/glencleat/allocator/domain_events.py
@@ -14,8 +14,8 @@
 from typing import Protocol
 
 from glencleat import interface as api
-from glencleat.allocator.ledger import Ask, Attempt, Call, Given
-from glencleat.allocator.tables import Answer
+from glencleat.allocator.call_table import Ask, Attempt, Call, Given
+from glencleat.allocator.status_mapping import Answer
 
 
 @dataclass(frozen=True, slots=True)
--- a/glencleat/allocator/owner_side.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -7,15 +7,15 @@
 from typing import Any
 
 from glencleat import interface as api
-from glencleat.allocator import admission, tables
-from glencleat.allocator.asks import BadAsk, read
+from glencleat.allocator import admission, status_mapping
+from glencleat.allocator.task_requests import BadAsk, read
 from glencleat.allocator.frameworks import Framework
-from glencleat.allocator.ledger import Ask, Call, Given
-from glencleat.allocator.middle import Middle
-from glencleat.allocator.reconciling import Reconciling
-from glencleat.allocator.seam import Asking, Taken, Told, Verdict
-from glencleat.allocator.tables import Answer, Retry
-from glencleat.allocator.why import Record
+from glencleat.allocator.call_table import Ask, Call, Given
+from glencleat.allocator.ports import Middle
+from glencleat.allocator.reconciliation import Reconciling
+from glencleat.allocator.domain_events import Asking, Taken, Told, Verdict
+from glencleat.allocator.status_mapping import Answer, Retry
+from glencleat.allocator.pending_reasons import Record
 from glencleat.mesos import messages as m
 
 
@@ -117,7 +117,7 @@
                     self._launch(framework, info)
                 else:
                     text = "the offer is not valid any more; expected one that was made in this session"
-                    answer = Answer(tables.DROPPED, Retry.HARMLESS, tables.INVALID_OFFERS)
+                    answer = Answer(status_mapping.DROPPED, Retry.HARMLESS, status_mapping.INVALID_OFFERS)
                     self._turn_away(framework, info, answer, text)
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
@@ -135,7 +135,7 @@
         try:
             ask = read(info, core.classes, core.options.default_class, core.options.answer_margin_ms)
         except BadAsk as error:
-            answer = Answer(tables.ERROR, Retry.NEVER, tables.TASK_INVALID)
+            answer = Answer(status_mapping.ERROR, Retry.NEVER, status_mapping.TASK_INVALID)
             self._turn_away(framework, info, answer, str(error))
             return
         taken = self._take(framework.id, framework.role(), info, ask)
@@ -149,10 +149,10 @@
         """Why a task that is no repeat of one in hand is not taken, before what it asks for is looked at."""
         core = self.core
         if admission.repeats(before) == "never" and before is not None:
-            return Verdict(tables.reconciled(before.fate()), "it may have run before")
+            return Verdict(status_mapping.reconciled(before.fate()), "it may have run before")
         load = admission.Load(core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending)
         why = admission.refuses(load, core.options.limits)
-        return Verdict(tables.refusal(False), why) if why is not None else None
+        return Verdict(status_mapping.refusal(False), why) if why is not None else None
 
     def _take(self, owner: str, tenant: str | None, info: m.TaskInfo, ask: Ask) -> Call | Verdict:
         core = self.core
@@ -200,7 +200,7 @@
     def kill(self, framework: Framework, task_id: str) -> None:
         call = self.core.ledger.task(framework.id, task_id)
         if call is None:
-            answer = Answer(tables.UNKNOWN, Retry.RECONCILE, tables.RECONCILIATION)
+            answer = Answer(status_mapping.UNKNOWN, Retry.RECONCILE, status_mapping.RECONCILIATION)
             self._status(framework, task_id, answer, None, "no such task here", acked=False)
         else:
             self.withdraw(call)
@@ -218,9 +218,9 @@
             core.kill(out)
         elif call.given is None:
             if call.may_have_run() and call.effect is not api.Effect.SAFE:
-                core.answer(call, Given.FAILED, tables.failure())
+                core.answer(call, Given.FAILED, status_mapping.failure())
             else:
-                core.answer(call, Given.REFUSED, Answer(tables.KILLED, Retry.HARMLESS))
+                core.answer(call, Given.REFUSED, Answer(status_mapping.KILLED, Retry.HARMLESS))
 
     # ---- updates ----
 
@@ -261,10 +261,10 @@
 
     def _reconciled(self, framework: Framework, task_id: str, call: Call | None) -> None:
         if call is not None and call.given is None:
-            answer, machine = Answer(tables.STAGING, Retry.NEVER, tables.RECONCILIATION), None
+            answer, machine = Answer(status_mapping.STAGING, Retry.NEVER, status_mapping.RECONCILIATION), None
         else:
             last = call.last() if call is not None else None
-            accepted = last is not None and last.step is tables.Step.ACCEPTED
-            answer = tables.reconciled(None if call is None else call.fate(), accepted)
+            accepted = last is not None and last.step is status_mapping.Step.ACCEPTED
+            answer = status_mapping.reconciled(None if call is None else call.fate(), accepted)
             machine = last.machine if last is not None and call is not None and call.placed() else None
         self._status(framework, task_id, answer, machine, acked=False)
--- a/glencleat/allocator/middle.py
+++ b/glencleat/allocator/ports.py
@@ -10,15 +10,15 @@
 from typing import Any, Protocol
 
 from glencleat import interface as api
-from glencleat.allocator import late
-from glencleat.allocator.figures import Figures
+from glencleat.allocator import delivery_status
+from glencleat.allocator.counters import Figures
 from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.ledger import Attempt, Call, Given, Ledger
-from glencleat.allocator.members import Members
+from glencleat.allocator.call_table import Attempt, Call, Given, Ledger
+from glencleat.allocator.agent_membership import Members
 from glencleat.allocator.options import Options
-from glencleat.allocator.recovery import Opening
-from glencleat.allocator.seam import Asking, Happened, Hear, Verdict
-from glencleat.allocator.tables import Answer
+from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.domain_events import Asking, Happened, Hear, Verdict
+from glencleat.allocator.status_mapping import Answer
 from glencleat.mesos import messages as m
 
 
@@ -66,7 +66,7 @@
     def answer(self, call: Call, given: Given, answer: Answer) -> None: ...
     def kill(self, attempt: Attempt) -> None: ...
     def give_up(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None: ...
-    def handed(self, attempt: Attempt) -> late.Handed: ...
+    def handed(self, attempt: Attempt) -> delivery_status.Handed: ...
     def stop_timer(self, attempt: Attempt) -> None: ...
     def probe_back(self, machine: str, number: int, report: api.Report | None) -> None: ...
     def open_up(self) -> None: ...
--- a/glencleat/allocator/reconciling.py
+++ b/glencleat/allocator/reconciliation.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from glencleat.allocator.frameworks import Framework
-from glencleat.allocator.ledger import Call
-from glencleat.allocator.seam import Happened, Opened
+from glencleat.allocator.call_table import Call
+from glencleat.allocator.domain_events import Happened, Opened
 
 if TYPE_CHECKING:
-    from glencleat.allocator.middle import Middle
+    from glencleat.allocator.ports import Middle
 
 TURN = 200  # answers in one turn of the loop: some 5 ms
 SHARE = 50  # of one owner before the next has its turn
--- a/glencleat/allocator/asks.py
+++ b/glencleat/allocator/task_requests.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from glencleat import interface as api
-from glencleat.allocator.ledger import Ask
+from glencleat.allocator.call_table import Ask
 from glencleat.mesos.messages import TaskInfo, label, scalar
 
 TEXT_MOST = 256  # characters of an id, a service or a key
--- a/glencleat/fronts/directory.py
+++ b/glencleat/fronts/directory.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from glencleat import interface as api
-from glencleat.allocator.listing import Listing
+from glencleat.allocator.endpoint_list import Listing
 from glencleat.flow_control.backoff import Asking
 from glencleat.event_loop import Loop, Stream, StreamClosed, Task
 from glencleat.event_loop.loop import Coroutine
--- a/glencleat/fronts/executor_api.py
+++ b/glencleat/fronts/executor_api.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from glencleat.allocator.agent_side import NotSubscribed
+from glencleat.allocator.agent_sessions import NotSubscribed
 from glencleat.allocator.core import Core
-from glencleat.allocator.members import Refused
+from glencleat.allocator.agent_membership import Refused
 from glencleat.fronts.server import RecordLink, Subscribe, json_call, need, unreadable
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
--- a/glencleat/fronts/kept_list.py
+++ b/glencleat/fronts/kept_list.py
@@ -12,7 +12,7 @@
 from typing import BinaryIO
 
 from glencleat import interface as api
-from glencleat.allocator.listing import Listing
+from glencleat.allocator.endpoint_list import Listing
 from glencleat import endpoint_snapshot
 from glencleat.event_loop import Loop
 
--- a/glencleat/fronts/metrics.py
+++ b/glencleat/fronts/metrics.py
@@ -13,8 +13,8 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 from glencleat.allocator.core import Core
-from glencleat.allocator.ledger import Given
-from glencleat.allocator.members import State
+from glencleat.allocator.call_table import Given
+from glencleat.allocator.agent_membership import State
 from glencleat.fronts.rest_api import RestApi
 from glencleat.mesos.http import HttpError, Request, Response
 from glencleat.rest.plane import Plane
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -20,7 +20,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.contract import Contract, Module
-from glencleat.allocator.telling import Telling
+from glencleat.allocator.event_dispatcher import Telling
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol import value_mapping
 from glencleat.platform_protocol.command_channel import News
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -14,9 +14,9 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.allocator.ledger import Call, Given
-from glencleat.allocator.tables import DROPPED, FINISHED, UNREACHABLE, Answer, Retry
-from glencleat.allocator.why import Record
+from glencleat.allocator.call_table import Call, Given
+from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, Answer, Retry
+from glencleat.allocator.pending_reasons import Record
 from glencleat.rest.schema import JobSpec, JobStatus
 
 PAUSE_MS, PAUSE_MOST_MS = 250.0, 4_000.0  # after the first refused round; doubled up to
--- a/glencleat/rest/mirror.py
+++ b/glencleat/rest/mirror.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 
 from glencleat import interface as api
-from glencleat.allocator.ledger import Call
-from glencleat.allocator.middle import Middle
-from glencleat.allocator.recovery import Opening
-from glencleat.allocator.seam import (
+from glencleat.allocator.call_table import Call
+from glencleat.allocator.ports import Middle
+from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.domain_events import (
     AgentSeen,
     Answered,
     Back,
@@ -25,8 +25,8 @@
     Taken,
     Told,
 )
-from glencleat.allocator.tables import RUNNING, STAGING, STARTING, UNREACHABLE, Answer
-from glencleat.allocator.why import Record
+from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, Answer
+from glencleat.allocator.pending_reasons import Record
 from glencleat.rest import reasons
 from glencleat.rest import schema as s
 from glencleat.rest.channels import Channels
--- a/glencleat/rest/reasons.py
+++ b/glencleat/rest/reasons.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from glencleat import interface as api
-from glencleat.allocator.why import CAUSES, SAID, Reason, Record
+from glencleat.allocator.pending_reasons import CAUSES, SAID, Reason, Record
 from glencleat.rest.schema import Cause, Why
 
 Shape = tuple[str, str, float, float]  # class, service, cores, memory
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from glencleat import interface as api
-from glencleat.allocator.agent_side import NotSubscribed
+from glencleat.allocator.agent_sessions import NotSubscribed
 from glencleat.flow_control.backoff import Asking
 from glencleat.fronts.directory import DirectoryClient
 from glencleat.fronts.executor_api import ExecutorApi
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,16 +6,16 @@
 from hypothesis import strategies as st
 
 from glencleat import interface as api
-from glencleat.allocator import admission, late, tables
+from glencleat.allocator import admission, delivery_status, status_mapping
 from glencleat.allocator.contract import Contract, ContractError
 from glencleat.allocator.frameworks import Frameworks
 from glencleat.allocator.frameworks import Refused as FrameworkRefused
-from glencleat.allocator.late import Do, Handed, Late
-from glencleat.allocator.ledger import Ask, Attempt, Call, Given, Ledger
-from glencleat.allocator.listing import Listing
-from glencleat.allocator.members import Members, Refused, State, split_id
-from glencleat.allocator.recovery import Opening
-from glencleat.allocator.tables import Fate, Step
+from glencleat.allocator.delivery_status import Do, Handed, Late
+from glencleat.allocator.call_table import Ask, Attempt, Call, Given, Ledger
+from glencleat.allocator.endpoint_list import Listing
+from glencleat.allocator.agent_membership import Members, Refused, State, split_id
+from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.status_mapping import Fate, Step
 from glencleat.mesos import messages as m
 
 # ---- late ----
@@ -23,7 +23,7 @@
 
 @given(st.integers(0, 100), st.integers(0, 100), st.integers(1, 50))
 def test_a_record_is_whole_only_with_its_last_byte(written, begin, length):
-    told = late.handed(written, begin, begin + length)
+    told = delivery_status.handed(written, begin, begin + length)
     assert (told is Handed.WHOLE) == (written >= begin + length)
     assert (told is Handed.NOTHING) == (written <= begin)
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("step", Step)
 @pytest.mark.parametrize("out", Handed)
 def test_a_lost_session_never_says_not_run_of_what_was_handed_over(step, out, effect):
-    verdict = late.on_session_lost(step, out, effect)
+    verdict = delivery_status.on_session_lost(step, out, effect)
     if verdict.do is Do.RETURN and out is Handed.WHOLE:
         assert verdict.may_have_run and verdict.outcome is api.Outcome.LOST and effect is api.Effect.SAFE
     if step is Step.OUT and out is not Handed.WHOLE:
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("step", Step)
 @pytest.mark.parametrize("out", Handed)
 def test_a_time_out_cuts_what_is_not_handed_over(step, out):
-    verdict = late.on_timeout(step, out)
+    verdict = delivery_status.on_timeout(step, out)
     assert (verdict.do is Do.IGNORE) == (step is not Step.OUT)
     if step is Step.OUT:
         assert (verdict.do is Do.CUT) == (out is not Handed.WHOLE)
@@ -54,37 +54,37 @@
 @pytest.mark.parametrize("step", [Step.OUT, Step.ACCEPTED, Step.RUNS])
 @pytest.mark.parametrize("same", [True, False])
 def test_only_the_same_run_can_say_that_it_never_had_it(step, same):
-    verdict = late.on_resubscribe(step, False, same)
+    verdict = delivery_status.on_resubscribe(step, False, same)
     assert verdict.may_have_run == (not (step is Step.OUT and same))
-    assert late.on_resubscribe(step, True, same).do is Do.IGNORE
+    assert delivery_status.on_resubscribe(step, True, same).do is Do.IGNORE
 
 
 def test_late_yeses():
-    assert late.on_late_yes("failed", False, False, False, False) is Late.ADOPT
-    assert late.on_late_yes("served", True, False, False, False) is Late.ADOPT
+    assert delivery_status.on_late_yes("failed", False, False, False, False) is Late.ADOPT
+    assert delivery_status.on_late_yes("served", True, False, False, False) is Late.ADOPT
     assert (
-        late.on_late_yes("served", False, False, False, False) is Late.KILL
+        delivery_status.on_late_yes("served", False, False, False, False) is Late.KILL
     )  # a copy of what ended elsewhere
-    assert late.on_late_yes("refused", False, False, False, False) is Late.KILL
+    assert delivery_status.on_late_yes("refused", False, False, False, False) is Late.KILL
     for others in ((True, False, False), (False, True, False), (False, False, True)):
-        assert late.on_late_yes("failed", True, *others) is Late.KILL
+        assert delivery_status.on_late_yes("failed", True, *others) is Late.KILL
 
 
 @given(st.lists(st.sampled_from(Fate)))
 def test_a_task_never_ran_only_if_no_attempt_did(fates):
-    told = late.merge(fates)
+    told = delivery_status.merge(fates)
     assert (told is Fate.NEVER_RAN) == all(f is Fate.NEVER_RAN for f in fates)
     assert told is Fate.RUNS if Fate.RUNS in fates else True
 
 
 # ---- tables ----
 
-STATES = [getattr(tables, n) for n in dir(tables) if str(getattr(tables, n)).startswith("TASK_")]
+STATES = [getattr(status_mapping, n) for n in dir(status_mapping) if str(getattr(status_mapping, n)).startswith("TASK_")]
 
 
 @pytest.mark.parametrize("state", STATES)
 def test_only_two_states_say_that_nothing_ran(state):
-    told = tables.read_status(state, None, None)
+    told = status_mapping.read_status(state, None, None)
     if told is not None and told.step is Step.OVER:
         assert told.ran == (state not in ("TASK_DROPPED", "TASK_ERROR"))
         assert (told.outcome is api.Outcome.REFUSED) == (not told.ran)
@@ -97,13 +97,13 @@
     [("cores", api.Why.CORES), ("line", api.Why.LINE), ("odd", api.Why.NONE), (None, api.Why.NONE)],
 )
 def test_causes(cause, why):
-    assert tables.read_status("TASK_DROPPED", None, cause).why is why
+    assert status_mapping.read_status("TASK_DROPPED", None, cause).why is why
 
 
 def test_an_answer_promises_no_more_than_is_known():
-    assert tables.refusal(False).state == "TASK_DROPPED" and tables.refusal(True).state == "TASK_LOST"
-    assert tables.failure().retry is tables.Retry.RECONCILE
-    harmless = {f for f in (*Fate, None) if tables.reconciled(f).retry is tables.Retry.HARMLESS}
+    assert status_mapping.refusal(False).state == "TASK_DROPPED" and status_mapping.refusal(True).state == "TASK_LOST"
+    assert status_mapping.failure().retry is status_mapping.Retry.RECONCILE
+    harmless = {f for f in (*Fate, None) if status_mapping.reconciled(f).retry is status_mapping.Retry.HARMLESS}
     assert harmless == {Fate.NEVER_RAN}
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -127,5 +127,5 @@
     assert packages <= allowed
     assert {name for name in ours if name.startswith("glencleat.allocator.")} <= {
         "glencleat.allocator.contract",
-        "glencleat.allocator.telling",
+        "glencleat.allocator.event_dispatcher",
     }
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from glencleat import interface as api
-from glencleat.allocator.recovery import Opening
+from glencleat.allocator.startup_gate import Opening
 from glencleat.fronts.rest_api import RestApi
 from glencleat.mesos.http import Request
 from glencleat.rest import overload, plane
--- a/tests/test_rest_state.py
+++ b/tests/test_rest_state.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from glencleat import interface as api
-from glencleat.allocator import tables
-from glencleat.allocator.ledger import Given
-from glencleat.allocator.tables import Answer, Retry
-from glencleat.allocator.why import Record as Reasons
+from glencleat.allocator import status_mapping
+from glencleat.allocator.call_table import Given
+from glencleat.allocator.status_mapping import Answer, Retry
+from glencleat.allocator.pending_reasons import Record as Reasons
 from glencleat.rest import channels, jobs, overload, reasons
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import Bucket, Job, Keys, Slot, Step, Turns
@@ -283,9 +283,9 @@
     return made
 
 
-DROPPED = Answer(tables.DROPPED, Retry.HARMLESS)
-MAYBE = Answer(tables.LOST, Retry.HARMLESS)
-LOST = Answer(tables.LOST, Retry.RECONCILE)
+DROPPED = Answer(status_mapping.DROPPED, Retry.HARMLESS)
+MAYBE = Answer(status_mapping.LOST, Retry.HARMLESS)
+LOST = Answer(status_mapping.LOST, Retry.RECONCILE)
 U, K, S = api.Effect.UNSAFE, api.Effect.KEYED, api.Effect.SAFE
 
 
@@ -301,7 +301,7 @@
         (U, Given.REFUSED, MAYBE, 0.0, False, Step.OVER),  # it may have run
         (S, Given.REFUSED, DROPPED, 19_500.0, False, Step.OVER),  # no time for another round
         (S, Given.REFUSED, DROPPED, 0.0, True, Step.OVER),
-        (S, Given.REFUSED, Answer(tables.ERROR, Retry.NEVER), 0.0, False, Step.OVER),
+        (S, Given.REFUSED, Answer(status_mapping.ERROR, Retry.NEVER), 0.0, False, Step.OVER),
         (U, Given.FAILED, LOST, 0.0, False, Step.OVER),
         (S, Given.FAILED, DROPPED, 0.0, False, Step.OVER),
     ],
@@ -331,16 +331,16 @@
 @pytest.mark.parametrize(
     ("effect", "lost", "state", "retry", "cancelled", "step"),
     [
-        (S, "again", tables.KILLED, Retry.HARMLESS, False, Step.PAUSED),
-        (K, "again", tables.FAILED, Retry.HARMLESS, False, Step.PAUSED),
-        (U, "again", tables.KILLED, Retry.HARMLESS, False, Step.OVER),
-        (S, "leave", tables.KILLED, Retry.HARMLESS, False, Step.OVER),
-        (S, "again", tables.FINISHED, Retry.NEVER, False, Step.OVER),
-        (S, "again", tables.KILLED, Retry.HARMLESS, True, Step.OVER),
-        (S, "again", tables.UNREACHABLE, Retry.HARMLESS, False, Step.PAUSED),
-        (S, "leave", tables.UNREACHABLE, Retry.HARMLESS, False, Step.PLACED),
-        (K, "again", tables.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
-        (U, "again", tables.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
+        (S, "again", status_mapping.KILLED, Retry.HARMLESS, False, Step.PAUSED),
+        (K, "again", status_mapping.FAILED, Retry.HARMLESS, False, Step.PAUSED),
+        (U, "again", status_mapping.KILLED, Retry.HARMLESS, False, Step.OVER),
+        (S, "leave", status_mapping.KILLED, Retry.HARMLESS, False, Step.OVER),
+        (S, "again", status_mapping.FINISHED, Retry.NEVER, False, Step.OVER),
+        (S, "again", status_mapping.KILLED, Retry.HARMLESS, True, Step.OVER),
+        (S, "again", status_mapping.UNREACHABLE, Retry.HARMLESS, False, Step.PAUSED),
+        (S, "leave", status_mapping.UNREACHABLE, Retry.HARMLESS, False, Step.PLACED),
+        (K, "again", status_mapping.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
+        (U, "again", status_mapping.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
     ],
 )
 def test_what_follows_a_placed_tasks_end(effect, lost, state, retry, cancelled, step):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from glencleat.allocator import reconciling
-from glencleat.allocator.reconciling import TURN
-from glencleat.allocator.recovery import Opening
+from glencleat.allocator import reconciliation
+from glencleat.allocator.reconciliation import TURN
+from glencleat.allocator.startup_gate import Opening
 from glencleat.fronts.metrics import MetricsApi
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
@@ -233,7 +233,7 @@
 
 
 def test_questions_are_bounded_and_go_with_their_owner(monkeypatch):
-    monkeypatch.setattr(reconciling, "MOST", 600)
+    monkeypatch.setattr(reconciliation, "MOST", 600)
     cluster = Cluster(1)
     cluster.core.opening.done = False
     owner, other = Owner(cluster).subscribe(), Owner(cluster, "other").subscribe()
