--- a/benchmarks/watch_index.py
+++ b/benchmarks/watch_index.py
@@ -6,10 +6,10 @@
 from random import Random
 
 from benchmarks.common import table
-from glencleat.rest import channels
+from glencleat.rest import watches
 from glencleat.rest import schema as s
 from glencleat.rest.selector import matches, parse
-from glencleat.rest.versions import Versions
+from glencleat.rest.version_store import Versions
 
 EVENTS, TASKS = 4_000, 20_000
 
@@ -32,7 +32,7 @@
     kinds = 1 if same else watchers
     random = Random(3)
     told = Versions("e", {"k": EVENTS})
-    hub = channels.Channels(channels.Limits(watchers, watchers, lines=EVENTS), told.told)
+    hub = watches.Channels(watches.Limits(watchers, watchers, lines=EVENTS), told.told)
     asked = []
     for i in range(watchers):
         selector = parse(f".service=s{i % kinds},.state!=st2")
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -25,8 +25,8 @@
 from glencleat.fronts.server import Handler, Limits, Server, plain
 from glencleat.event_loop import Loop, Signals
 from glencleat.policy.scheduler import Scheduler
-from glencleat.rest import plane as rest
-from glencleat.rest.channels import Limits as WatchLimits
+from glencleat.rest import service as rest
+from glencleat.rest.watches import Limits as WatchLimits
 from glencleat.rest.overload import Limits as GateLimits
 
 MB = 1 << 20
--- a/glencleat/fronts/metrics.py
+++ b/glencleat/fronts/metrics.py
@@ -17,7 +17,7 @@
 from glencleat.allocator.agent_membership import State
 from glencleat.fronts.rest_api import RestApi
 from glencleat.mesos.http import HttpError, Request, Response
-from glencleat.rest.plane import Plane
+from glencleat.rest.service import Plane
 
 
 RETRY_AFTER = "1"  # seconds; nothing that it waits for comes in steps longer than this
--- a/glencleat/fronts/rest_api.py
+++ b/glencleat/fronts/rest_api.py
@@ -19,13 +19,13 @@
 from glencleat.event_loop import StreamClosed
 from glencleat.event_loop.loop import Coroutine, Task
 from glencleat.mesos.http import HttpError, Request, Response
-from glencleat.rest import channels, openapi, overload
+from glencleat.rest import watches, openapi, overload
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import Bucket
-from glencleat.rest.plane import Conflict, Plane, TooMuch
+from glencleat.rest.service import Conflict, Plane, TooMuch
 from glencleat.rest.routes import ROUTES, Route
 from glencleat.rest.selector import BadSelector, Selector, parse
-from glencleat.rest.versions import Event, Gone, Key, Record
+from glencleat.rest.version_store import Event, Gone, Key, Record
 
 JSON, PROBLEM, LINES = "application/json", "application/problem+json", "application/x-ndjson"
 TARGET_MOST = 4_096  # characters
@@ -86,7 +86,7 @@
     def __init__(self, plane: Plane) -> None:
         self.plane, self.core = plane, plane.core
         self.peers: dict[object, Peer] = {}
-        self.watchers: dict[channels.Watcher, Sink] = {}
+        self.watchers: dict[watches.Watcher, Sink] = {}
         self.requests: dict[int, int] = {}  # by status
         self.document: bytes | None = None
         plane.cut = self._cut
@@ -281,14 +281,14 @@
             lambda: self.plane.channels.leave(watcher),
         )
 
-    def join(self, kind: str, tenant: str | None, selector: Selector, query: s.Query) -> channels.Watcher:
+    def join(self, kind: str, tenant: str | None, selector: Selector, query: s.Query) -> watches.Watcher:
         """A watcher that has all from the query's version on before it; raises HttpError, Gone or TooMuch."""
         if query.next:
             raise HttpError(400, "a watch has no pages: expected no continue")
         plane = self.plane
         try:
             plane.channels.check(tenant)
-        except channels.Refused as error:
+        except watches.Refused as error:
             raise TooMuch(overload.Turned(503, str(error), 5_000.0)) from None
         if query.resource_version:
             try:
@@ -307,7 +307,7 @@
             change = event.type_for(selector)
             if change is None or tenant not in (None, event.record.key[0]):
                 continue
-            lines.append(channels.line(event, change, self.plane.versions.told))
+            lines.append(watches.line(event, change, self.plane.versions.told))
             size += len(lines[-1])
             if size > self.plane.limits.watch.piece:
                 yield b"".join(lines)
@@ -323,15 +323,15 @@
         versions, after = self.plane.versions, None
         while True:
             records, after = versions.page(kind, version, selector, FIRST, after, tenant)
-            lines = [channels.wrap("ADDED", self._bytes(record)) for record in records]
+            lines = [watches.wrap("ADDED", self._bytes(record)) for record in records]
             if after is None:
-                lines.append(channels.bookmark(versions.told(version)))
+                lines.append(watches.bookmark(versions.told(version)))
             if lines:
                 yield b"".join(lines)
             if after is None:
                 return
 
-    def _fill(self, sink: Sink, watcher: channels.Watcher, timeout_ms: float) -> Coroutine:
+    def _fill(self, sink: Sink, watcher: watches.Watcher, timeout_ms: float) -> Coroutine:
         """The watch's coroutine: takes pieces as the socket does, waits for news, and tells why it ends."""
         plane, core = self.plane, self.core
         self.watchers[watcher] = sink
@@ -352,16 +352,16 @@
                         yield from self._news(sink, watcher, until - core.now())
                 elif watcher.cut is None and began - watcher.told_at >= BOOKMARK_MS:
                     watcher.told_at = began
-                    sending = sink.send(channels.bookmark(plane.versions.told()))
+                    sending = sink.send(watches.bookmark(plane.versions.told()))
                     plane.share.spent(core.timing.now() - began)
                     yield from sending
                 elif watcher.cut is None:
                     quiet = watcher.told_at + BOOKMARK_MS - began
                     yield from self._news(sink, watcher, min(quiet, until - began))
             if watcher.cut is not None:
-                last = channels.problem_line(410, "Gone", watcher.cut)
+                last = watches.problem_line(410, "Gone", watcher.cut)
             else:
-                last = channels.bookmark(plane.versions.told())
+                last = watches.bookmark(plane.versions.told())
             yield from sink.last(last, watcher.cut or "watch timeout", LAST_MS)
         except StreamClosed:
             pass
@@ -372,7 +372,7 @@
             self.watchers.pop(watcher, None)
             plane.channels.leave(watcher)
 
-    def _news(self, sink: Sink, watcher: channels.Watcher, wait_ms: float) -> Coroutine:
+    def _news(self, sink: Sink, watcher: watches.Watcher, wait_ms: float) -> Coroutine:
         """Waits for news, or for the time to be over; raises StreamClosed at the connection's end.
 
         When the time is over the watcher queues for its turn like one with news: a thousand that began
@@ -401,12 +401,12 @@
         if sink.closed:
             raise StreamClosed(sink.stream.closed or "")
 
-    def _blocked(self, watcher: channels.Watcher) -> bool:
+    def _blocked(self, watcher: watches.Watcher) -> bool:
         """Whether it is the reader that does not take what lies ready, and not we that have not told it."""
         sink = self.watchers.get(watcher)
         return sink is not None and bool(sink.stream.out)
 
-    def _cut(self, watcher: channels.Watcher) -> None:
+    def _cut(self, watcher: watches.Watcher) -> None:
         """The watcher stands still and is marked as cut: its coroutine waits in a send. If the reader takes
         that in a last while, the coroutine goes on and tells it why; else the connection ends."""
         sink = self.watchers.get(watcher)
--- a/glencleat/rest/mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -29,9 +29,9 @@
 from glencleat.allocator.pending_reasons import Record
 from glencleat.rest import reasons
 from glencleat.rest import schema as s
-from glencleat.rest.channels import Channels
+from glencleat.rest.watches import Channels
 from glencleat.rest.jobs import Job, Slot, Step
-from glencleat.rest.versions import Event, Key, Versions
+from glencleat.rest.version_store import Event, Key, Versions
 
 LIVE = (STAGING, STARTING, RUNNING, UNREACHABLE)
 NO_TENANT = "*"  # Mesos' default role
--- a/glencleat/rest/plane.py
+++ b/glencleat/rest/service.py
@@ -25,11 +25,11 @@
 from glencleat.mesos import messages as m
 from glencleat.rest import overload
 from glencleat.rest import schema as s
-from glencleat.rest.channels import Channels
-from glencleat.rest.channels import Limits as WatchLimits
+from glencleat.rest.watches import Channels
+from glencleat.rest.watches import Limits as WatchLimits
 from glencleat.rest.jobs import Job, Keys, Next, Slot, Step, Turns, after_end, after_round, round_ms
-from glencleat.rest.mirror import Mirror, Seen
-from glencleat.rest.versions import Versions
+from glencleat.rest.resource_mirror import Mirror, Seen
+from glencleat.rest.version_store import Versions
 
 PREFIX = "rest"
 FLUSH_MS = 2.0  # after the first change, all that changed meanwhile is published
--- a/glencleat/rest/channels.py
+++ b/glencleat/rest/watches.py
@@ -14,7 +14,7 @@
 
 from glencleat.rest.schema import Problem, encode, stamped
 from glencleat.rest.selector import Selector, anchors
-from glencleat.rest.versions import Event, Gone
+from glencleat.rest.version_store import Event, Gone
 
 Where = tuple[str, str | None, Selector]  # kind, tenant or all, selector
 
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -11,12 +11,12 @@
 from glencleat.allocator.startup_gate import Opening
 from glencleat.fronts.rest_api import RestApi
 from glencleat.mesos.http import Request
-from glencleat.rest import overload, plane
+from glencleat.rest import overload, service
 from glencleat.rest import schema as s
-from glencleat.rest.channels import Limits as WatchLimits
+from glencleat.rest.watches import Limits as WatchLimits
 from glencleat.rest.jobs import Step
 from glencleat.rest.selector import parse
-from glencleat.rest.versions import Gone
+from glencleat.rest.version_store import Gone
 from tests.fakes import Cluster, Owner
 
 JOB = {"class": "safe", "service": "svc", "cores": 1, "memory": 100}
@@ -27,7 +27,7 @@
 
     def __init__(self, machines=2, limits=None, **options):
         self.cluster = Cluster(machines, **options)
-        self.plane = plane.Plane(self.cluster.core, limits or plane.Limits(), 7)
+        self.plane = service.Plane(self.cluster.core, limits or service.Limits(), 7)
         self.api = RestApi(self.plane)
         self.core, self.timing, self.agents = self.cluster.core, self.cluster.timing, self.cluster.agents
         for agent in self.agents.values():
@@ -505,7 +505,7 @@
 
 
 def test_bounds_of_creations_and_connections():
-    limits = plane.Limits(
+    limits = service.Limits(
         gate=overload.Limits(waiting_each=5, connection_rate=1.0, connection_burst=4.0, ignored=2)
     )
     front = Front(0, limits)
@@ -530,11 +530,11 @@
     for i in range(30):
         front.create(f"j{i}")
     before = front.ask("GET", "/v1/jobs")[1]["resourceVersion"]
-    limits = plane.Limits(overload.Limits(waiting_each=31), WatchLimits(watchers=0), 5, 1, 1.0, 1)
+    limits = service.Limits(overload.Limits(waiting_each=31), WatchLimits(watchers=0), 5, 1, 1.0, 1)
     front.plane.retune(limits)
     assert front.create("k", key="k1")[0] == 201 and front.create("l", key="k2")[0] in (429, 503)
     assert front.ask("GET", f"/v1/jobs?watch=1&resourceVersion={before}")[0] == 503
-    front.plane.retune(plane.Limits(events=5))
+    front.plane.retune(service.Limits(events=5))
     for i in range(3):
         patch = {"labels": {"a": str(i)}}
         for name in ("j0", "j1", "j2"):
@@ -544,7 +544,7 @@
 
 
 def test_old_jobs_and_tasks_of_frameworks_go_in_time():
-    front = Front(1, plane.Limits(over_ms=5_000.0, ended=2))
+    front = Front(1, service.Limits(over_ms=5_000.0, ended=2))
     front.create()
     front.run()
     front.say("TASK_FINISHED")
@@ -627,7 +627,7 @@
 
     @initialize()
     def begin(self):
-        limits = plane.Limits(
+        limits = service.Limits(
             events=40, ended=3, over_ms=3_000.0, watch=WatchLimits(piece=2_000, stall_ms=1e9)
         )
         self.front = Front(2, limits)
@@ -730,7 +730,7 @@
             return
         self.front.cluster.check()
         waits = [
-            slot for job in self.front.plane.jobs.values() for slot in job.slots if slot.step in plane.WAITS
+            slot for job in self.front.plane.jobs.values() for slot in job.slots if slot.step in service.WAITS
         ]
         assert len(waits) == self.front.plane.waiting.total()
         for job in self.front.plane.jobs.values():
--- a/tests/test_rest_state.py
+++ b/tests/test_rest_state.py
@@ -12,11 +12,11 @@
 from glencleat.allocator.call_table import Given
 from glencleat.allocator.status_mapping import Answer, Retry
 from glencleat.allocator.pending_reasons import Record as Reasons
-from glencleat.rest import channels, jobs, overload, reasons
+from glencleat.rest import watches, jobs, overload, reasons
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import Bucket, Job, Keys, Slot, Step, Turns
 from glencleat.rest.selector import BadSelector, Term, anchors, matches, parse
-from glencleat.rest.versions import Gone, Versions
+from glencleat.rest.version_store import Gone, Versions
 
 # ---- selectors ----
 
@@ -111,7 +111,7 @@
 def test_any_list_and_watch_folds_to_the_servers_state(changes, text, tenant, kept, data):
     """Watches begin, stop and resume anywhere, take at any pace, over a log that forgets: no gap, no repeat."""
     versions = Versions("e", {"k": kept})
-    hub = channels.Channels(channels.Limits(lines=kept, piece=1), versions.told)
+    hub = watches.Channels(watches.Limits(lines=kept, piece=1), versions.told)
     selector = parse(text)
     seen, watcher, resume, past = {}, None, None, {}
     for key, change in changes:
@@ -139,7 +139,7 @@
                 kinds = [
                     (e, e.type_for(selector)) for e in events if tenant is None or e.record.key[0] == tenant
                 ]
-                early = iter([channels.line(e, kind, versions.told) for e, kind in kinds if kind is not None])
+                early = iter([watches.line(e, kind, versions.told) for e, kind in kinds if kind is not None])
             watcher = hub.join(("k", tenant, selector), early, 0.0)
         elif action in ("take", "stop") and watcher is not None:
             lines = []
@@ -172,7 +172,7 @@
 )
 def test_the_index_tells_whom_a_filter_over_all_would(changes, wheres):
     versions = Versions("e", {"k": 1_000})
-    hub = channels.Channels(channels.Limits(piece=1 << 20), versions.told)
+    hub = watches.Channels(watches.Limits(piece=1 << 20), versions.told)
     watchers = [
         (hub.join(("k", tenant, parse(text)), None, 0.0), parse(text), tenant, []) for text, tenant in wheres
     ]
@@ -188,7 +188,7 @@
         for _, selector, tenant, wanted in watchers:
             kind = event.type_for(selector)
             if kind is not None and tenant in (None, key[0]):
-                wanted.append(channels.line(event, kind, versions.told))
+                wanted.append(watches.line(event, kind, versions.told))
     for watcher, _, _, wanted in watchers:
         assert hub.take(watcher, 0.0) == b"".join(wanted)
 
@@ -207,7 +207,7 @@
 
 
 def test_a_page_looks_at_a_bounded_number_of_keys(monkeypatch):
-    monkeypatch.setattr("glencleat.rest.versions.SCANNED", 5)
+    monkeypatch.setattr("glencleat.rest.version_store.SCANNED", 5)
     versions = Versions("e", {"k": 100})
     for i in range(12):
         versions.put("k", ("t", f"{i:02}"), value(("t", f"{i:02}"), i), {"x": "1"} if i == 11 else {})
@@ -235,7 +235,7 @@
 
 def test_a_slow_watcher_is_cut_and_costs_nothing_meanwhile():
     versions = Versions("e", {"k": 100_000})
-    hub = channels.Channels(channels.Limits(lines=100, stall_ms=1_000.0), versions.told)
+    hub = watches.Channels(watches.Limits(lines=100, stall_ms=1_000.0), versions.told)
     slow, quick = (hub.join(("k", None, ()), None, 0.0) for _ in range(2))
     hub.take(slow, 0.0), hub.take(quick, 0.0)
     for i in range(300):
@@ -255,12 +255,12 @@
 
 
 def test_watches_are_bounded_in_all_and_by_tenant():
-    hub = channels.Channels(channels.Limits(watchers=3, each=2), lambda n: "v")
+    hub = watches.Channels(watches.Limits(watchers=3, each=2), lambda n: "v")
     joined = [hub.join(("k", "t", ()), None, 0.0) for _ in range(2)]
-    with pytest.raises(channels.Refused, match="of t are open"):
+    with pytest.raises(watches.Refused, match="of t are open"):
         hub.join(("k", "t", ()), None, 0.0)
     hub.join(("k", "u", ()), None, 0.0)
-    with pytest.raises(channels.Refused, match="3 watches"):
+    with pytest.raises(watches.Refused, match="3 watches"):
         hub.join(("k", "v", ()), None, 0.0)
     hub.leave(joined[0]), hub.leave(joined[0])
     assert hub.count == 2
