--- a/glencleat/fronts/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -15,7 +15,7 @@
 from glencleat.allocator.core import Core
 from glencleat.allocator.call_table import Given
 from glencleat.allocator.agent_membership import State
-from glencleat.fronts.rest_api import RestApi
+from glencleat.servers.rest_api import RestApi
 from glencleat.mesos.http import HttpError, Request, Response
 from glencleat.rest.service import Plane
 
--- a/tests/support/public_surface.py
+++ b/tests/support/public_surface.py
@@ -16,8 +16,8 @@
 from glencleat.cli.main import main
 from glencleat.config import load
 from glencleat.daemon import Daemon
-from glencleat.fronts.metrics import MetricsApi
-from glencleat.fronts.rest_api import RestApi
+from glencleat.servers.metrics import MetricsApi
+from glencleat.servers.rest_api import RestApi
 from glencleat.event_loop import Loop
 from glencleat.standins.script import load_campus, load_script
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -19,9 +19,9 @@
 from glencleat import interface as api
 from glencleat.allocator.agent_sessions import NotSubscribed
 from glencleat.flow_control.backoff import Asking
-from glencleat.fronts.directory import DirectoryClient
-from glencleat.fronts.executor_api import ExecutorApi
-from glencleat.fronts.scheduler_api import SchedulerApi
+from glencleat.servers.directory import DirectoryClient
+from glencleat.servers.executor_api import ExecutorApi
+from glencleat.servers.scheduler_api import SchedulerApi
 from glencleat.event_loop import Listener, Loop
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -9,7 +9,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.startup_gate import Opening
-from glencleat.fronts.rest_api import RestApi
+from glencleat.servers.rest_api import RestApi
 from glencleat.mesos.http import Request
 from glencleat.rest import overload, service
 from glencleat.rest import schema as s
@@ -348,7 +348,7 @@
 
 
 def test_a_framework_cannot_subscribe_as_a_job():
-    from glencleat.fronts.scheduler_api import SchedulerApi
+    from glencleat.servers.scheduler_api import SchedulerApi
     from glencleat.mesos import messages as m
     from glencleat.mesos.http import HttpError
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,7 +8,7 @@
 from glencleat.allocator import reconciliation
 from glencleat.allocator.reconciliation import TURN
 from glencleat.allocator.startup_gate import Opening
-from glencleat.fronts.metrics import MetricsApi
+from glencleat.servers.metrics import MetricsApi
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
 from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
