--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -164,7 +164,7 @@
         State("open asks", "starts / teams", "record", "theirs"),
     ],
     "directory (`serve`; in `run` the channel is it)": [
-        State("entries", "hosts", "bytes.entry", "`servers/directory.py`: not run at this size"),
+        State("entries", "hosts", "bytes.entry", "`servers/directory_client.py`: not run at this size"),
     ],
     "members' talk, to come": [
         State(
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -16,13 +16,13 @@
 from glencleat.allocator.options import Options
 from glencleat.config import Config, ConfigError, load
 from glencleat.flow_control.backoff import LIST, Asking, Pace
-from glencleat.servers.directory import DirectoryClient
-from glencleat.servers.kept_list import KeptList
+from glencleat.servers.directory_client import DirectoryClient
+from glencleat.servers.endpoint_snapshot_file import KeptList
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi, problem
 from glencleat.servers.scheduler_api import SchedulerApi
-from glencleat.servers.server import Handler, Limits, Server, plain
+from glencleat.servers.http_server import Handler, Limits, Server, plain
 from glencleat.event_loop import Loop, Signals
 from glencleat.policy.scheduler import Scheduler
 from glencleat.rest import service as rest
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -10,7 +10,7 @@
 from glencleat.allocator.agent_sessions import NotSubscribed
 from glencleat.allocator.core import Core
 from glencleat.allocator.agent_membership import Refused
-from glencleat.servers.server import RecordLink, Subscribe, json_call, need, unreadable
+from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need, unreadable
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
 
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from glencleat.servers.server import Pour, Sink
+from glencleat.servers.http_server import Pour, Sink
 from glencleat.event_loop import StreamClosed
 from glencleat.event_loop.loop import Coroutine, Task
 from glencleat.mesos.http import HttpError, Request, Response
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -9,7 +9,7 @@
 
 from glencleat.allocator.core import Core
 from glencleat.allocator.frameworks import Framework, Refused
-from glencleat.servers.server import RecordLink, Subscribe, json_call, need
+from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -19,7 +19,7 @@
 from glencleat import interface as api
 from glencleat.allocator.agent_sessions import NotSubscribed
 from glencleat.flow_control.backoff import Asking
-from glencleat.servers.directory import DirectoryClient
+from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.scheduler_api import SchedulerApi
 from glencleat.event_loop import Listener, Loop
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -5,7 +5,7 @@
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import Listing
 from glencleat import endpoint_snapshot
-from glencleat.servers.kept_list import ANEW_MS, KeptList
+from glencleat.servers.endpoint_snapshot_file import ANEW_MS, KeptList
 from tests.fakes import Timing
 from tests.world import World
 
