--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -155,7 +155,7 @@
             "links of allocators",
             "allocators * looks.links / hosts",
             "2 * record",
-            "`standins/live.py`; theirs",
+            "`emulators/live.py`; theirs",
         ),
         State("standing tasks", "tasks / hosts", "record", "theirs"),
     ],
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -17,9 +17,9 @@
 from benchmarks.cold_start import start_all, until
 from glencleat.check.bounds import busiest
 from glencleat.event_loop import Loop
-from glencleat.standins.channel import ChannelService, entry
-from glencleat.standins.live import LiveHost, LiveOwner
-from glencleat.standins.processes import Nodes
+from glencleat.emulators.channel import ChannelService, entry
+from glencleat.emulators.live import LiveHost, LiveOwner
+from glencleat.emulators.processes import Nodes
 
 CALM_MS, AWAY_MS, AFTER_MS = 6_000.0, 4_000.0, 6_000.0
 LIFE_MS = 20_000.0
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -14,10 +14,10 @@
 
 from glencleat.check.bounds import busiest
 from glencleat.event_loop import Loop
-from glencleat.standins.channel import ChannelService, entry
-from glencleat.standins.processes import Nodes
-from glencleat.standins.relay import Passed, Relay
-from glencleat.standins.wire import Door, Fault, State, Weather
+from glencleat.emulators.channel import ChannelService, entry
+from glencleat.emulators.processes import Nodes
+from glencleat.emulators.relay import Passed, Relay
+from glencleat.emulators.wire import Door, Fault, State, Weather
 
 DOWN_MS, AFTER_MS, START_MS, BACK_MS = 10_000.0, 3_000.0, 240_000.0, 10_000.0
 
--- a/benchmarks/release_day.py
+++ b/benchmarks/release_day.py
@@ -13,8 +13,8 @@
 
 from benchmarks.common import cpu_s, rss_mb, table
 from glencleat.check import report, rules
-from glencleat.standins.play import Play
-from glencleat.standins.script import figures, load_campus, load_script
+from glencleat.emulators.play import Play
+from glencleat.emulators.script import figures, load_campus, load_script
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 SCRIPT = """
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -41,8 +41,8 @@
 def hosts(folder: str, part: str, agents: str) -> None:
     from glencleat.check.record import Recorder
     from glencleat.event_loop import Loop
-    from glencleat.standins import alone
-    from glencleat.standins.script import load_campus, load_script
+    from glencleat.emulators import alone
+    from glencleat.emulators.script import load_campus, load_script
 
     class Forgetful(Recorder):
         def add(self, kind, **fields):
@@ -220,7 +220,7 @@
     """Milliseconds from ACCEPT to the update that says placed, of tasks of ten Scheduler API owners."""
     from glencleat.check.record import Recorder
     from glencleat.event_loop import Loop
-    from glencleat.standins.owners import Job, Owner, Want
+    from glencleat.emulators.owners import Job, Owner, Want
 
     loop = Loop()
     recorder, random = Recorder(loop.now), Random(3)
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -60,7 +60,7 @@
     def __init__(self, folder: Path, hosts: int, peers: int, seed: int) -> None:
         from glencleat.event_loop import Loop
         from glencleat.event_loop.loop import READ
-        from glencleat.standins.channel import ChannelService
+        from glencleat.emulators.channel import ChannelService
 
         self.loop, self.accepted, self.peers = Loop(), 0, peers
         self.open: set[Any] = set()
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from glencleat.check.record import Entry
     from glencleat.event_loop import Loop
-    from glencleat.standins.script import Script
+    from glencleat.emulators.script import Script
 
 Places = tuple[tuple[str, tuple[str, int]], ...]
 CONF = click.Path(dir_okay=False, path_type=Path)
@@ -95,8 +95,8 @@
 @click.option("--trouble", help="Faults of such a bench day instead of the script's, as in crash+hot_key.")
 def play(script: Path, folder: Path | None, seed: int | None, trouble: str | None) -> None:
     """Play a day from SCRIPT on loopback and check the five rules. Exits with 1 if one was broken."""
-    from glencleat.standins.play import Play, PlayError
-    from glencleat.standins.troubles import faults
+    from glencleat.emulators.play import Play, PlayError
+    from glencleat.emulators.troubles import faults
 
     told, campus = read_script(script)
     if seed is not None:
@@ -150,7 +150,7 @@
 
 
 def read_script(path: Path) -> tuple[Script, Config]:
-    from glencleat.standins.script import load_campus, load_script
+    from glencleat.emulators.script import load_campus, load_script
 
     try:
         told = load_script(path)
@@ -173,7 +173,7 @@
 def standin_directory(script: Path, places: Places, seconds: float | None) -> None:
     """Serve SCRIPT's hosts as the machine list, at an address for each allocator (port 0: any)."""
     from glencleat.event_loop import Loop
-    from glencleat.standins import alone
+    from glencleat.emulators import alone
 
     loop = Loop()
     try:
@@ -191,7 +191,7 @@
 def standin_hosts(script: Path, places: Places, seconds: float | None) -> None:
     """Run SCRIPT's hosts against the allocators' agents addresses."""
     from glencleat.event_loop import Loop
-    from glencleat.standins import alone
+    from glencleat.emulators import alone
 
     loop = Loop()
     made = alone.run_hosts(loop, *read_script(script), list(places))
@@ -204,7 +204,7 @@
 def standin_owners(script: Path, places: Places, seconds: float | None) -> None:
     """Ask SCRIPT's tasks of the allocators' owners addresses, and print how the asks ended."""
     from glencleat.event_loop import Loop
-    from glencleat.standins import alone
+    from glencleat.emulators import alone
 
     loop = Loop()
     asking, ends = alone.run_owners(loop, *read_script(script), list(places))
@@ -222,7 +222,7 @@
     """Check RECORD (of a play) again by the rules that CAMPUS states, and show its tables."""
     from glencleat.check.record import BadRecord
     from glencleat.check.record import read as read_record
-    from glencleat.standins.script import load_campus
+    from glencleat.emulators.script import load_campus
 
     try:
         verdict(list(read_record(record)), load_campus(campus))
@@ -239,7 +239,7 @@
     from glencleat.check import report as tables
     from glencleat.check import asking, rules, starting
     from glencleat.check.bounds import State
-    from glencleat.standins.script import figures
+    from glencleat.emulators.script import figures
 
     breaches = rules.check(entries, figures(campus))
     bounds = asking.judge_play(entries) + starting.judge_play(entries)
--- a/glencleat/standins/alone.py
+++ b/glencleat/emulators/alone.py
@@ -13,13 +13,13 @@
 from glencleat.config import Config
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
-from glencleat.standins.client import Address
-from glencleat.standins.directory import Directory, Entry
-from glencleat.standins.hosts import Host
-from glencleat.standins.machine import Nature
-from glencleat.standins.owners import Job, Owner, Want
-from glencleat.standins.rest_owners import RestOwner
-from glencleat.standins.script import Script
+from glencleat.emulators.client import Address
+from glencleat.emulators.directory import Directory, Entry
+from glencleat.emulators.hosts import Host
+from glencleat.emulators.machine import Nature
+from glencleat.emulators.owners import Job, Owner, Want
+from glencleat.emulators.rest_owners import RestOwner
+from glencleat.emulators.script import Script
 
 
 def nature(script: Script, campus: Config) -> Nature:
--- a/glencleat/standins/between.py
+++ b/glencleat/emulators/between.py
@@ -11,10 +11,10 @@
 
 from glencleat.check.record import Recorder
 from glencleat.event_loop import Loop
-from glencleat.standins.client import Address
-from glencleat.standins.relay import Passed, Relay
-from glencleat.standins.script import At, Script
-from glencleat.standins.wire import Fault, Way, Weather
+from glencleat.emulators.client import Address
+from glencleat.emulators.relay import Passed, Relay
+from glencleat.emulators.script import At, Script
+from glencleat.emulators.wire import Fault, Way, Weather
 
 ENDS = ("ended", "reset", "refused")
 
--- a/glencleat/standins/hosts.py
+++ b/glencleat/emulators/hosts.py
@@ -12,8 +12,8 @@
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
-from glencleat.standins.client import Address, Calls, Reconnecting, Subscription
-from glencleat.standins.machine import Held, Machine, Nature, Offer
+from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
+from glencleat.emulators.machine import Held, Machine, Nature, Offer
 
 TARGET = "/api/v1/executor"
 AGAIN_MS = 100.0, 1_000.0  # between two tries to subscribe: the first, the longest
--- a/glencleat/standins/play.py
+++ b/glencleat/emulators/play.py
@@ -19,13 +19,13 @@
 from glencleat.config import Config
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import READ, Coroutine, Task
-from glencleat.standins import alone
-from glencleat.standins.between import Wires
-from glencleat.standins.client import Address
-from glencleat.standins.directory import Directory, Entry
-from glencleat.standins.hosts import Host
-from glencleat.standins.owners import Job, Owner
-from glencleat.standins.script import At, Script
+from glencleat.emulators import alone
+from glencleat.emulators.between import Wires
+from glencleat.emulators.client import Address
+from glencleat.emulators.directory import Directory, Entry
+from glencleat.emulators.hosts import Host
+from glencleat.emulators.owners import Job, Owner
+from glencleat.emulators.script import At, Script
 
 START_MS = 20_000.0  # for a process to say where it listens
 END_MS = 15_000.0  # for one to end after SIGTERM
--- a/glencleat/standins/rest_owners.py
+++ b/glencleat/emulators/rest_owners.py
@@ -17,8 +17,8 @@
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
-from glencleat.standins.client import Address, Answer, Exchanges, Lines, Subscription
-from glencleat.standins.owners import Job, Owner
+from glencleat.emulators.client import Address, Answer, Exchanges, Lines, Subscription
+from glencleat.emulators.owners import Job, Owner
 
 PLACED = ("TASK_STARTING", "TASK_RUNNING")
 RECONCILED = "REASON_RECONCILIATION"
--- a/glencleat/standins/troubles.py
+++ b/glencleat/emulators/troubles.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from random import Random
 
-from glencleat.standins.script import At, Script
+from glencleat.emulators.script import At, Script
 
 
 def at(time_ms: float, fault: str, what: str, for_ms: float) -> At:
--- a/glencleat/scale/channel.py
+++ b/glencleat/scale/channel.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from glencleat.event_loop import Loop
-from glencleat.standins.channel import ChannelService, entry
+from glencleat.emulators.channel import ChannelService, entry
 
 
 class Listed(ChannelService):
--- a/tests/support/public_surface.py
+++ b/tests/support/public_surface.py
@@ -19,7 +19,7 @@
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi
 from glencleat.event_loop import Loop
-from glencleat.standins.script import load_campus, load_script
+from glencleat.emulators.script import load_campus, load_script
 
 
 def commands(command: click.Command = main) -> dict[str, Any]:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -14,10 +14,10 @@
 from glencleat.check.record import Entry, read
 from glencleat.flow_control.backoff import LIST, Asking
 from glencleat.event_loop import Loop
-from glencleat.standins.channel import ChannelService, entry
-from glencleat.standins.processes import MOST, Nodes, ProcessError
-from glencleat.standins.relay import Passed, Relay
-from glencleat.standins.wire import Door, Fault, State as Wire, Weather
+from glencleat.emulators.channel import ChannelService, entry
+from glencleat.emulators.processes import MOST, Nodes, ProcessError
+from glencleat.emulators.relay import Passed, Relay
+from glencleat.emulators.wire import Door, Fault, State as Wire, Weather
 from tests.sockets import run_until
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 
 from glencleat import interface as api
 from glencleat.config import ConfigError, load
-from glencleat.standins.script import load_campus, load_script
+from glencleat.emulators.script import load_campus, load_script
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 GOOD = """
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -11,9 +11,9 @@
 from glencleat.check.bounds import busiest
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop, StreamClosed, connect
-from glencleat.standins.channel import ChannelService, entry
-from glencleat.standins.live import LiveHost, LiveOwner
-from glencleat.standins.processes import Nodes
+from glencleat.emulators.channel import ChannelService, entry
+from glencleat.emulators.live import LiveHost, LiveOwner
+from glencleat.emulators.processes import Nodes
 from tests.live import setup
 from tests.sockets import run_until
 
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glencleat.standins.machine import Machine, Nature, Offer
+from glencleat.emulators.machine import Machine, Nature, Offer
 from tests.fakes import Timing
 
 NATURE = Nature(
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -9,9 +9,9 @@
 from glencleat.check import rules
 from glencleat.check.record import Recorder, read
 from glencleat.event_loop import Loop
-from glencleat.standins.play import Play, Process
-from glencleat.standins.script import figures, load_campus, load_script
-from glencleat.standins.troubles import TROUBLES, faults
+from glencleat.emulators.play import Play, Process
+from glencleat.emulators.script import figures, load_campus, load_script
+from glencleat.emulators.troubles import TROUBLES, faults
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,10 +6,10 @@
 from glencleat.daemon import Daemon
 from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import Pace
-from glencleat.standins.directory import Directory, Entry
-from glencleat.standins.hosts import Host
-from glencleat.standins.machine import Nature
-from glencleat.standins.owners import Job, Owner, Want
+from glencleat.emulators.directory import Directory, Entry
+from glencleat.emulators.hosts import Host
+from glencleat.emulators.machine import Nature
+from glencleat.emulators.owners import Job, Owner, Want
 
 CONF = """
 allocator a0 number 0 of 1 zone hall-a
