--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -155,7 +155,7 @@
             "links of allocators",
             "allocators * looks.links / hosts",
             "2 * record",
-            "`emulators/live.py`; theirs",
+            "`emulators/platform_peers.py`; theirs",
         ),
         State("standing tasks", "tasks / hosts", "record", "theirs"),
     ],
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -22,10 +22,10 @@
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import READ
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.live import LiveHost, LiveOwner
-from glencleat.emulators.processes import Nodes
-from glencleat.emulators.relay import Passed, Relay
-from glencleat.emulators.wire import State, Weather
+from glencleat.emulators.platform_peers import LiveHost, LiveOwner
+from glencleat.emulators.allocator_processes import Nodes
+from glencleat.emulators.proxy import Passed, Relay
+from glencleat.emulators.proxy_faults import State, Weather
 
 OFFERS, WINDOW_MS, COLD_MS = 24.0, 1_000.0, 16_000.0
 RULES = {"warm-within-ms": COLD_MS, "overload-for-ms": WINDOW_MS, "stop-sending-within-ms": 500.0}
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -18,8 +18,8 @@
 from glencleat.check.bounds import busiest
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.live import LiveHost, LiveOwner
-from glencleat.emulators.processes import Nodes
+from glencleat.emulators.platform_peers import LiveHost, LiveOwner
+from glencleat.emulators.allocator_processes import Nodes
 
 CALM_MS, AWAY_MS, AFTER_MS = 6_000.0, 4_000.0, 6_000.0
 LIFE_MS = 20_000.0
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -15,9 +15,9 @@
 from glencleat.check.bounds import busiest
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.processes import Nodes
-from glencleat.emulators.relay import Passed, Relay
-from glencleat.emulators.wire import Door, Fault, State, Weather
+from glencleat.emulators.allocator_processes import Nodes
+from glencleat.emulators.proxy import Passed, Relay
+from glencleat.emulators.proxy_faults import Door, Fault, State, Weather
 
 DOWN_MS, AFTER_MS, START_MS, BACK_MS = 10_000.0, 3_000.0, 240_000.0, 10_000.0
 
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -24,8 +24,8 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop, Timer, TimerWheel, connect
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.live import LiveHost
-from glencleat.emulators.processes import Nodes
+from glencleat.emulators.platform_peers import LiveHost
+from glencleat.emulators.allocator_processes import Nodes
 
 SEED, TICK_MS, EVERY_MS, TICKS = 7, 200.0, 1_000.0, 50
 IDLE_S, EVENTS = 10.0, 100
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -41,7 +41,7 @@
 def hosts(folder: str, part: str, agents: str) -> None:
     from glencleat.check.record import Recorder
     from glencleat.event_loop import Loop
-    from glencleat.emulators import alone
+    from glencleat.emulators import standalone
     from glencleat.emulators.script import load_campus, load_script
 
     class Forgetful(Recorder):
@@ -49,7 +49,7 @@
             return None
 
     loop, script = Loop(), load_script(Path(folder) / "day.conf")
-    made = alone.hosts(
+    made = standalone.hosts(
         loop, Forgetful(loop.now), script, load_campus(Path(folder) / "campus.conf"), Random(5)
     )
     host, _, port = agents.rpartition(":")
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -23,7 +23,7 @@
 from glencleat.scale.measure import Phase
 from glencleat.scale.parts import CantStart, PartFailed
 from glencleat.scale.runs import Run, RunFailed
-from glencleat.emulators.processes import ProcessError
+from glencleat.emulators.allocator_processes import ProcessError
 
 HERE = Path(__file__).parent.parent
 
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -96,7 +96,7 @@
 def play(script: Path, folder: Path | None, seed: int | None, trouble: str | None) -> None:
     """Play a day from SCRIPT on loopback and check the five rules. Exits with 1 if one was broken."""
     from glencleat.emulators.play import Play, PlayError
-    from glencleat.emulators.troubles import faults
+    from glencleat.emulators.fault_scenarios import faults
 
     told, campus = read_script(script)
     if seed is not None:
@@ -173,11 +173,11 @@
 def standin_directory(script: Path, places: Places, seconds: float | None) -> None:
     """Serve SCRIPT's hosts as the machine list, at an address for each allocator (port 0: any)."""
     from glencleat.event_loop import Loop
-    from glencleat.emulators import alone
+    from glencleat.emulators import standalone
 
     loop = Loop()
     try:
-        directory = alone.run_directory(loop, *read_script(script), list(places))
+        directory = standalone.run_directory(loop, *read_script(script), list(places))
     except OSError as error:
         give_up(f"glencleat: {error}", 3)
     found = {name: listener.address for name, listener in directory.listeners.items()}
@@ -191,10 +191,10 @@
 def standin_hosts(script: Path, places: Places, seconds: float | None) -> None:
     """Run SCRIPT's hosts against the allocators' agents addresses."""
     from glencleat.event_loop import Loop
-    from glencleat.emulators import alone
+    from glencleat.emulators import standalone
 
     loop = Loop()
-    made = alone.run_hosts(loop, *read_script(script), list(places))
+    made = standalone.run_hosts(loop, *read_script(script), list(places))
     click.echo(json.dumps({"hosts": len(made)}))
     work(loop, seconds)
 
@@ -204,10 +204,10 @@
 def standin_owners(script: Path, places: Places, seconds: float | None) -> None:
     """Ask SCRIPT's tasks of the allocators' owners addresses, and print how the asks ended."""
     from glencleat.event_loop import Loop
-    from glencleat.emulators import alone
+    from glencleat.emulators import standalone
 
     loop = Loop()
-    asking, ends = alone.run_owners(loop, *read_script(script), list(places))
+    asking, ends = standalone.run_owners(loop, *read_script(script), list(places))
     task = loop.spawn(asking, "owners")
     if seconds is not None:
         loop.call_in(1_000.0 * seconds, lambda: loop.cancel(task))
--- a/glencleat/emulators/live.py
+++ b/glencleat/emulators/platform_peers.py
@@ -11,7 +11,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
 from glencleat.event_loop.loop import Coroutine
-from glencleat.emulators.relay import reset
+from glencleat.emulators.proxy import reset
 
 AGAIN_MS = 500.0
 WAIT_MS = 8_000.0
--- a/glencleat/emulators/play.py
+++ b/glencleat/emulators/play.py
@@ -19,8 +19,8 @@
 from glencleat.config import Config
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import READ, Coroutine, Task
-from glencleat.emulators import alone
-from glencleat.emulators.between import Wires
+from glencleat.emulators import standalone
+from glencleat.emulators.proxies import Wires
 from glencleat.emulators.client import Address
 from glencleat.emulators.directory import Directory, Entry
 from glencleat.emulators.hosts import Host
@@ -164,7 +164,7 @@
         self.loop = loop or Loop()
         self.random = Random(script.play.seed)
         self.recorder = Recorder(self.loop.now, (folder / "record.jsonl").open("w"))
-        self.hosts = alone.hosts(self.loop, self.recorder, script, campus, self.random)
+        self.hosts = standalone.hosts(self.loop, self.recorder, script, campus, self.random)
         self.draining: set[str] = set()
         self.wires = Wires(self.loop, self.recorder, script)
         told = script.directory
@@ -196,7 +196,7 @@
         return Process(self.loop, self.recorder, name, self.folder, lines)
 
     def _entries(self) -> list[Entry]:
-        return [alone.entry(host, host.name in self.draining) for host in self.hosts if host.up]
+        return [standalone.entry(host, host.name in self.draining) for host in self.hosts if host.up]
 
     # ---- the day ----
 
@@ -234,7 +234,7 @@
         self.directory.start()
         places = [(p.name, self.wires.way("owners", p.name, p.owners)) for p in self.processes]
         rest = {p.name: p.rest for p in self.processes}
-        self.owners = alone.owners(self.loop, self.recorder, self.script, places, self.random, rest=rest)
+        self.owners = standalone.owners(self.loop, self.recorder, self.script, places, self.random, rest=rest)
         yield from self.loop.sleep(self.script.play.warm)
         self.on_ready()
         for at in self.script.at:
@@ -266,7 +266,7 @@
 
     def _job(self) -> Job:
         self.jobs += 1
-        return alone.job(self.script, self.campus, self.random, self.jobs)
+        return standalone.job(self.script, self.campus, self.random, self.jobs)
 
     # ---- faults ----
 
--- a/glencleat/emulators/between.py
+++ b/glencleat/emulators/proxies.py
@@ -12,9 +12,9 @@
 from glencleat.check.record import Recorder
 from glencleat.event_loop import Loop
 from glencleat.emulators.client import Address
-from glencleat.emulators.relay import Passed, Relay
+from glencleat.emulators.proxy import Passed, Relay
 from glencleat.emulators.script import At, Script
-from glencleat.emulators.wire import Fault, Way, Weather
+from glencleat.emulators.proxy_faults import Fault, Way, Weather
 
 ENDS = ("ended", "reset", "refused")
 
--- a/glencleat/emulators/relay.py
+++ b/glencleat/emulators/proxy.py
@@ -15,7 +15,7 @@
 
 from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
 from glencleat.event_loop.loop import READ, Coroutine
-from glencleat.emulators.wire import Datagrams, Door, Flow, Way, Weather
+from glencleat.emulators.proxy_faults import Datagrams, Door, Flow, Way, Weather
 
 HELD = 1 << 20  # bytes that one direction holds back before it stops reading
 PIECE = 16_384
--- a/glencleat/emulators/script.py
+++ b/glencleat/emulators/script.py
@@ -26,7 +26,7 @@
 from glencleat.config import Config
 from glencleat.config.load import Tables, load, load_as
 from glencleat.config.schema import SIZES, Count, Megabytes, Milliseconds, Name, Part, parse_unit
-from glencleat.emulators.wire import Door, Way
+from glencleat.emulators.proxy_faults import Door, Way
 
 HOST_FAULTS = ("crash", "false-full", "silent", "quiet", "flush", "neighbour", "late-reports")
 TASK_FAULTS = ("grow", "burst")
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -18,7 +18,7 @@
 from glencleat.event_loop import Loop, Stream, StreamClosed
 from glencleat.event_loop.loop import READ, Coroutine
 from glencleat.scale.counting import Tally
-from glencleat.emulators.relay import reset
+from glencleat.emulators.proxy import reset
 
 BACKLOG = 512
 BOUND = 64  # connections taken in one round of the loop
--- a/glencleat/scale/real.py
+++ b/glencleat/scale/real.py
@@ -12,7 +12,7 @@
 import msgspec
 import psutil
 
-from glencleat.emulators.processes import SETTINGS, Nodes
+from glencleat.emulators.allocator_processes import SETTINGS, Nodes
 
 COLD = {"warm-within-ms": 16_000.0, "overload-for-ms": 1_000.0, "stop-sending-within-ms": 500.0}
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -15,9 +15,9 @@
 from glencleat.flow_control.backoff import LIST, Asking
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.processes import MOST, Nodes, ProcessError
-from glencleat.emulators.relay import Passed, Relay
-from glencleat.emulators.wire import Door, Fault, State as Wire, Weather
+from glencleat.emulators.allocator_processes import MOST, Nodes, ProcessError
+from glencleat.emulators.proxy import Passed, Relay
+from glencleat.emulators.proxy_faults import Door, Fault, State as Wire, Weather
 from tests.sockets import run_until
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -12,8 +12,8 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop, StreamClosed, connect
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.live import LiveHost, LiveOwner
-from glencleat.emulators.processes import Nodes
+from glencleat.emulators.platform_peers import LiveHost, LiveOwner
+from glencleat.emulators.allocator_processes import Nodes
 from tests.live import setup
 from tests.sockets import run_until
 
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -11,7 +11,7 @@
 from glencleat.event_loop import Loop
 from glencleat.emulators.play import Play, Process
 from glencleat.emulators.script import figures, load_campus, load_script
-from glencleat.emulators.troubles import TROUBLES, faults
+from glencleat.emulators.fault_scenarios import TROUBLES, faults
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from glencleat.event_loop import Listener, Loop, StreamClosed
-from glencleat.emulators.relay import DatagramRelay, Relay
-from glencleat.emulators.wire import Datagrams, Door, Fault, Flow, State, Way, Weather
+from glencleat.emulators.proxy import DatagramRelay, Relay
+from glencleat.emulators.proxy_faults import Datagrams, Door, Fault, Flow, State, Way, Weather
 
 BOTH = frozenset(Way)
 
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -16,7 +16,7 @@
 from glencleat.platform_server.process import Process, load
 from glencleat.scale.hosts import listen_on_loopback
 from glencleat.emulators.channel import entry
-from glencleat.emulators.processes import SETTINGS
+from glencleat.emulators.allocator_processes import SETTINGS
 from tests.live import setup
 
 SMALL, LARGE = 400, 1_600
