--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -18,7 +18,7 @@
 from glencleat.config import Config, ConfigError, load
 
 if TYPE_CHECKING:
-    from glencleat.check.record import Entry
+    from glencleat.checker.record import Entry
     from glencleat.event_loop import Loop
     from glencleat.emulators.script import Script
 
@@ -220,8 +220,8 @@
 @click.argument("campus", type=CONF)
 def report(record: Path, campus: Path) -> None:
     """Check RECORD (of a play) again by the rules that CAMPUS states, and show its tables."""
-    from glencleat.check.record import BadRecord
-    from glencleat.check.record import read as read_record
+    from glencleat.checker.record import BadRecord
+    from glencleat.checker.record import read as read_record
     from glencleat.emulators.script import load_campus
 
     try:
@@ -236,9 +236,9 @@
     """Shows the tables; exits with 1 if a rule or a bound was broken."""
     from rich.console import Console
 
-    from glencleat.check import report as tables
-    from glencleat.check import asking, rules, starting
-    from glencleat.check.bounds import State
+    from glencleat.checker import report as tables
+    from glencleat.checker import asking, rules, starting
+    from glencleat.checker.bounds import State
     from glencleat.emulators.script import figures
 
     breaches = rules.check(entries, figures(campus))
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from glencleat.check import starting
-from glencleat.check.asking import judge, judge_play
-from glencleat.check.bounds import State, chance_limit, poisson_tail
-from glencleat.check.record import Entry, read
+from glencleat.checker import starting
+from glencleat.checker.asking import judge, judge_play
+from glencleat.checker.bounds import State, chance_limit, poisson_tail
+from glencleat.checker.record import Entry, read
 from glencleat.flow_control.backoff import LIST, Asking
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from glencleat.check import rules
-from glencleat.check.record import Recorder, read
+from glencleat.checker import rules
+from glencleat.checker.record import Recorder, read
 from glencleat.event_loop import Loop
 from glencleat.emulators.play import Play, Process
 from glencleat.emulators.script import figures, load_campus, load_script
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from glencleat.check import report
-from glencleat.check.record import BadRecord, Entry, Recorder, read, write
-from glencleat.check.rules import Figures, Spread, check
+from glencleat.checker import report
+from glencleat.checker.record import BadRecord, Entry, Recorder, read, write
+from glencleat.checker.rules import Figures, Spread, check
 
 FIGURES = Figures(
     drain_ms=1_000.0,
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
 """A whole path on loopback in one process and on one loop: daemon, directory, hosts and owners."""
 
-from glencleat.check import rules
-from glencleat.check.record import Recorder
+from glencleat.checker import rules
+from glencleat.checker.record import Recorder
 from glencleat.config import load
 from glencleat.daemon import Daemon
 from glencleat.event_loop import Loop
