--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -19,9 +19,9 @@
 
 from benchmarks.common import machine
 from glencleat.scale import compare, report
-from glencleat.scale import size as sizes
+from glencleat.scale import run_size as sizes
 from glencleat.scale.measure import Phase
-from glencleat.scale.parts import CantStart, PartFailed
+from glencleat.scale.worker_processes import CantStart, PartFailed
 from glencleat.scale.runs import Run, RunFailed
 from glencleat.emulators.allocator_processes import ProcessError
 
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -16,7 +16,7 @@
 from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
-from glencleat.scale.counting import Tally
+from glencleat.scale.message_counters import Tally
 
 # As docs/live.md states them of the real one.
 SWEEP_MS, QUIET_MS, HEAR_MS, SURPLUS_MS, IDLE_MS = 200.0, 1_000.0, 3_000.0, 4_000.0, 24_000.0
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -17,7 +17,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop, Stream, StreamClosed
 from glencleat.event_loop.loop import READ, Coroutine
-from glencleat.scale.counting import Tally
+from glencleat.scale.message_counters import Tally
 from glencleat.emulators.proxy import reset
 
 BACKLOG = 512
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -13,7 +13,7 @@
 from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
-from glencleat.scale.counting import Tally
+from glencleat.scale.message_counters import Tally
 
 AGAIN_MS, WAIT_MS, LATE_MS = 500.0, 8_000.0, 1_000.0
 UNREAD_MS = 50.0  # to read what has come
--- a/glencleat/scale/report.py
+++ b/glencleat/scale/report.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from glencleat.scale.measure import Cost, Phase
-from glencleat.scale.size import Size
+from glencleat.scale.run_size import Size
 
 VERSION = 1
 WRONG = ("no answer", "second answer", "answer to nothing", "second release", "release of nothing")
--- a/glencleat/scale/runs.py
+++ b/glencleat/scale/runs.py
@@ -16,14 +16,14 @@
 from glencleat.scale import hosts as hollow_hosts
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
-from glencleat.scale.counting import Counts, of_allocator
+from glencleat.scale.message_counters import Counts, of_allocator
 from glencleat.scale.hosts import HostGroup
 from glencleat.scale.measure import Cost, Meter, Phase, difference, percentiles, snapshot_names, total
 from glencleat.scale.owners import HollowOwners
-from glencleat.scale.parts import Parts
+from glencleat.scale.worker_processes import Parts
 from glencleat.scale.real import Allocators
-from glencleat.scale.size import Event, Size
-from glencleat.scale.stand_ins import StandInGroup
+from glencleat.scale.run_size import Event, Size
+from glencleat.scale.emulated_hosts import StandInGroup
 
 GROUPS = {"hollow": HostGroup, "stand-in": StandInGroup}
 READY_S = 60.0
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -11,14 +11,14 @@
 
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import ConnectFailed, Loop, StreamClosed, connect
-from glencleat.scale import compare, report, size as sizes
+from glencleat.scale import compare, report, run_size as sizes
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
-from glencleat.scale.counting import wire_size
+from glencleat.scale.message_counters import wire_size
 from glencleat.scale.hosts import HostGroup
 from glencleat.scale.measure import Cost, Phase
 from glencleat.scale.owners import Ledger
-from glencleat.scale.parts import CantStart, Parts
+from glencleat.scale.worker_processes import CantStart, Parts
 from tests.live import setup
 from tests.sockets import run_until
 
