--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -227,7 +227,7 @@
         "8,700 accelerators",
         "accelerators * counter",
         "2 * lull * starts",
-        "`interface.Size` and `Machine`: a third figure by kind; the channel's `free` has two",
+        "`interface.MachineSize` and `Machine`: a third figure by kind; the channel's `free` has two",
         42,
     ),
     (
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -189,7 +189,7 @@
             "accelerators: which host, free, of whom",
             "accelerators",
             "counter",
-            "*missing*: `interface.Size`",
+            "*missing*: `interface.MachineSize`",
         ),
     ],
     "configuration's way in": [
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -21,19 +21,19 @@
 from glencleat.policy.scheduler import Node, Scheduler
 
 WINDOW_MS, COLD_MS, OFFERS, STEP_MS, STEPS = 1_000.0, 10_000.0, 10.0, 50.0, 120
-CLASS = api.TaskClass("safe", api.Effect.SAFE, 1_000.0, 8_000.0, 1.0)
-SIZE = api.Size(16.0, 32.0)
+CLASS = api.TaskClass("safe", api.Idempotency.IDEMPOTENT, 1_000.0, 8_000.0, 1.0)
+SIZE = api.MachineSize(16.0, 32.0)
 
 
 class Turns:
     """The module, as it is, or as it was (`anew`: what an earlier life sent is forgotten)."""
 
     def __init__(self, me: int, peers: int, now: float, start: float, random: Random, anew: bool) -> None:
-        cold = {"cold_ms": COLD_MS, "cold_window_ms": WINDOW_MS, "cold_offers": OFFERS}
+        cold = {"warm_up_ms": COLD_MS, "warm_up_window_ms": WINDOW_MS, "warm_up_offers": OFFERS}
         settings = api.Settings(me, peers, "a", (CLASS,), {"std": SIZE}, **cold)
         self.module = Scheduler(settings, 1)
         self.module.born = -1e18 if anew else now
-        self.node = Node(api.Machine("m", "std", "a", 0, api.Phase.SERVING, 16.0, 32.0, start), SIZE)
+        self.node = Node(api.Machine("m", "std", "a", 0, api.MachinePhase.SERVING, 16.0, 32.0, start), SIZE)
 
     def offers(self, now: float) -> bool:
         self.module.now = now
--- a/benchmarks/equal_actions.py
+++ b/benchmarks/equal_actions.py
@@ -65,7 +65,7 @@
                 sys.exit(1)
             seen.update(sides[0].seen)
             cpu = [total + side.cpu for total, side in zip(cpu, sides, strict=True)]
-        kinds = (api.Asked, api.ListTold, api.Returned, api.Bind)
+        kinds = (api.PlacementRequested, api.MachineListUpdated, api.AttemptEnded, api.Bind)
         told = ", ".join(f"{seen[t.__name__]:,} {t.__name__}" for t in kinds)
         events = f"{label} hosts: {seeds} seeds, {seeds * steps:,} events ({told})"
         print(f"{events}: equal; CPU {cpu[0]:.1f} s at {rev}, {cpu[1]:.1f} s now", flush=True)
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -53,7 +53,7 @@
         return None
     if before.given is None or not before.over:
         return "same"  # a client that lost its connection in mid-call and sends it again
-    if before.effect is api.Effect.UNSAFE and before.fate() is not Fate.NEVER_RAN:
+    if before.effect is api.Idempotency.NON_IDEMPOTENT and before.fate() is not Fate.NEVER_RAN:
         return "never"
     return None
 
@@ -69,7 +69,11 @@
         self.ledger = ledger
 
     def decide(self, asking: Asking) -> Verdict | None:
-        if asking.effect is not api.Effect.UNSAFE or not asking.tenant or not asking.ask.key_told:
+        if (
+            asking.effect is not api.Idempotency.NON_IDEMPOTENT
+            or not asking.tenant
+            or not asking.ask.key_told
+        ):
             return None
         before = self.ledger.keys.get((asking.tenant, asking.ask.key))
         if before is None or (before.framework, before.task_id) == (asking.owner, asking.task_id):
--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -35,7 +35,7 @@
 
     def add(self, call: Call) -> None:
         due = call.taken_at + call.ask.left_ms - LAST_MS
-        place = -self.core.classes[call.ask.task_class].worth, due, call.number
+        place = -self.core.classes[call.ask.task_class].weight, due, call.number
         self.line[place] = call
         self.longest = max(self.longest, len(self.line))
         self.core.timing.call_in(max(0.0, due - self.core.now()), lambda: self._refuse(place))
@@ -47,7 +47,7 @@
         if self.start is not None:
             return
         # One a machine from all allocators together, as none knows what the others do.
-        self.start = SlowStart(len(self.core.listed or ()) / max(1, self.core.settings.peers))
+        self.start = SlowStart(len(self.core.listed or ()) / max(1, self.core.settings.allocator_count))
         self.start.begin(self.core.now())
         self.core.log("open", held=len(self.line), first=int(self.start.window))
         self._pump()
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -22,8 +22,8 @@
     """A call of an agent's run that has no session."""
 
 
-def as_report(payload: m.Payload) -> api.Report:
-    return api.Report(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
+def as_report(payload: m.Payload) -> api.LoadReport:
+    return api.LoadReport(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
 
 
 class AgentSide:
@@ -123,7 +123,7 @@
             return
         before = core.ledger.task(framework, name)
         elsewhere = before is not None and (before.given is None or before.placed())
-        effect = core.classes[ask.task_class].effect
+        effect = core.classes[ask.task_class].idempotency
         call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
         attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=Step.ACCEPTED)
         if delivery_status.on_unknown(elsewhere) is delivery_status.Late.KILL:
@@ -166,7 +166,7 @@
             return
         self._apply(attempt, told, None if payload is None else as_report(payload))
 
-    def _apply(self, attempt: Attempt, told: Told, report: api.Report | None) -> None:
+    def _apply(self, attempt: Attempt, told: Told, report: api.LoadReport | None) -> None:
         if attempt.back:
             self._apply_late(attempt, told)
             return
@@ -179,7 +179,9 @@
             self._accepted(attempt)
         if told.step is Step.RUNS and not attempt.back:
             attempt.step = Step.RUNS
-            self.core.tell(api.Noted(attempt.call.number, attempt.machine, api.NoteKind.RUNS, 1.0))
+            self.core.tell(
+                api.TaskObserved(attempt.call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
+            )
             if attempt.call.given is not None:
                 self.core.told.status(
                     attempt.call, status_mapping.Answer(status_mapping.RUNNING, status_mapping.Retry.NEVER)
@@ -210,14 +212,14 @@
         core.stop_timer(attempt)
         attempt.step, attempt.placed = Step.ACCEPTED, True
         spent = max(0.0, core.now() - attempt.sent_at)
-        core.tell(api.Accepted(call.number, attempt.number, attempt.machine, spent))
+        core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent))
         core.answer(
             call, Given.SERVED, status_mapping.Answer(status_mapping.STARTING, status_mapping.Retry.NEVER)
         )
         if call.left:
             core.kill(attempt)  # its owner gave up just as the machine said yes
 
-    def _over(self, attempt: Attempt, told: Told, report: api.Report | None) -> None:
+    def _over(self, attempt: Attempt, told: Told, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
         core, call = self.core, attempt.call
         attempt.step = Step.OVER
@@ -261,15 +263,15 @@
         attempt = self.core.ledger.attempts.get(use.task_id)
         if attempt is None or attempt.back or attempt.machine != agent or attempt.step is Step.OUT:
             return
-        kinds = api.NoteKind
+        kinds = api.ObservationKind
         for kind, value in (
-            (kinds.CORES, use.cores),
-            (kinds.MEMORY, use.memory),
-            (kinds.SERVED, use.served),
-            (kinds.MACHINE_MEMORY, memory_used),
+            (kinds.CORES_IN_USE, use.cores),
+            (kinds.MEMORY_IN_USE, use.memory),
+            (kinds.SERVICE_LEVEL, use.served),
+            (kinds.MACHINE_MEMORY_IN_USE, memory_used),
         ):
             if value is not None:
-                self.core.tell(api.Noted(attempt.call.number, agent, kind, value))
+                self.core.tell(api.TaskObserved(attempt.call.number, agent, kind, value))
 
     def heartbeat(self, executor_id: str) -> str:
         """A sign of life, which every call is; gives the agent's id, raises NotSubscribed."""
@@ -287,7 +289,7 @@
                 continue
             call = attempt.call
             self.core.returned(attempt, api.Outcome.LOST, over=True)
-            safe = call.effect is api.Effect.SAFE
+            safe = call.effect is api.Idempotency.IDEMPOTENT
             retry = status_mapping.Retry.HARMLESS if safe else status_mapping.Retry.RECONCILE
             answer = status_mapping.Answer(status_mapping.UNREACHABLE, retry, status_mapping.AGENT_REMOVED)
             self.core.told.status(call, answer)
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -87,7 +87,7 @@
     task_id: str
     info: TaskInfo
     ask: Ask
-    effect: api.Effect
+    effect: api.Idempotency
     tenant: str | None
     taken_at: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -134,7 +134,7 @@
     def take(self, call: Call) -> None:
         self.calls[call.number] = call
         self.tasks.setdefault(call.framework, {})[call.task_id] = call
-        if call.effect is api.Effect.UNSAFE and call.tenant and call.ask.key_told:
+        if call.effect is api.Idempotency.NON_IDEMPOTENT and call.tenant and call.ask.key_told:
             self.keys[call.tenant, call.ask.key] = call
         self.open += call.given is None
 
--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -53,8 +53,8 @@
         actions = self.module.handle(now_ms, event)
         self.module_s += time.thread_time() - began
         self.events += 1
-        if isinstance(event, api.Returned | api.Left):
-            self._forget(event.call)
+        if isinstance(event, api.AttemptEnded | api.CallAbandoned):
+            self._forget(event.call_id)
         for action in actions:
             self._action(action)
         return actions
@@ -62,56 +62,60 @@
     # ---- what we tell ----
 
     def _event(self, event: api.Event) -> None:
-        if isinstance(event, api.Asked):
+        if isinstance(event, api.PlacementRequested):
             self._asked(event)
-        elif isinstance(event, api.Accepted):
+        elif isinstance(event, api.AttemptAccepted):
             known = self._attempt(event, "Accepted")
             if known.accepted:
-                raise ContractError(f"call {event.call}: Accepted told twice")
+                raise ContractError(f"call {event.call_id}: Accepted told twice")
             known.accepted = True
-        elif isinstance(event, api.Returned):
+        elif isinstance(event, api.AttemptEnded):
             known = self._attempt(event, "Returned")
             known.out = False
-            if known.accepted and not event.over:
-                raise ContractError(f"call {event.call}: Returned after Accepted must be over")
-            known.over |= event.over
-        elif isinstance(event, api.Left):
-            self._known(event.call, "Left").over = True
-        elif isinstance(event, api.TimerDue):
+            if known.accepted and not event.is_call_closed:
+                raise ContractError(f"call {event.call_id}: Returned after Accepted must be over")
+            known.over |= event.is_call_closed
+        elif isinstance(event, api.CallAbandoned):
+            self._known(event.call_id, "Left").over = True
+        elif isinstance(event, api.TimerFired):
             self._count("timers", "TimerDue without a SetTimer")
-        elif isinstance(event, api.Probed):
+        elif isinstance(event, api.ProbeEnded):
             if self.probes.get(event.machine, 0) < 1:
                 raise ContractError(f"machine {event.machine}: Probed without a Probe")
             self.probes[event.machine] -= 1
             if not self.probes[event.machine]:
                 del self.probes[event.machine]
 
-    def _asked(self, event: api.Asked) -> None:
-        if event.call in self.calls:
-            raise ContractError(f"call {event.call}: Asked twice; expected a number not in use")
-        if event.machine is None and not event.left_ms > 0.0:
-            raise ContractError(f"call {event.call}: left_ms is {event.left_ms}; expected a time above 0")
+    def _asked(self, event: api.PlacementRequested) -> None:
+        if event.call_id in self.calls:
+            raise ContractError(f"call {event.call_id}: Asked twice; expected a number not in use")
+        if event.machine is None and not event.remaining_ms > 0.0:
+            raise ContractError(
+                f"call {event.call_id}: left_ms is {event.remaining_ms}; expected a time above 0"
+            )
         adopted = event.machine is not None
-        self.calls[event.call] = Known(int(adopted), event.machine or "", adopted, adopted)
+        self.calls[event.call_id] = Known(int(adopted), event.machine or "", adopted, adopted)
 
     def _known(self, call: int, name: str) -> Known:
         if call not in self.calls:
             raise ContractError(f"call {call}: {name} of a call never asked or over")
         return self.calls[call]
 
-    def _attempt(self, event: api.Accepted | api.Returned, name: str) -> Known:
-        known = self._known(event.call, name)
+    def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> Known:
+        known = self._known(event.call_id, name)
         if event.attempt != known.binds - 1:
             told = f"{name} of attempt {event.attempt}"
-            raise ContractError(f"call {event.call}: {told}; attempts count from 0, out is {known.binds - 1}")
+            raise ContractError(
+                f"call {event.call_id}: {told}; attempts count from 0, out is {known.binds - 1}"
+            )
         if event.machine != known.machine:
-            raise ContractError(f"call {event.call}: {name} by {event.machine}, bound to {known.machine}")
+            raise ContractError(f"call {event.call_id}: {name} by {event.machine}, bound to {known.machine}")
         if not known.out:
             raise ContractError(
-                f"call {event.call}: {name} of attempt {event.attempt}, which is back already"
+                f"call {event.call_id}: {name} of attempt {event.attempt}, which is back already"
             )
-        if event.spent_ms < 0.0:
-            raise ContractError(f"call {event.call}: spent_ms is {event.spent_ms}")
+        if event.elapsed_ms < 0.0:
+            raise ContractError(f"call {event.call_id}: spent_ms is {event.elapsed_ms}")
         return known
 
     def _count(self, name: str, fault: str) -> None:
@@ -124,17 +128,17 @@
 
     def _action(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
-            known = self._open(action.call, "Bind")
+            known = self._open(action.call_id, "Bind")
             if known.out:
-                raise ContractError(f"call {action.call}: Bind while attempt {known.binds - 1} is out")
+                raise ContractError(f"call {action.call_id}: Bind while attempt {known.binds - 1} is out")
             known.binds, known.machine = known.binds + 1, action.machine
             known.out, known.accepted = True, False
-        elif isinstance(action, api.Refuse | api.Fail):
-            known = self._open(action.call, type(action).__name__)
+        elif isinstance(action, api.Reject | api.Fail):
+            known = self._open(action.call_id, type(action).__name__)
             if known.out:
-                raise ContractError(f"call {action.call}: answered while attempt {known.binds - 1} is out")
+                raise ContractError(f"call {action.call_id}: answered while attempt {known.binds - 1} is out")
             known.over = True
-            self._forget(action.call)
+            self._forget(action.call_id)
         elif isinstance(action, api.SetTimer):
             self.timers += 1
         elif isinstance(action, api.Probe):
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -88,7 +88,7 @@
         self.watch: Callable[[], None] = lambda: None  # set by the directory's client
         self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered while ending
         self.last_now = timing.now()
-        least = 1.25 * settings.cold_window_ms if settings.cold_offers else 0.0
+        least = 1.25 * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
         self.opening = Opening(self.last_now, least, options.grace_ms)
         self.listed: set[str] | None = None  # machines that the list tells as serving
         self.hearers: list[Hear] = []
@@ -137,11 +137,13 @@
         """Tells the module, in order: what its actions cause at once is told after them."""
         self.telling.tell(event)
 
-    def list_told(self, event: api.ListTold) -> None:
+    def list_told(self, event: api.MachineListUpdated) -> None:
         """News of the machine list."""
-        if event.kind is not api.ListKind.FAILED:
-            serving = {machine.name for machine in event.machines if machine.phase is api.Phase.SERVING}
-            if event.kind is api.ListKind.WHOLE or self.listed is None:
+        if event.kind is not api.ListUpdateKind.FAILED:
+            serving = {
+                machine.name for machine in event.machines if machine.phase is api.MachinePhase.SERVING
+            }
+            if event.kind is api.ListUpdateKind.SNAPSHOT or self.listed is None:
                 self.listed = serving
             else:
                 self.listed -= {machine.name for machine in event.machines}
@@ -166,7 +168,7 @@
         ask = call.ask
         call.told = True
         self.tell(
-            api.Asked(
+            api.PlacementRequested(
                 call.number,
                 ask.task_class,
                 ask.service,
@@ -203,27 +205,27 @@
     def _act(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
             self._bind(action)
-        elif isinstance(action, api.Refuse):
-            call = self.ledger.calls[action.call]
+        elif isinstance(action, api.Reject):
+            call = self.ledger.calls[action.call_id]
             self.answer(call, Given.REFUSED, status_mapping.refusal(call.may_have_run()))
         elif isinstance(action, api.Fail):
-            self.answer(self.ledger.calls[action.call], Given.FAILED, status_mapping.failure())
+            self.answer(self.ledger.calls[action.call_id], Given.FAILED, status_mapping.failure())
         elif isinstance(action, api.SetTimer):
             token = action.token
-            self.timing.call_in(action.in_ms, lambda: self.tell(api.TimerDue(token)))
+            self.timing.call_in(action.delay_ms, lambda: self.tell(api.TimerFired(token)))
         elif isinstance(action, api.Probe):
             self._probe(action.machine)
-        elif isinstance(action, api.Watch):
+        elif isinstance(action, api.WatchMachineList):
             self.watch()
-        elif isinstance(action, api.Log):
+        elif isinstance(action, api.LogMessage):
             self.log("module", text=action.text)
-        elif isinstance(action, api.Move):
-            self._move(action.call)
+        elif isinstance(action, api.Migrate):
+            self._move(action.call_id)
 
     # ---- attempts ----
 
     def _bind(self, action: api.Bind) -> None:
-        call, now = self.ledger.calls[action.call], self.now()
+        call, now = self.ledger.calls[action.call_id], self.now()
         number = len(call.attempts)
         name = f"{self.options.name}-{self.incarnation}-{call.number}.{number}"
         attempt = Attempt(call, number, action.machine, name, now)
@@ -254,7 +256,7 @@
             "attempt": str(attempt.number),
             "answer_within_ms": f"{timeout_ms:.0f}",
             "priority": str(cls.priority),
-            "effect": cls.effect.value,
+            "effect": cls.idempotency.value,
             "life_ms": None if call.ask.life_ms is None else f"{call.ask.life_ms:.0f}",
         }
         info = m.TaskInfo(
@@ -295,8 +297,8 @@
         attempt: Attempt,
         outcome: api.Outcome,
         over: bool,
-        why: api.Why = api.Why.NONE,
-        report: api.Report | None = None,
+        why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
+        report: api.LoadReport | None = None,
     ) -> None:
         """Tells the module that an attempt is back, once."""
         call = attempt.call
@@ -310,7 +312,7 @@
             self.ledger.close(call)
         self.happened(Back(attempt, outcome, why))
         self.tell(
-            api.Returned(call.number, attempt.number, attempt.machine, outcome, spent, over, why, report)
+            api.AttemptEnded(call.number, attempt.number, attempt.machine, outcome, spent, over, why, report)
         )
         if call.given is None and call.left:
             self._withdrawn(call)
@@ -345,7 +347,7 @@
     def _probe(self, machine: str) -> None:
         link: Any = self.members.session(machine)
         if link is None:
-            self.tell(api.Probed(machine, api.Outcome.UNREACHABLE))
+            self.tell(api.ProbeEnded(machine, api.Outcome.UNREACHABLE))
             return
         number = next(self.probe_numbers)
         timeout = self.options.probe_timeout_ms
@@ -354,7 +356,7 @@
         payload = m.pack(m.Payload("probe", probe=number))
         link.send(m.encode(m.ExecutorEvent("MESSAGE", message=m.Message(payload))))
 
-    def probe_back(self, machine: str, number: int, report: api.Report | None) -> None:
+    def probe_back(self, machine: str, number: int, report: api.LoadReport | None) -> None:
         waiting = self.probes.get(machine, deque())
         for item in waiting:
             if item[0] == number:
@@ -362,8 +364,8 @@
                 item[1].cancel()
                 if not waiting:
                     del self.probes[machine]
-                outcome = api.Outcome.TIMED_OUT if report is None else api.Outcome.ENDED
-                self.tell(api.Probed(machine, outcome, report))
+                outcome = api.Outcome.TIMED_OUT if report is None else api.Outcome.COMPLETED
+                self.tell(api.ProbeEnded(machine, outcome, report))
                 return
 
     # ---- answers ----
@@ -437,7 +439,7 @@
         for call in [c for c in self.ledger.calls.values() if c.given is None]:
             call.left = True
             if call.told:
-                self.tell(api.Left(call.number))
+                self.tell(api.CallAbandoned(call.number))
             out = call.out()
             if out is not None and self.handed(out) is not delivery_status.Handed.WHOLE:
                 session: Any = out.session
@@ -445,7 +447,7 @@
             elif out is not None:
                 self.kill(out)
             if call.given is None:
-                may = call.may_have_run() and call.effect is not api.Effect.SAFE
+                may = call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT
                 answer = status_mapping.failure() if may else status_mapping.refusal(call.may_have_run())
                 self.answer(call, Given.FAILED if may else Given.REFUSED, answer)
 
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -48,7 +48,7 @@
     return Handed.NOTHING if written <= begin else Handed.PART
 
 
-def on_session_lost(step: Step, out: Handed, effect: api.Effect) -> Verdict:
+def on_session_lost(step: Step, out: Handed, effect: api.Idempotency) -> Verdict:
     """The agent's session ended while the attempt was out or its task ran.
 
     Unsent is known not to have run. A safe task tries elsewhere at once. Others wait for the agent to come
@@ -58,7 +58,7 @@
         return Verdict(Do.WAIT)  # members decide when a silent agent's tasks are lost
     if out is not Handed.WHOLE:
         return Verdict(Do.RETURN, api.Outcome.UNREACHABLE)
-    if effect is api.Effect.SAFE:
+    if effect is api.Idempotency.IDEMPOTENT:
         return Verdict(Do.RETURN, api.Outcome.LOST, may_have_run=True)
     return Verdict(Do.WAIT)
 
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -38,7 +38,7 @@
 
     attempt: Attempt
     outcome: api.Outcome
-    why: api.Why
+    why: api.OutcomeReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachinesTold:
-    news: api.ListTold
+    news: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     owner: str  # framework id, or an insider's
     tenant: str | None
     task_id: str
-    effect: api.Effect
+    effect: api.Idempotency
     ask: Ask
 
 
--- a/glencleat/allocator/endpoint_list.py
+++ b/glencleat/allocator/endpoint_list.py
@@ -27,10 +27,10 @@
     return now_ms - max(0.0, wall_ms - max(times) / 1e6)
 
 
-def phase(agent: m.Agent) -> api.Phase:
+def phase(agent: m.Agent) -> api.MachinePhase:
     if agent.drain_info is not None or agent.deactivated:
-        return api.Phase.DRAINING
-    return api.Phase.SERVING if agent.active else api.Phase.GONE
+        return api.MachinePhase.DRAINING
+    return api.MachinePhase.SERVING if agent.active else api.MachinePhase.REMOVED
 
 
 def machine(agent: m.Agent, now_ms: float, wall_ms: float) -> api.Machine | None:
@@ -50,8 +50,8 @@
         zone=domain.zone.name if domain is not None else "",
         cell=int(cell.scalar.value) if cell is not None and cell.scalar is not None else 0,
         phase=phase(agent),
-        cores_left=left[0],
-        memory_left=left[1],
+        free_cores=left[0],
+        free_memory=left[1],
         ready_at_ms=ready_at(agent, now_ms, wall_ms),
     )
 
@@ -69,16 +69,16 @@
     def __init__(self) -> None:
         self.known: dict[str, api.Machine] = {}
 
-    def whole(self, agents: Iterable[m.Agent], now_ms: float, wall_ms: float) -> api.ListTold:
+    def whole(self, agents: Iterable[m.Agent], now_ms: float, wall_ms: float) -> api.MachineListUpdated:
         told = machines(agents, now_ms, wall_ms)
         self.known = {item.name: item for item in told}
-        return api.ListTold(api.ListKind.WHOLE, told)
+        return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, told)
 
-    def again(self) -> api.ListTold:
+    def again(self) -> api.MachineListUpdated:
         """What was told last, changes and all."""
-        return api.ListTold(api.ListKind.WHOLE, tuple(self.known.values()))
+        return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(self.known.values()))
 
-    def changed(self, agent: m.Agent, now_ms: float, wall_ms: float) -> api.ListTold | None:
+    def changed(self, agent: m.Agent, now_ms: float, wall_ms: float) -> api.MachineListUpdated | None:
         item = machine(agent, now_ms, wall_ms)
         if item is None:
             return None
@@ -87,8 +87,10 @@
         if started and item.ready_at_ms is not None and abs(started - item.ready_at_ms) < NOISE_MS:
             item = replace(item, ready_at_ms=started)
         self.known[item.name] = item
-        return api.ListTold(api.ListKind.CHANGES, (item,))
+        return api.MachineListUpdated(api.ListUpdateKind.DELTA, (item,))
 
-    def removed(self, agent_id: str) -> api.ListTold:
-        before = self.known.pop(agent_id, None) or api.Machine(agent_id, "", "", 0, api.Phase.GONE)
-        return api.ListTold(api.ListKind.CHANGES, (replace(before, phase=api.Phase.GONE),))
+    def removed(self, agent_id: str) -> api.MachineListUpdated:
+        before = self.known.pop(agent_id, None) or api.Machine(agent_id, "", "", 0, api.MachinePhase.REMOVED)
+        return api.MachineListUpdated(
+            api.ListUpdateKind.DELTA, (replace(before, phase=api.MachinePhase.REMOVED),)
+        )
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -80,8 +80,8 @@
             return
         self.offer_number += 1
         offer_id = f"{core.options.name}-{core.incarnation}-o{self.offer_number}"
-        cores = sum(size.cores for size in core.settings.kinds.values())
-        memory = sum(size.memory for size in core.settings.kinds.values())
+        cores = sum(size.cores for size in core.settings.machine_sizes.values())
+        memory = sum(size.memory for size in core.settings.machine_sizes.values())
         offer = m.Offer(
             m.Value(offer_id),
             m.Value(framework.id),
@@ -156,7 +156,7 @@
 
     def _take(self, owner: str, tenant: str | None, info: m.TaskInfo, ask: Ask) -> Call | Verdict:
         core = self.core
-        effect = core.classes[ask.task_class].effect
+        effect = core.classes[ask.task_class].idempotency
         verdict = core.decide(Asking(owner, tenant, info.task_id.value, effect, ask))
         if verdict is not None:
             return verdict
@@ -213,11 +213,11 @@
         out = call.out()
         call.left = True
         if call.told:
-            core.tell(api.Left(call.number))
+            core.tell(api.CallAbandoned(call.number))
         if out is not None:
             core.kill(out)
         elif call.given is None:
-            if call.may_have_run() and call.effect is not api.Effect.SAFE:
+            if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
                 core.answer(call, Given.FAILED, status_mapping.failure())
             else:
                 core.answer(call, Given.REFUSED, Answer(status_mapping.KILLED, Retry.HARMLESS))
--- a/glencleat/allocator/pending_reasons.py
+++ b/glencleat/allocator/pending_reasons.py
@@ -11,7 +11,7 @@
 from glencleat import interface as api
 
 SAID = {
-    api.Outcome.REFUSED: "refused",
+    api.Outcome.REJECTED: "refused",
     api.Outcome.TIMED_OUT: "no answer in time",
     api.Outcome.UNREACHABLE: "not reachable",
     api.Outcome.NOT_SENT: "not sent",
@@ -19,10 +19,10 @@
     api.Outcome.ERROR: "answered with an error",
 }
 CAUSES = {
-    api.Why.CORES: "cores",
-    api.Why.MEMORY: "memory",
-    api.Why.LINE: "too many asks wait there",
-    api.Why.NOT_HERE: "not here",
+    api.OutcomeReason.INSUFFICIENT_CORES: "cores",
+    api.OutcomeReason.INSUFFICIENT_MEMORY: "memory",
+    api.OutcomeReason.QUEUE_FULL: "too many asks wait there",
+    api.OutcomeReason.NOT_ELIGIBLE: "not here",
 }
 
 
@@ -31,7 +31,7 @@
     """One kind of end of an attempt: how often, and by which machine and when the last time."""
 
     outcome: api.Outcome
-    why: api.Why
+    why: api.OutcomeReason
     count: int
     machine: str
     at: float
@@ -46,9 +46,9 @@
 class Record:
     """Reasons of one task, at most one for each outcome and cause."""
 
-    reasons: dict[tuple[api.Outcome, api.Why], Reason] = field(default_factory=dict)
+    reasons: dict[tuple[api.Outcome, api.OutcomeReason], Reason] = field(default_factory=dict)
 
-    def note(self, outcome: api.Outcome, why: api.Why, machine: str, at: float) -> None:
+    def note(self, outcome: api.Outcome, why: api.OutcomeReason, machine: str, at: float) -> None:
         reason = self.reasons.pop((outcome, why), None)
         count = reason.count + 1 if reason is not None else 1
         self.reasons[outcome, why] = Reason(outcome, why, count, machine, at)
--- a/glencleat/allocator/status_mapping.py
+++ b/glencleat/allocator/status_mapping.py
@@ -28,10 +28,10 @@
 AGENT_REMOVED = "REASON_AGENT_REMOVED"
 
 CAUSES = {  # the `cause` label of an agent's TASK_DROPPED
-    "cores": api.Why.CORES,
-    "memory": api.Why.MEMORY,
-    "line": api.Why.LINE,
-    "not here": api.Why.NOT_HERE,
+    "cores": api.OutcomeReason.INSUFFICIENT_CORES,
+    "memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
+    "line": api.OutcomeReason.QUEUE_FULL,
+    "not here": api.OutcomeReason.NOT_ELIGIBLE,
 }
 
 
@@ -49,8 +49,8 @@
     """What a status means: the step it brings, and for an end the outcome and why."""
 
     step: Step
-    outcome: api.Outcome = api.Outcome.ENDED
-    why: api.Why = api.Why.NONE
+    outcome: api.Outcome = api.Outcome.COMPLETED
+    why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED
     ran: bool = True  # False: known not to have run
 
 
@@ -61,16 +61,20 @@
     if state == RUNNING:
         return Told(Step.RUNS)
     if state == DROPPED:
-        return Told(Step.OVER, api.Outcome.REFUSED, CAUSES.get(cause or "", api.Why.NONE), ran=False)
+        return Told(
+            Step.OVER, api.Outcome.REJECTED, CAUSES.get(cause or "", api.OutcomeReason.UNSPECIFIED), ran=False
+        )
     if state == ERROR:  # the specification: an error in the task's description; it never started
-        return Told(Step.OVER, api.Outcome.REFUSED, api.Why.NOT_HERE, ran=False)
+        return Told(Step.OVER, api.Outcome.REJECTED, api.OutcomeReason.NOT_ELIGIBLE, ran=False)
     if state == FINISHED:
-        return Told(Step.OVER, api.Outcome.ENDED)
+        return Told(Step.OVER, api.Outcome.COMPLETED)
     if state == FAILED:
-        why = {MEMORY_LIMIT: api.Why.EVICTED, PREEMPTED: api.Why.PUSHED_OUT}.get(reason or "", api.Why.NONE)
+        why = {MEMORY_LIMIT: api.OutcomeReason.EVICTED, PREEMPTED: api.OutcomeReason.PREEMPTED}.get(
+            reason or "", api.OutcomeReason.UNSPECIFIED
+        )
         return Told(Step.OVER, api.Outcome.LOST, why)
     if state == KILLED:
-        why = api.Why.SENT_AWAY if reason == DRAINING else api.Why.NONE
+        why = api.OutcomeReason.DRAINED if reason == DRAINING else api.OutcomeReason.UNSPECIFIED
         return Told(Step.OVER, api.Outcome.STOPPED, why)
     if state in (LOST, GONE, GONE_BY_OPERATOR):
         return Told(Step.OVER, api.Outcome.LOST)
@@ -125,11 +129,11 @@
     return Answer(UNKNOWN, Retry.RECONCILE, RECONCILIATION)
 
 
-def ended(outcome: api.Outcome, why: api.Why) -> Answer:
+def ended(outcome: api.Outcome, why: api.OutcomeReason) -> Answer:
     """The end of a placed task, to its owner; the module is told the same outcome."""
-    if outcome is api.Outcome.ENDED:
+    if outcome is api.Outcome.COMPLETED:
         return Answer(FINISHED, Retry.NEVER)
     if outcome is api.Outcome.STOPPED:
-        return Answer(KILLED, Retry.HARMLESS, DRAINING if why is api.Why.SENT_AWAY else None)
-    reasons = {api.Why.EVICTED: MEMORY_LIMIT, api.Why.PUSHED_OUT: PREEMPTED}
+        return Answer(KILLED, Retry.HARMLESS, DRAINING if why is api.OutcomeReason.DRAINED else None)
+    reasons = {api.OutcomeReason.EVICTED: MEMORY_LIMIT, api.OutcomeReason.PREEMPTED: PREEMPTED}
     return Answer(FAILED, Retry.HARMLESS, reasons.get(why))
--- a/glencleat/config/schema.py
+++ b/glencleat/config/schema.py
@@ -220,13 +220,13 @@
     def settings(self) -> api.Settings:
         """The module's settings."""
         return api.Settings(
-            me=self.allocator.number,
-            peers=self.allocator.of,
+            allocator_index=self.allocator.number,
+            allocator_count=self.allocator.of,
             zone=self.allocator.zone,
             classes=tuple(
                 api.TaskClass(
                     c.name,
-                    api.Effect(c.effect),
+                    api.Idempotency(c.effect),
                     c.aim,
                     c.deadline,
                     c.worth,
@@ -243,19 +243,19 @@
                 )
                 for c in self.classes
             ),
-            kinds={k.name: api.Size(k.cores, k.memory) for k in self.kinds},
-            accept_cores=self.accept.cores,
-            accept_memory=self.accept.memory,
-            view=self.reports.list_tells_room == "yes",
-            must_ask=True,
-            reports_used=self.reports.counts == "used",
+            machine_sizes={k.name: api.MachineSize(k.cores, k.memory) for k in self.kinds},
+            cores_overcommit=self.accept.cores,
+            memory_overcommit=self.accept.memory,
+            list_has_free_capacity=self.reports.list_tells_room == "yes",
+            watch_on_request=True,
+            reports_count_usage=self.reports.counts == "used",
             reports_on_probe=self.reports.come == "on-probe",
-            probes=self.reports.probes == "yes",
-            notes_pressure=self.reports.pressure == "yes",
-            yes_means_runs=False,
+            probes_allowed=self.reports.probes == "yes",
+            reports_pressure=self.reports.pressure == "yes",
+            acceptance_means_running=False,
             max_attempts=self.attempts,
-            drain_ms=self.drain,
-            cold_ms=self.cold.warm,
-            cold_window_ms=self.cold.window,
-            cold_offers=self.cold.offers,
+            drain_grace_ms=self.drain,
+            warm_up_ms=self.cold.warm,
+            warm_up_window_ms=self.cold.window,
+            warm_up_offers=self.cold.offers,
         )
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -121,7 +121,7 @@
     def _log(self, event: str, **more: Any) -> None:
         self.log.info(event, **more)
 
-    def _list_told(self, event: api.ListTold) -> None:
+    def _list_told(self, event: api.MachineListUpdated) -> None:
         if self.kept is not None:
             self.kept.told(event)  # first: what was once told must be known after a kill
         self.core.list_told(event)
@@ -151,10 +151,10 @@
             except OSError as error:
                 raise OSError(f"listen {name} {address[0]}:{address[1]}: {error.strerror}") from None
         # An empty change is news of nothing, at which the module asks for the list by itself.
-        self.core.tell(api.ListTold(api.ListKind.CHANGES))
+        self.core.tell(api.MachineListUpdated(api.ListUpdateKind.DELTA))
         if self.kept is not None:
             if machines := self.kept.load():
-                self.core.list_told(api.ListTold(api.ListKind.CHANGES, machines))
+                self.core.list_told(api.MachineListUpdated(api.ListUpdateKind.DELTA, machines))
             self.kept.start()
         gc.freeze()  # what is there from the start need not be looked at by each collection
         gc.set_threshold(*COLLECT)
--- a/glencleat/endpoint_snapshot.py
+++ b/glencleat/endpoint_snapshot.py
@@ -67,8 +67,8 @@
         machine.zone,
         machine.cell,
         machine.phase.value,
-        machine.cores_left,
-        machine.memory_left,
+        machine.free_cores,
+        machine.free_memory,
         None if ready is None else wall_ms - (now_ms - ready),
     )
 
@@ -133,10 +133,10 @@
     told = []
     for one in found.machines.values():
         try:
-            phase = api.Phase(one.phase)
+            phase = api.MachinePhase(one.phase)
         except ValueError:
             raise BadList(f"machine {one.name[:40]}: phase {one.phase[:20]!r}") from None
-        if phase is api.Phase.GONE:
+        if phase is api.MachinePhase.REMOVED:
             continue
         ready = one.ready_wall_ms
         since = None if ready is None else now_ms - max(0.0, wall_ms - ready)
--- a/glencleat/platform_protocol/command_channel.py
+++ b/glencleat/platform_protocol/command_channel.py
@@ -95,7 +95,9 @@
         self.older = 0  # words in a row that told an older number than ours
         self.anew = False  # the service's numbers are others: the next whole list counts, whatever its number
         self.before = 0  # our number when that was found
-        self.leaving: dict[str, tuple[float, api.Phase]] = {}  # by name: its start, and what was told of it
+        self.leaving: dict[
+            str, tuple[float, api.MachinePhase]
+        ] = {}  # by name: its start, and what was told of it
 
     def resume(self) -> bytes:
         """What a new connection begins with; what an earlier one left half said is dropped."""
@@ -159,17 +161,17 @@
             self.anew, self.before = True, max(self.before, self.cursor)
             raise PeerError(f"the channel is at {last}, we were told {self.cursor}: asking for all of it")
 
-    def _phase(self, entry: Entry, cursor: int) -> api.Phase:
+    def _phase(self, entry: Entry, cursor: int) -> api.MachinePhase:
         phase = PHASES[entry.lifecycle]
         started, told = self.leaving.get(entry.instance_id, (-1.0, phase))
-        if cursor <= self.before and started == entry.started_at_ms and phase is api.Phase.SERVING:
+        if cursor <= self.before and started == entry.started_at_ms and phase is api.MachinePhase.SERVING:
             return told
         return phase
 
     def _note(self, host: Host) -> None:
         name = host.machine.name
         self.leaving.pop(name, None)
-        if host.machine.phase is not api.Phase.SERVING:
+        if host.machine.phase is not api.MachinePhase.SERVING:
             self.leaving[name] = host.started_ms, host.machine.phase
             if len(self.leaving) > MOST_LEAVING:
                 del self.leaving[next(iter(self.leaving))]
@@ -186,7 +188,7 @@
             self.hosts = {}
         for host in hosts:
             self._note(host)
-            if host.machine.phase is api.Phase.GONE:
+            if host.machine.phase is api.MachinePhase.REMOVED:
                 self.hosts.pop(host.machine.name, None)
             else:
                 self.hosts[host.machine.name] = host
@@ -209,7 +211,7 @@
         if entry.lifecycle not in PHASES:
             raise PeerError(f"no state of a machine: {entry.lifecycle[:40]!r}")
         known = self.hosts.get(entry.instance_id)
-        cores, memory = (known.machine.cores_left, known.machine.memory_left) if known else (0.0, 0.0)
+        cores, memory = (known.machine.free_cores, known.machine.free_memory) if known else (0.0, 0.0)
         if entry.free is not None and len(entry.free) == 2 and all(map(math.isfinite, entry.free)):
             cores, memory = entry.free
         ready = self._ready(entry, known, now, whole)
--- a/glencleat/platform_protocol/delivery.py
+++ b/glencleat/platform_protocol/delivery.py
@@ -32,7 +32,7 @@
     SendOutcome.BROKEN: api.Outcome.LOST,
     SendOutcome.SILENT: api.Outcome.TIMED_OUT,
 }
-NEVER_RAN = frozenset((api.Outcome.REFUSED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT))
+NEVER_RAN = frozenset((api.Outcome.REJECTED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT))
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,9 +48,12 @@
 
 def harmless(cls: api.TaskClass, first_ms: float | None, now: float, tick_ms: float) -> bool:
     """Whether one more attempt does no harm now; `first_ms`: when the first that may have run could be in."""
-    if first_ms is None or cls.effect is api.Effect.SAFE:
+    if first_ms is None or cls.idempotency is api.Idempotency.IDEMPOTENT:
         return True
-    return cls.effect is api.Effect.KEYED and now <= first_ms + cls.window_ms - 2.0 * tick_ms
+    return (
+        cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+        and now <= first_ms + cls.deduplication_window_ms - 2.0 * tick_ms
+    )
 
 
 def turn_holds(cold: bool, waited_ms: float, window_ms: float) -> bool:
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -159,7 +159,7 @@
         self.actors[type(action)](self, action)
 
     def _bind(self, action: api.Bind) -> None:
-        call, now = self.calls[action.call], self.ports.now()
+        call, now = self.calls[action.call_id], self.ports.now()
         attempt = Attempt(call, call.attempts, action.machine, now, now + action.timeout_ms)
         call.attempts, call.attempt, call.state = call.attempts + 1, attempt, State.OUT
         attempt.timer = self.ports.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
@@ -174,12 +174,12 @@
             return
         self._back(attempt, OUTCOMES[self.ports.cancel(attempt)])
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         stay = {m.STAY_AWAY: b"%d" % round(action.retry_after_ms)} if action.retry_after_ms >= 1.0 else {}
-        self._answer(self.calls[action.call], m.FULL, stay)
+        self._answer(self.calls[action.call_id], m.FULL, stay)
 
     def _fail(self, action: api.Fail) -> None:
-        self._answer(self.calls[action.call], m.RESET, {})
+        self._answer(self.calls[action.call_id], m.RESET, {})
 
     def _answer(self, call: Call, cause: int, more: dict[int, bytes]) -> None:
         """The final answer that is no placing. Nothing is kept of the call."""
@@ -187,8 +187,8 @@
         self._forget(call)
         self.ports.to_owner(call.owner, data, owed=False)
 
-    def _move(self, action: api.Move) -> None:
-        call = self.calls[action.call]
+    def _move(self, action: api.Migrate) -> None:
+        call = self.calls[action.call_id]
         if call.state is State.STANDS:
             self.ports.to_owner(call.owner, m.encode(m.MOVE, call.setup.task), owed=True)
             self._cut(call)
@@ -202,30 +202,30 @@
         else:
             self.ports.call_in(0.0, lambda: self._tested(token, api.Outcome.UNREACHABLE, None))
 
-    def _tested(self, token: int, outcome: api.Outcome, report: api.Report | None) -> None:
+    def _tested(self, token: int, outcome: api.Outcome, report: api.LoadReport | None) -> None:
         host = self.tests.pop(token, None)
         if host is not None:
-            self.telling.tell(api.Probed(host, outcome, report))
+            self.telling.tell(api.ProbeEnded(host, outcome, report))
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.ports.call_in(action.in_ms, lambda: self.telling.tell(api.TimerDue(action.token)))
+        self.ports.call_in(action.delay_ms, lambda: self.telling.tell(api.TimerFired(action.token)))
 
-    def _watch(self, _: api.Watch) -> None:
+    def _watch(self, _: api.WatchMachineList) -> None:
         # The sockets hold a channel at all times: what it told is what there is.
-        self.telling.tell(api.ListTold(api.ListKind.WHOLE, self.machines()))
+        self.telling.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.machines()))
 
-    def _log(self, action: api.Log) -> None:
+    def _log(self, action: api.LogMessage) -> None:
         self.ports.log(action.text)
 
     actors: dict[type, Callable[[Exchange, Any], None]] = {
         api.Bind: _bind,
-        api.Refuse: _refuse,
+        api.Reject: _refuse,
         api.Fail: _fail,
-        api.Move: _move,
+        api.Migrate: _move,
         api.Probe: _probe,
         api.SetTimer: _set_timer,
-        api.Watch: _watch,
-        api.Log: _log,
+        api.WatchMachineList: _watch,
+        api.LogMessage: _log,
     }
 
     # ---- what ends an attempt ----
@@ -234,8 +234,8 @@
         self,
         attempt: Attempt,
         outcome: api.Outcome,
-        why: api.Why = api.Why.NONE,
-        report: api.Report | None = None,
+        why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
+        report: api.LoadReport | None = None,
         left: bool = False,
     ) -> None:
         """The one end of every attempt, with the evidence as the module's outcome."""
@@ -248,19 +248,19 @@
         if over:
             self._forget(call, attempt.host)
         if stood and outcome is not api.Outcome.STOPPED:
-            cause = m.ENDED if outcome is api.Outcome.ENDED else m.RESET
+            cause = m.ENDED if outcome is api.Outcome.COMPLETED else m.RESET
             self.ports.to_owner(call.owner, m.caused(m.RELEASE, call.setup.task, cause), owed=True)
         spent = max(0.0, now - attempt.began)
         if outcome not in NEVER_RAN and call.may_run is None:
             call.may_run = attempt.began
         if not stood:
             self.nothing[outcome] = self.nothing.get(outcome, 0) + 1
-            if outcome is not api.Outcome.REFUSED and not left:
+            if outcome is not api.Outcome.REJECTED and not left:
                 self.ports.log(
                     f"host {attempt.host}: attempt {attempt.number} {outcome.value} after {spent:.0f} ms"
                 )
-        told = api.Returned(call.number, attempt.number, attempt.host, outcome, spent, over, why, report)
-        self.telling.tell(*([api.Left(call.number)] if left else []), told)
+        told = api.AttemptEnded(call.number, attempt.number, attempt.host, outcome, spent, over, why, report)
+        self.telling.tell(*([api.CallAbandoned(call.number)] if left else []), told)
 
     def _forget(self, call: Call, host: str = "") -> None:
         self.calls.pop(call.number, None)
@@ -302,7 +302,7 @@
             serves,
             now < attempt.until,
             harmless(call.setup.cls, call.may_run, now, self.settings.tick_ms),
-            turn_holds(cold, now - attempt.began, self.settings.cold_window_ms),
+            turn_holds(cold, now - attempt.began, self.settings.warm_up_window_ms),
         )
         return held_back(seen)
 
@@ -319,7 +319,7 @@
     def host_says(self, host: str, link: Any, message: m.Message) -> None:
         """A whole message of a host; PeerError if it can't be read, before anything is changed."""
         if message.kind == m.TESTED:
-            outcome = api.Outcome.ENDED if message.cause == 1 else api.Outcome.ERROR
+            outcome = api.Outcome.COMPLETED if message.cause == 1 else api.Outcome.ERROR
             report = value_mapping.report(message)
             if self.tests.get(message.task) == host:
                 self._tested(message.task, outcome, report)
@@ -364,12 +364,12 @@
         description = {m.DESCRIPTION: message.parameters[m.DESCRIPTION]}
         self.ports.to_owner(call.owner, m.encode(m.ANSWER, call.setup.task, description), owed=False)
         spent = max(0.0, self.ports.now() - attempt.began)
-        self.telling.tell(api.Accepted(call.number, attempt.number, attempt.host, spent))
+        self.telling.tell(api.AttemptAccepted(call.number, attempt.number, attempt.host, spent))
 
     def _note(self, attempt: Attempt | None, message: m.Message) -> None:
         topic, value = message.text(m.TOPIC), m.figure(message.text(m.VALUE) or "0")
         if attempt is not None and attempt.call.state is State.STANDS and topic in TOPICS:
-            self.telling.tell(api.Noted(attempt.call.number, attempt.host, TOPICS[topic], value))
+            self.telling.tell(api.TaskObserved(attempt.call.number, attempt.host, TOPICS[topic], value))
 
     # ---- owners ----
 
@@ -413,9 +413,9 @@
         self.calls[call.number] = self.tasks[setup.task] = call
         return call
 
-    def _asked(self, call: Call, left_ms: float) -> api.Asked:
+    def _asked(self, call: Call, left_ms: float) -> api.PlacementRequested:
         s = call.setup
-        return api.Asked(
+        return api.PlacementRequested(
             call.number, s.cls.name, s.service, s.cores, s.memory, left_ms, s.tenant, None, s.at, s.again
         )
 
@@ -466,14 +466,14 @@
             self._back(call.attempt, outcome, left=True)
         else:
             self._forget(call)
-            self.telling.tell(api.Left(call.number))
+            self.telling.tell(api.CallAbandoned(call.number))
 
     # ---- machines ----
 
     def reached(self, host: str, up: bool) -> None:
         """The links' word on a host that they tried by themselves."""
-        self.telling.tell(api.Reached(host, up))
+        self.telling.tell(api.ReachabilityChanged(host, up))
 
     def list_told(self, news: News) -> None:
-        kind = api.ListKind.WHOLE if news.whole else api.ListKind.CHANGES
-        self.telling.tell(api.ListTold(kind, tuple(host.machine for host in news.hosts)))
+        kind = api.ListUpdateKind.SNAPSHOT if news.whole else api.ListUpdateKind.DELTA
+        self.telling.tell(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -40,9 +40,9 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name: c for c in settings.classes}
-        sizes = list(settings.kinds.values())
-        self.most_cores = max(s.cores for s in sizes) * settings.accept_cores
-        self.most_memory = max(s.memory for s in sizes) * settings.accept_memory
+        sizes = list(settings.machine_sizes.values())
+        self.most_cores = max(s.cores for s in sizes) * settings.cores_overcommit
+        self.most_memory = max(s.memory for s in sizes) * settings.memory_overcommit
 
     def read(self, message: m.Message) -> Setup:
         """The set-up; BadSetup says what is wrong with it."""
@@ -59,7 +59,7 @@
             raise BadSetup(f"no class {message.text(m.CLASS)!r}")
         name, extras = self._need(message, m.NAME, "name"), m.fields(message.text(m.EXTRAS) or "")
         key = message.text(m.KEY)
-        if cls.effect is api.Effect.KEYED and not key:
+        if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
             raise BadSetup("no key in a keyed class")
         at = extras.get("at")
         if m.DESCRIPTION not in message.parameters:
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -9,31 +9,31 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_settings import read_report
 
-BEFORE = {m.FULL: api.Outcome.REFUSED, m.ERROR: api.Outcome.ERROR, m.MOOT: api.Outcome.NOT_SENT}
-AFTER = {m.ENDED: api.Outcome.ENDED, m.STOPPED: api.Outcome.STOPPED}  # every other cause: LOST
+BEFORE = {m.FULL: api.Outcome.REJECTED, m.ERROR: api.Outcome.ERROR, m.MOOT: api.Outcome.NOT_SENT}
+AFTER = {m.ENDED: api.Outcome.COMPLETED, m.STOPPED: api.Outcome.STOPPED}  # every other cause: LOST
 WHYS = {
-    "no_cores": api.Why.CORES,
-    "no_memory": api.Why.MEMORY,
-    "queue_full": api.Why.LINE,
-    "not_here": api.Why.NOT_HERE,
-    "evicted": api.Why.EVICTED,
-    "pushed_out": api.Why.PUSHED_OUT,
-    "sent_away": api.Why.SENT_AWAY,
+    "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
+    "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
+    "queue_full": api.OutcomeReason.QUEUE_FULL,
+    "not_here": api.OutcomeReason.NOT_ELIGIBLE,
+    "evicted": api.OutcomeReason.EVICTED,
+    "pushed_out": api.OutcomeReason.PREEMPTED,
+    "sent_away": api.OutcomeReason.DRAINED,
 }
 TOPICS = {
-    "runs": api.NoteKind.RUNS,
-    "cores": api.NoteKind.CORES,
-    "memory": api.NoteKind.MEMORY,
-    "served": api.NoteKind.SERVED,
-    "pressure": api.NoteKind.MACHINE_MEMORY,
+    "runs": api.ObservationKind.RUNNING,
+    "cores": api.ObservationKind.CORES_IN_USE,
+    "memory": api.ObservationKind.MEMORY_IN_USE,
+    "served": api.ObservationKind.SERVICE_LEVEL,
+    "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
 FIELDS = {"util": "busy", "queue": "q"}  # names on the sockets -> in the settings, where they differ
 
 
-def why(message: m.Message) -> api.Why:
-    return WHYS.get(message.text(m.TOPIC) or "", api.Why.NONE)
+def why(message: m.Message) -> api.OutcomeReason:
+    return WHYS.get(message.text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
 
 
-def report(message: m.Message) -> api.Report | None:
+def report(message: m.Message) -> api.LoadReport | None:
     raw = m.fields(message.text(m.REPORT) or "")
     return read_report({FIELDS.get(name, name): m.figure(value) for name, value in raw.items()})
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -321,10 +321,10 @@
     def _told(self, told: Host) -> None:
         name, now = told.machine.name, self.loop.now()
         host = self.hosts.get(name) or self._add(name)
-        if told.machine.phase is api.Phase.GONE:
+        if told.machine.phase is api.MachinePhase.REMOVED:
             host.leaves(now)
             return
-        host.listed(draining=told.machine.phase is api.Phase.DRAINING)
+        host.listed(draining=told.machine.phase is api.MachinePhase.DRAINING)
         if told.address != host.address:
             self._drop(host, "its host has another address")
             host.address = told.address
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -96,7 +96,7 @@
         self.hosts = Hosts(loop, self.channel, self.descriptors, *limits, random, log)
         self.started = loop.now()
         self.owners.ready = self._ready
-        self.hosts.peers, self.hosts.cold_ms = config.settings.peers, config.settings.cold_ms
+        self.hosts.peers, self.hosts.cold_ms = config.settings.allocator_count, config.settings.warm_up_ms
         module = Scheduler(config.settings, config.seed)
         self.exchange = Exchange(config.settings, module, self, config.connect_ms)
         self.exchange.machines = self.channel.machines
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -15,7 +15,11 @@
 if TYPE_CHECKING:
     from glencleat.platform_protocol.exchange import Call
 
-DULL = (api.TimerDue, api.ListTold, api.Noted)  # told only where the module answers with more than a timer
+DULL = (
+    api.TimerFired,
+    api.MachineListUpdated,
+    api.TaskObserved,
+)  # told only where the module answers with more than a timer
 
 
 class Trace:
@@ -30,7 +34,7 @@
             return actions
         calls = [self.calls.get(getattr(said, "call", -1)) for said in (event, *actions)]
         pairs = {f"{call.setup.task:016x}" for call in calls if call is not None}
-        told = type(event).__name__ if isinstance(event, api.ListTold) else event
+        told = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
         self.line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
         return actions
 
--- a/glencleat/policy/__init__.py
+++ b/glencleat/policy/__init__.py
@@ -1,5 +1,4 @@
 """The decisions of one scheduler: where a task goes, when it is retried, which machines are avoided."""
-left alone."""
 
 from glencleat.policy.scheduler import Scheduler
 
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -15,9 +15,41 @@
 from typing import Any
 
 from glencleat.index.rendezvous import Columns, Members, Order, hashed
-from glencleat.interface import Accepted, Action, Asked, Bind, Effect, Event, Fail, Left, ListKind, ListTold
-from glencleat.interface import Log, Machine, Noted, NoteKind, Outcome, Phase, Probe, Probed, Refuse, Report
-from glencleat.interface import Reached, Returned, SetTimer, Settings, Size, TaskClass, TimerDue, Watch, Why
+from glencleat.interface import (
+    AttemptAccepted,
+    Action,
+    PlacementRequested,
+    Bind,
+    Idempotency,
+    Event,
+    Fail,
+    CallAbandoned,
+    ListUpdateKind,
+    MachineListUpdated,
+)
+from glencleat.interface import (
+    LogMessage,
+    Machine,
+    TaskObserved,
+    ObservationKind,
+    Outcome,
+    MachinePhase,
+    Probe,
+    ProbeEnded,
+    Reject,
+    LoadReport,
+)
+from glencleat.interface import (
+    ReachabilityChanged,
+    AttemptEnded,
+    SetTimer,
+    Settings,
+    MachineSize,
+    TaskClass,
+    TimerFired,
+    WatchMachineList,
+    OutcomeReason,
+)
 
 NEED_SHARE, LIFE_SHARE = 0.75, 0.25  # of peaks: 99ths leave machines half empty; of lives: 5ths lapse at once
 ENOUGH = 20  # ended tasks before a histogram speaks
@@ -139,7 +171,7 @@
 class Node:
     """A machine as this scheduler knows it: what the list and its answers told, and our own tasks there."""
 
-    def __init__(self, told: Machine, size: Size | None) -> None:
+    def __init__(self, told: Machine, size: MachineSize | None) -> None:
         self.name, self.told, self.known = told.name, told, size is not None
         self.size: Pair = (size.cores, size.memory) if size else (1.0, 1.0)
         self.tasks: dict[int, Task] = {}
@@ -148,7 +180,7 @@
         self.turned: dict[tuple[str, str | None], Pair] = {}  # class and tenant -> until when, for how long
         self.probing = float("inf")  # since when a probe is out
         self.told_at = self.left_at = -1e18  # left_at: own binds up to then are in what is told free
-        self.report: Report | None = None
+        self.report: LoadReport | None = None
         self.report_at = -1e18
         self.void_until = self.heard = self.barred_until = self.back_at = self.full_until = -1e18
         self.silent, self.bars, self.unreachable = 0, 0, False
@@ -172,7 +204,10 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         check(settings)
         self.set, self.random = settings, random.Random(seed)
-        self.shares = settings.peers / settings.accept_cores, settings.peers / settings.accept_memory
+        self.shares = (
+            settings.allocator_count / settings.cores_overcommit,
+            settings.allocator_count / settings.memory_overcommit,
+        )
         self.classes = {c.name: c for c in settings.classes}
         self.tasks: dict[int, Task] = {}
         self.held: dict[int, Task] = {}
@@ -188,13 +223,19 @@
         self.fill = (0.0, 0.0)  # shares of machines that others' tasks use, in the mean of those told
         self.timer_at = self.wake_at = float("inf")
         self.answer_ms = self.answer_dev = 100.0
-        self.reask_at, self.reask_ms = 0.0 if settings.must_ask else float("inf"), REASK_MS
+        self.reask_at, self.reask_ms = 0.0 if settings.watch_on_request else float("inf"), REASK_MS
         self.logged: dict[str, float] = {}
         self.now, self.out, self.born = 0.0, list[Action](), float("inf")
         self.handlers: dict[type, Any] = {
-            Asked: self.on_asked, Accepted: self.on_accepted, Returned: self.on_returned, Left: self.on_left,
-            Noted: self.on_noted, ListTold: self.on_list, Probed: self.on_probed, TimerDue: self.on_timer,
-            Reached: self.on_reached,
+            PlacementRequested: self.on_asked,
+            AttemptAccepted: self.on_accepted,
+            AttemptEnded: self.on_returned,
+            CallAbandoned: self.on_left,
+            TaskObserved: self.on_noted,
+            MachineListUpdated: self.on_list,
+            ProbeEnded: self.on_probed,
+            TimerFired: self.on_timer,
+            ReachabilityChanged: self.on_reached,
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -252,7 +293,7 @@
             size, fill = node.size, self.fill
             cores = max(0.0, size[0] - left[0] - asks[0] + fresh[0])
             memory = max(0.0, size[1] - left[1] - asks[1] + fresh[1])
-            node.others = times((cores, memory), self.ratio) if self.set.peers > 1 else (0.0, 0.0)
+            node.others = times((cores, memory), self.ratio) if self.set.allocator_count > 1 else (0.0, 0.0)
             cores, memory = node.others[0] / size[0], node.others[1] / size[1]
             self.fill = fill[0] + FILL * (cores - fill[0]), fill[1] + FILL * (memory - fill[1])
         return node
@@ -260,13 +301,17 @@
     def left(self, node: Node) -> Pair | None:
         """Cores and memory that nobody has asked for, by list or report, whichever tells it."""
         report = node.report
-        told = report and not self.set.reports_used and (not self.set.view or node.report_at >= node.told_at)
-        if report and told and report.cores_free is not None and report.memory_free is not None:
+        told = (
+            report
+            and not self.set.reports_count_usage
+            and (not self.set.list_has_free_capacity or node.report_at >= node.told_at)
+        )
+        if report and told and report.free_cores is not None and report.free_memory is not None:
             node.left_at = node.report_at - REPORT_LAG_MS
-            fresh = self.set.view or self.now - node.report_at < OLD_MS
-            return (report.cores_free, report.memory_free) if fresh else None
+            fresh = self.set.list_has_free_capacity or self.now - node.report_at < OLD_MS
+            return (report.free_cores, report.free_memory) if fresh else None
         node.left_at = node.told_at - VIEW_LAG_MS
-        return (node.told.cores_left, node.told.memory_left) if self.set.view else None
+        return (node.told.free_cores, node.told.free_memory) if self.set.list_has_free_capacity else None
 
     def use(self, task: Task) -> Pair:
         """What a task uses now, or where it has not been seen, what tasks use of their asks in the mean."""
@@ -277,8 +322,8 @@
         """Shares in use and `more`: mean use, as peaks don't fall together; reported busy cores if higher."""
         used, size = plus(self.sums(node).uses, node.others), node.size
         cores = used[0] / size[0]
-        if node.report and node.report.busy is not None and self.now - node.report_at < REPORT_MS:
-            cores = max(cores, node.report.busy)
+        if node.report and node.report.busy_share is not None and self.now - node.report_at < REPORT_MS:
+            cores = max(cores, node.report.busy_share)
         if node.uses[0]:  # cores used by lower priorities crowd a task less
             lower = sum(used for rank, used in node.ranked.items() if rank < task.cls.priority)
             cores *= 1.0 - (1.0 - LOWER) * lower / node.uses[0]
@@ -286,8 +331,11 @@
 
     def bears(self, node: Node, task: Task, load: Pair) -> bool:
         """Whether it would be served there, asking less the longer it waits; signs of pressure bar first."""
-        waited, (cores, memory) = min(1.0, (self.now - task.came) / max(1.0, task.cls.aim_ms)), load
-        calm = min(1.1, task.cls.calm + FADED * task.cls.fade * waited)
+        waited, (cores, memory) = (
+            min(1.0, (self.now - task.came) / max(1.0, task.cls.latency_objective_ms)),
+            load,
+        )
+        calm = min(1.1, task.cls.saturation_threshold + FADED * task.cls.degradation_range * waited)
         well = cores <= calm and memory <= FULL + (FULLEST - FULL) * waited
         return well and (self.now >= node.void_until or waited >= 1.0)
 
@@ -302,8 +350,12 @@
         is then what the machine would still take, so that hash order stays the ordinary path."""
         if self.thin(node, ask):
             return self.room(node)
-        share = 1.0 / self.set.peers
-        part = (self.set.accept_cores * share, self.set.accept_memory * share) if multiple else (share, share)
+        share = 1.0 / self.set.allocator_count
+        part = (
+            (self.set.cores_overcommit * share, self.set.memory_overcommit * share)
+            if multiple
+            else (share, share)
+        )
         return plus(times(node.size, part), times(self.sums(node).asks, (-1.0, -1.0)))
 
     # ---- harvested room ----
@@ -371,8 +423,8 @@
 
     def cold(self, node: Node) -> float:
         """How cold a machine is that came up lately, from 1 to 0: few starts at a time, no programs."""
-        left = node.up_since() + self.set.cold_ms - self.now
-        return min(1.0, left / max(1.0, self.set.cold_ms)) if left > 0.0 else 0.0
+        left = node.up_since() + self.set.warm_up_ms - self.now
+        return min(1.0, left / max(1.0, self.set.warm_up_ms)) if left > 0.0 else 0.0
 
     def may_start(self, node: Node) -> bool:
         """Whether the told offers that a cold machine bears leave one for us now: a bound on the joint sum.
@@ -381,29 +433,38 @@
         the offers are handed out in each window, in turns that all compute alike from its start: any
         stretch of a window's length touches two turns, so no more than all. (One each was 300 at once.)
         What an earlier life of ours sent there is forgotten: its part is taken as used up for a window."""
-        window, offers = self.set.cold_window_ms * 1.25, int(self.set.cold_offers)
+        window, offers = self.set.warm_up_window_ms * 1.25, int(self.set.warm_up_offers)
         if self.now < self.born + window and node.up_since() < self.born:
             return False
         node.fresh_sends = [at for at in node.fresh_sends if self.now - at < window]
-        part = offers // self.set.peers
+        part = offers // self.set.allocator_count
         if part == 0:
             turn = int((self.now - (node.told.ready_at_ms or 0.0)) // max(1.0, window))
             half = max(1, offers // 2)
-            part = int((self.set.me + node.hash - turn * half) % self.set.peers < half)
+            part = int((self.set.allocator_index + node.hash - turn * half) % self.set.allocator_count < half)
         return len(node.fresh_sends) < part
 
     def allowed(self, node: Node, task: Task, taken: list[object]) -> bool:
         """Filters that no room outweighs: kind, drain, spread, key's group, health, a cold machine's part."""
-        grouped = task.maybe and task.cls.effect is Effect.KEYED and task.cls.group != "all"
-        spread, group = task.cls.spread, task.cls.group
+        grouped = (
+            task.maybe
+            and task.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and task.cls.deduplication_scope != "all"
+        )
+        spread, group = task.cls.spread_by, task.cls.deduplication_scope
         # What has one try goes where the last one came to something; others find out if a suspect is back.
-        once = task.cls.effect is Effect.UNSAFE and self.now - task.came < task.cls.aim_ms
+        once = (
+            task.cls.idempotency is Idempotency.NON_IDEMPOTENT
+            and self.now - task.came < task.cls.latency_objective_ms
+        )
         return (
-            node.known and node.told.phase is Phase.SERVING and task.cls.kind in (None, node.told.kind)
+            node.known
+            and node.told.phase is MachinePhase.SERVING
+            and task.cls.machine_kind in (None, node.told.kind)
             and self.now - task.refused.get(node.name, -1e18) >= REFUSED_MS
             and (node.silent < SILENT or not (self.now < node.barred_until or node.pending()))
             and not (grouped and task.maybe and node.place(group) != task.maybe[1].place(group))
-            and (spread == "off" or taken.count(node.place(spread)) < task.cls.most)
+            and (spread == "off" or taken.count(node.place(spread)) < task.cls.max_per_domain)
             and self.now >= node.turned.get((task.cls.name, task.tenant), (0.0, 0.0))[0]
             and not SLOW_MS < self.now - node.probing < PROBE_MS
             and not (once and (node.silent or node.bars))
@@ -420,7 +481,10 @@
     def room(self, node: Node) -> Pair:
         """Asks that the machine would still take, as far as it is told, newer own binds taken off."""
         left, size, fresh = self.left(node) or node.size, node.size, self.sums(node).fresh
-        cores, memory = size[0] * (self.set.accept_cores - 1.0), size[1] * (self.set.accept_memory - 1.0)
+        cores, memory = (
+            size[0] * (self.set.cores_overcommit - 1.0),
+            size[1] * (self.set.memory_overcommit - 1.0),
+        )
         return left[0] + cores - fresh[0], left[1] + memory - fresh[1]
 
     def accepts(self, node: Node, task: Task) -> Pair | None:
@@ -434,18 +498,21 @@
         A departure: a start without the program takes many times the work, and one in time is worth seconds
         of service. Where no machine would be in time, the soonest, and the hash decides which to warm."""
         need, use, ranked, good = self.need(task), self.use(task), [], 0
-        there = self.services.get(task.service, {}).values() if task.cls.spread != "off" else ()
-        taken = [t.node.place(task.cls.spread) for t in there if t.node]
-        left = task.cls.aim_ms - (self.now - task.came)
+        there = self.services.get(task.service, {}).values() if task.cls.spread_by != "off" else ()
+        taken = [t.node.place(task.cls.spread_by) for t in there if t.node]
+        left = task.cls.latency_objective_ms - (self.now - task.came)
         for node in self.walk(task):
-            if (not self.allowed(node, task, taken) or not (room := self.accepts(node, task))
-                    or not self.bears(node, task, load := self.load(node, task, use))):
+            if (
+                not self.allowed(node, task, taken)
+                or not (room := self.accepts(node, task))
+                or not self.bears(node, task, load := self.load(node, task, use))
+            ):
                 continue
             warmth = self.warmth(node, task.service)
             eta = self.eta(node, task, warmth)
-            late = 0 if eta <= left else 1 + int(eta / task.cls.aim_ms)
+            late = 0 if eta <= left else 1 + int(eta / task.cls.latency_objective_ms)
             away = self.set.cross_zone_price > 0.0 and node.told.zone != self.set.zone
-            crowded = load[0] > task.cls.calm - SPARE
+            crowded = load[0] > task.cls.saturation_threshold - SPARE
             ask, size = task.ask, node.size  # peers may have taken a last bit of the room since
             tight = room[0] - ask[0] < TIGHT_ROOM * size[0] or room[1] - ask[1] < TIGHT_ROOM * size[1]
             risky = tight and task.attempts > 0  # a further no may use up its attempts
@@ -456,7 +523,7 @@
         ranked.sort(key=lambda item: item[0])
         ring = [node for order, node in ranked if order[:6] == ranked[0][0][:6]]
         # So probes follow tasks; by hundreds of schedulers, of all machines each second, they cost more.
-        for _, node in ranked[:PROBED] if self.set.probes and self.set.reports_on_probe else ():
+        for _, node in ranked[:PROBED] if self.set.probes_allowed and self.set.reports_on_probe else ():
             if self.now - node.report_at >= PROBE_MS and not 0.0 <= self.now - node.probing < PROBE_MS:
                 node.probing = self.now
                 self.out.append(Probe(node.name))
@@ -474,19 +541,21 @@
 
     # ---- attempts and rules ----
 
-    def on_asked(self, event: Asked) -> None:
+    def on_asked(self, event: PlacementRequested) -> None:
         cls = self.classes[event.task_class]
         ask = max(event.cores, 1e-6), max(event.memory, 1e-6)
-        task = Task(event.call, cls, event.service, event.tenant, ask, self.now, self.now + event.left_ms)
+        task = Task(
+            event.call_id, cls, event.service, event.tenant, ask, self.now, self.now + event.remaining_ms
+        )
         self.tasks[task.call] = task
         if event.machine is not None:
-            unlisted = Node(Machine(event.machine, "", "", 0, Phase.GONE), None)
+            unlisted = Node(Machine(event.machine, "", "", 0, MachinePhase.REMOVED), None)
             # It ran before: what the list tells free is without it already, and is not lessened by it again.
             task.attempts, task.placed, task.sent = 1, True, -1e18
             self.take_room(task, self.nodes.setdefault(event.machine, unlisted))
             self.runs(task)
             task.lived = False
-        elif not event.again and cls.deadline_ms - event.left_ms > STOOD_STILL_MS:
+        elif not event.is_retry and cls.deadline_ms - event.remaining_ms > STOOD_STILL_MS:
             # We stood still while it waited: all news that came meanwhile is read before binding.
             self.held[task.call], self.wake_at = task, self.now
         else:
@@ -507,7 +576,7 @@
             node.tasks.pop(task.call, None)
             node.due.pop(task.call, None)
             node.sums_at = -1e18
-            if node.told.phase is Phase.GONE:
+            if node.told.phase is MachinePhase.REMOVED:
                 self.emptied[node.name] = None
         self.services.get(task.service, {}).pop(task.call, None)
         if not self.services.get(task.service):
@@ -520,14 +589,14 @@
             return False
         node = self.choose(task)
         # The answer to a probe is worth waiting for a little.
-        if node is None or node.probing <= self.now <= task.came + LOOK_SHARE * task.cls.aim_ms:
+        if node is None or node.probing <= self.now <= task.came + LOOK_SHARE * task.cls.latency_objective_ms:
             self.held[task.call] = task
             return False
         self.held.pop(task.call, None)
         left = max(1.0, task.deadline - self.now)
-        floor = max(TIMEOUT_MIN, SLOW_NO * task.cls.aim_ms)
+        floor = max(TIMEOUT_MIN, SLOW_NO * task.cls.latency_objective_ms)
         timeout = min(TIMEOUT_MAX, max(floor, self.answer_ms + 6.0 * self.answer_dev))
-        timeout = UNSAFE_TIMEOUT_MS if task.cls.effect is Effect.UNSAFE else timeout
+        timeout = UNSAFE_TIMEOUT_MS if task.cls.idempotency is Idempotency.NON_IDEMPOTENT else timeout
         task.attempts += 1
         task.sent, task.placed, task.runs_since = self.now, False, None
         task.warmth, task.alone = self.warmth(node, task.service), not node.due
@@ -547,16 +616,18 @@
         """No further attempt is allowed: attempts used up, time up, or a second run might do harm."""
         if task.attempts >= self.set.max_attempts or self.now >= task.deadline - 2.0 * PULSE_MS:
             return True
-        if task.maybe is None or task.cls.effect is Effect.SAFE:
+        if task.maybe is None or task.cls.idempotency is Idempotency.IDEMPOTENT:
             return False
-        left = task.maybe[0] + task.cls.window_ms - 2.0 * self.set.tick_ms - self.now
-        return task.cls.effect is Effect.UNSAFE or left < 0.0
+        left = task.maybe[0] + task.cls.deduplication_window_ms - 2.0 * self.set.tick_ms - self.now
+        return task.cls.idempotency is Idempotency.NON_IDEMPOTENT or left < 0.0
 
     def answer(self, task: Task) -> None:
         """The final answer: a refusal promises that nothing ran or that it did no harm, a failure nothing."""
-        dropped = task.cls.effect is Effect.KEYED and task.cls.group == "all"
-        harmless = task.maybe is None or task.cls.effect is Effect.SAFE or dropped
-        self.out.append(Refuse(task.call) if harmless else Fail(task.call))
+        dropped = (
+            task.cls.idempotency is Idempotency.IDEMPOTENCY_KEY and task.cls.deduplication_scope == "all"
+        )
+        harmless = task.maybe is None or task.cls.idempotency is Idempotency.IDEMPOTENT or dropped
+        self.out.append(Reject(task.call) if harmless else Fail(task.call))
         self.forget(task)
 
     def forget(self, task: Task) -> None:
@@ -564,16 +635,16 @@
         self.held.pop(task.call, None)
         self.tasks.pop(task.call, None)
 
-    def on_accepted(self, event: Accepted) -> None:
-        task = self.tasks.get(event.call)
+    def on_accepted(self, event: AttemptAccepted) -> None:
+        task = self.tasks.get(event.call_id)
         if node := self.nodes.get(event.machine):
-            self.answered_by(node, event.spent_ms)
+            self.answered_by(node, event.elapsed_ms)
         if task is not None and task.node is node and event.attempt == task.attempts - 1:
             task.placed = True
             while task.erred:
                 self.suspect(task.erred.pop(), 1)
             node.turned.pop((task.cls.name, task.tenant), None)
-            if self.set.yes_means_runs:
+            if self.set.acceptance_means_running:
                 self.runs(task)
 
     def runs(self, task: Task) -> None:
@@ -586,51 +657,54 @@
         if task.node is not None:
             task.node.due.pop(task.call, None)
 
-    def on_returned(self, event: Returned) -> None:
+    def on_returned(self, event: AttemptEnded) -> None:
         if node := self.nodes.get(event.machine):
             self.hear_outcome(node, event)
-        task = self.tasks.get(event.call)
+        task = self.tasks.get(event.call_id)
         if task is None or event.attempt != task.attempts - 1 or task.node is None:
             return
         was_placed, there = task.placed, task.node
-        if was_placed and event.outcome in (Outcome.ENDED, Outcome.LOST, Outcome.STOPPED):
+        if was_placed and event.outcome in (Outcome.COMPLETED, Outcome.LOST, Outcome.STOPPED):
             self.learn(task, event.outcome)
         self.release(task)
-        if event.over or was_placed or task.answered:
+        if event.is_call_closed or was_placed or task.answered:
             self.forget(task)
             return
         task.refused[there.name] = self.now
-        if event.outcome not in (Outcome.REFUSED, Outcome.UNREACHABLE, Outcome.NOT_SENT):
+        if event.outcome not in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT):
             task.maybe = task.maybe or (task.sent, there)
         self.next_try(task)
 
     def learn(self, task: Task, outcome: Outcome) -> None:
         self.measure()
-        since = None if not task.lived or outcome is not Outcome.ENDED else task.runs_since
+        since = None if not task.lived or outcome is not Outcome.COMPLETED else task.runs_since
         for key in (task.service, "class " + task.cls.name):
             profile = self.profiles[key] = self.profiles.pop(key, None) or Profile()
             profile.add(task, None if since is None else self.now - since)
         while len(self.profiles) > KNOWN:
             del self.profiles[next(iter(self.profiles))]
-        if task.node is not None and outcome is Outcome.ENDED:
+        if task.node is not None and outcome is Outcome.COMPLETED:
             self.keep(task, task.node)
 
-    def on_left(self, event: Left) -> None:
-        if task := self.tasks.get(event.call):
+    def on_left(self, event: CallAbandoned) -> None:
+        if task := self.tasks.get(event.call_id):
             task.answered = True
             if task.node is None:
                 self.forget(task)
 
-    def on_timer(self, _: TimerDue) -> None:
+    def on_timer(self, _: TimerFired) -> None:
         self.timer_at = self.timer_at if self.now < self.timer_at - 0.5 else float("inf")
         self.wake_at = float("inf")
         if self.now >= self.reask_at - 0.5:
             self.reask_at = float("inf")
-            self.out.append(Watch())
+            self.out.append(WatchMachineList())
         self.try_held()
 
     def try_held(self, part: float = float("inf")) -> None:
-        failures, held = 0, [t for t in self.held.values() if self.now - t.came <= part * t.cls.aim_ms]
+        failures, held = (
+            0,
+            [t for t in self.held.values() if self.now - t.came <= part * t.cls.latency_objective_ms],
+        )
         for task in sorted(held, key=self.turn):
             if self.spent(task):
                 self.answer(task)
@@ -649,7 +723,7 @@
 
     def turn(self, task: Task) -> tuple[float, bool, float, int]:
         """Whose turn it is when room is short: by worth, then those still in time, then in order."""
-        return (-task.cls.worth, self.now - task.came > task.cls.aim_ms, task.came, task.call)
+        return (-task.cls.weight, self.now - task.came > task.cls.latency_objective_ms, task.came, task.call)
 
     # ---- health ----
 
@@ -665,22 +739,28 @@
             self.log("back", f"machine {node.name} answers again")
         node.silent = node.bars = 0
 
-    def hear_outcome(self, node: Node, event: Returned) -> None:
-        task = self.tasks.get(event.call)
+    def hear_outcome(self, node: Node, event: AttemptEnded) -> None:
+        task = self.tasks.get(event.call_id)
         if event.report:
             self.hear_report(node, event.report)
         erred = event.outcome is Outcome.ERROR
-        fatal = erred and task is not None and task.cls.effect is Effect.UNSAFE
-        if event.outcome is Outcome.REFUSED and event.why in (Why.CORES, Why.MEMORY, Why.LINE):
+        fatal = erred and task is not None and task.cls.idempotency is Idempotency.NON_IDEMPOTENT
+        if event.outcome is Outcome.REJECTED and event.reason in (
+            OutcomeReason.INSUFFICIENT_CORES,
+            OutcomeReason.INSUFFICIENT_MEMORY,
+            OutcomeReason.QUEUE_FULL,
+        ):
             node.full_until = self.now + REFUSED_MS
-        elif task is not None and ((event.outcome is Outcome.REFUSED and event.why is Why.NONE) or fatal):
+        elif task is not None and (
+            (event.outcome is Outcome.REJECTED and event.reason is OutcomeReason.UNSPECIFIED) or fatal
+        ):
             # Full without a reason while it takes others: a limit on one class or tenant, probed back gently.
             # So is an error that ends an unsafe task, which has no second try: its class stays off a while.
             key = task.cls.name, task.tenant
             length = min(TURNED_MAX_MS, 2.0 * node.turned.get(key, (0.0, TURNED_MS / 2.0))[1])
             node.turned[key] = self.now + length, length
         unheard = event.outcome is Outcome.TIMED_OUT and task is not None and node.heard < task.sent
-        full_line = event.outcome is Outcome.REFUSED and event.why is Why.LINE
+        full_line = event.outcome is Outcome.REJECTED and event.reason is OutcomeReason.QUEUE_FULL
         if erred and task is not None and not fatal:
             # Whose fault an error is shows elsewhere: asks that none can use would bar all. It counts once
             # another takes the task; machines that all fail alike are not barred then, and need not be.
@@ -691,9 +771,9 @@
         elif event.outcome is Outcome.UNREACHABLE:
             node.unreachable = True
             self.suspect(node, SILENT)
-        elif event.outcome is Outcome.REFUSED:
-            self.answered_by(node, event.spent_ms)
-        elif event.outcome is Outcome.LOST and event.why is Why.EVICTED:
+        elif event.outcome is Outcome.REJECTED:
+            self.answered_by(node, event.elapsed_ms)
+        elif event.outcome is Outcome.LOST and event.reason is OutcomeReason.EVICTED:
             self.void(node, VOID_EVICTED_MS, "eviction")
 
     def suspect(self, node: Node, steps: int) -> None:
@@ -709,39 +789,39 @@
             self.log("void", f"harvested room of {node.name} void: {cause}")
         node.void_until = max(node.void_until, self.now + for_ms)
 
-    def on_noted(self, event: Noted) -> None:
-        task, node = self.tasks.get(event.call), self.nodes.get(event.machine)
-        if event.kind is NoteKind.MACHINE_MEMORY and node and event.value >= TIGHT_MEMORY:
+    def on_noted(self, event: TaskObserved) -> None:
+        task, node = self.tasks.get(event.call_id), self.nodes.get(event.machine)
+        if event.kind is ObservationKind.MACHINE_MEMORY_IN_USE and node and event.value >= TIGHT_MEMORY:
             self.void(node, VOID_MS, "memory in use")
-        elif event.kind is NoteKind.SERVED and node and event.value < POORLY:
+        elif event.kind is ObservationKind.SERVICE_LEVEL and node and event.value < POORLY:
             self.void(node, VOID_MS, "tasks served poorly")
         if task is None or task.node is None:
             return
-        if event.kind is NoteKind.RUNS:
+        if event.kind is ObservationKind.RUNNING:
             self.runs(task)
-        elif event.kind in (NoteKind.CORES, NoteKind.MEMORY):
-            i = int(event.kind is NoteKind.MEMORY)
+        elif event.kind in (ObservationKind.CORES_IN_USE, ObservationKind.MEMORY_IN_USE):
+            i = int(event.kind is ObservationKind.MEMORY_IN_USE)
             task.use = (task.use[0], event.value) if i else (event.value, task.use[1])
             task.peak = max(task.peak[0], task.use[0]), max(task.peak[1], task.use[1])
             self.see(task)
 
     # ---- list and reports ----
 
-    def on_list(self, event: ListTold) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, event: MachineListUpdated) -> None:
+        if event.kind is ListUpdateKind.FAILED:
             self.reask_at = self.now + self.reask_ms * self.random.uniform(0.7, 1.3)
             self.reask_ms = min(REASK_MAX_MS, 2.0 * self.reask_ms)
             self.log("list", "the machine list failed, asking again")
             return
         self.reask_ms = REASK_MS
         names = {m.name: m for m in event.machines}
-        for node in self.nodes.values() if event.kind is ListKind.WHOLE else ():
-            if node.name not in names and node.told.phase is not Phase.GONE:
-                self.list_as(node, replace(node.told, phase=Phase.GONE))
+        for node in self.nodes.values() if event.kind is ListUpdateKind.SNAPSHOT else ():
+            if node.name not in names and node.told.phase is not MachinePhase.REMOVED:
+                self.list_as(node, replace(node.told, phase=MachinePhase.REMOVED))
         for told in names.values():
             node = self.nodes.get(told.name)
             if node is None or not node.known:
-                old, node = node, Node(told, self.set.kinds.get(told.kind))
+                old, node = node, Node(told, self.set.machine_sizes.get(told.kind))
                 node.tasks = old.tasks if old else {}
                 for task in node.tasks.values():
                     task.node = node
@@ -749,35 +829,35 @@
             self.list_as(node, told)
             node.told_at, node.sums_at = self.now, -1e18
         for name in self.emptied:
-            if (node := self.nodes.get(name)) and node.told.phase is Phase.GONE and not node.tasks:
+            if (node := self.nodes.get(name)) and node.told.phase is MachinePhase.REMOVED and not node.tasks:
                 del self.nodes[name]
         self.emptied = {}
 
     def list_as(self, node: Node, told: Machine) -> None:
         node.told = told
-        self.serving.put(node, node.known and told.phase is Phase.SERVING)
-        if told.phase is Phase.GONE:
+        self.serving.put(node, node.known and told.phase is MachinePhase.SERVING)
+        if told.phase is MachinePhase.REMOVED:
             self.emptied[node.name] = None
 
-    def hear_report(self, node: Node, report: Report) -> None:
+    def hear_report(self, node: Node, report: LoadReport) -> None:
         node.report, node.report_at, node.sums_at = report, self.now, -1e18
-        if report.busy is not None and report.busy >= BUSY:
+        if report.busy_share is not None and report.busy_share >= BUSY:
             self.void(node, VOID_MS, "cores busy")
 
-    def on_probed(self, event: Probed) -> None:
+    def on_probed(self, event: ProbeEnded) -> None:
         if node := self.nodes.get(event.machine):
             node.probing = float("inf")
-            if event.outcome is Outcome.ENDED and event.report is not None:
+            if event.outcome is Outcome.COMPLETED and event.report is not None:
                 self.hear_report(node, event.report)
                 self.answered_by(node, None)
-            elif event.outcome is not Outcome.ENDED:
+            elif event.outcome is not Outcome.COMPLETED:
                 self.suspect(node, 1)
             self.try_held(LOOK_SHARE)  # not all held: each try probes again, and so fed itself
 
-    def on_reached(self, event: Reached) -> None:
+    def on_reached(self, event: ReachabilityChanged) -> None:
         """What an attempt there would come to, at the cost of none: behind a cut four are soon spent."""
         node = self.nodes.get(event.machine)
-        if node is not None and not event.up:
+        if node is not None and not event.is_reachable:
             node.unreachable = True
             self.suspect(node, SILENT)
         elif node is not None and node.unreachable:
@@ -786,14 +866,18 @@
     def log(self, kind: str, text: str) -> None:
         if self.now - self.logged.get(kind, -1e18) >= LOG_MS:
             self.logged[kind] = self.now
-            self.out.append(Log(text))
+            self.out.append(LogMessage(text))
 
 
 def check(settings: Settings) -> None:
     """Settings that can't be used are refused by name."""
-    sizes = [value for size in settings.kinds.values() for value in (size.cores, size.memory)]
-    numbers = {"classes": len(settings.classes), "kinds": min(sizes, default=1.0), "peers": settings.peers}
-    numbers |= {n: getattr(settings, n) for n in ("accept_cores", "accept_memory", "max_attempts")}
+    sizes = [value for size in settings.machine_sizes.values() for value in (size.cores, size.memory)]
+    numbers = {
+        "classes": len(settings.classes),
+        "machine_sizes": min(sizes, default=1.0),
+        "allocator_count": settings.allocator_count,
+    }
+    numbers |= {n: getattr(settings, n) for n in ("cores_overcommit", "memory_overcommit", "max_attempts")}
     for name, value in numbers.items():
         if value <= 0:
             raise ValueError(f"settings.{name} can't be used: {getattr(settings, name)!r}")
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -106,17 +106,19 @@
     pause_ms: float = 0.0
 
 
-def may_ask_again(answer: Answer, effect: api.Effect) -> bool:
+def may_ask_again(answer: Answer, effect: api.Idempotency) -> bool:
     """After a refused round. A task that must not start twice goes again only if nothing of it ran, which
     only TASK_DROPPED promises."""
-    return answer.retry is Retry.HARMLESS and (effect is not api.Effect.UNSAFE or answer.state == DROPPED)
+    return answer.retry is Retry.HARMLESS and (
+        effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == DROPPED
+    )
 
 
 def after_round(slot: Slot, given: Given, answer: Answer, now: float, random: Random) -> Next:
     """What follows the final answer of a round."""
     if given is Given.SERVED:
         return Next(Step.PLACED)
-    if given is Given.FAILED or slot.cancelled or not may_ask_again(answer, slot.job.cls.effect):
+    if given is Given.FAILED or slot.cancelled or not may_ask_again(answer, slot.job.cls.idempotency):
         return Next(Step.OVER)
     left = slot.until - now
     if left < 2.0 * LAST_MS:
@@ -132,7 +134,7 @@
         slot.job.spec.when_lost == "again"
         and answer.state != FINISHED
         and answer.retry is Retry.HARMLESS
-        and slot.job.cls.effect is not api.Effect.UNSAFE
+        and slot.job.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
         and not slot.cancelled
     )
     if again:
--- a/glencleat/rest/reasons.py
+++ b/glencleat/rest/reasons.py
@@ -66,12 +66,12 @@
         self.known: dict[Shape, list[Cause]] = {}
         self.kinds: dict[str, Sums] = {}
         for machine in machines.values():
-            if machine.phase is api.Phase.GONE:
+            if machine.phase is api.MachinePhase.REMOVED:
                 continue
             sums = self.kinds.setdefault(machine.kind, Sums())
             sums.known += 1
             up = machine.ready_at_ms
-            if machine.phase is api.Phase.DRAINING:
+            if machine.phase is api.MachinePhase.DRAINING:
                 sums.draining += 1
                 continue
             sums.serving.append(machine)
@@ -79,7 +79,7 @@
                 sums.no_agent += 1
                 continue
             sums.barred += machine.name in silent
-            sums.cold += bool(settings.cold_offers) and up is not None and now - up < settings.cold_ms
+            sums.cold += bool(settings.warm_up_offers) and up is not None and now - up < settings.warm_up_ms
 
     def common(self, shape: Shape) -> list[Cause]:
         """What holds for all tasks of the shape, the weightiest first."""
@@ -97,7 +97,7 @@
             if self._fits(kind, cls, cores, memory):
                 fit.add(sums)
         if not fit.known:
-            of = f" of kind {cls.kind}" if cls.kind is not None else ""
+            of = f" of kind {cls.machine_kind}" if cls.machine_kind is not None else ""
             text = f"no machine{of} is known that takes {cores:g} cores and {memory:g} MB"
             return [Cause(kind="no-machine", text=f"{text}; {len(self.machines)} machines are known")]
         causes = list[Cause]()
@@ -120,15 +120,17 @@
         return causes
 
     def _fits(self, kind: str, cls: api.TaskClass, cores: float, memory: float) -> bool:
-        size = self.settings.kinds.get(kind)
-        if size is None or cls.kind not in (None, kind):
+        size = self.settings.machine_sizes.get(kind)
+        if size is None or cls.machine_kind not in (None, kind):
             return False
         accept = self.settings
-        return cores <= size.cores * accept.accept_cores and memory <= size.memory * accept.accept_memory
+        return (
+            cores <= size.cores * accept.cores_overcommit and memory <= size.memory * accept.memory_overcommit
+        )
 
     def _spread(self, cls: api.TaskClass, service: str, serving: list[api.Machine]) -> Cause | None:
         """The limit of tasks of a service in one place, where all places are at it."""
-        place, here = PLACES.get(cls.spread), self.placed.get(service)
+        place, here = PLACES.get(cls.spread_by), self.placed.get(service)
         if place is None or not here:
             return None
         there = Counter[str]()
@@ -137,19 +139,18 @@
             if machine is not None:
                 there[place(machine)] += count
         places = {place(m) for m in serving}
-        full = sorted(p for p in places if there[p] >= cls.most)
+        full = sorted(p for p in places if there[p] >= cls.max_per_domain)
         if not full:
             return None
-        word = "hall" if cls.spread == "zone" else cls.spread
+        word = "hall" if cls.spread_by == "zone" else cls.spread_by
         named = ", ".join(full[:NAMED]) + (" ..." if len(full) > NAMED else "")
-        text = (
-            f"limit of {cls.most} tasks of {service} a {word}: {len(full)} of {len(places)} at it ({named})"
-        )
+        limit = f"limit of {cls.max_per_domain} tasks of {service} a {word}"
+        text = f"{limit}: {len(full)} of {len(places)} at it ({named})"
         return Cause(kind="spread", text=text, count=len(full))
 
 
 KINDS = {
-    api.Outcome.REFUSED: "refused",
+    api.Outcome.REJECTED: "refused",
     api.Outcome.TIMED_OUT: "no-answer",
     api.Outcome.UNREACHABLE: "unreachable",
     api.Outcome.NOT_SENT: "not-sent",
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -166,16 +166,16 @@
         machine = what.attempt.machine
         if what.outcome is api.Outcome.TIMED_OUT:
             self.silent[machine] = self.silent.get(machine, 0) + 1
-        elif what.outcome in (api.Outcome.REFUSED, api.Outcome.ENDED):
+        elif what.outcome in (api.Outcome.REJECTED, api.Outcome.COMPLETED):
             self.silent.pop(machine, None)
         self.touch_call(what.attempt.call)
 
-    def _machines(self, news: api.ListTold) -> None:
-        if news.kind is api.ListKind.FAILED:
+    def _machines(self, news: api.MachineListUpdated) -> None:
+        if news.kind is api.ListUpdateKind.FAILED:
             return
         told = {machine.name: machine for machine in news.machines}
-        gone = set(self.machines) - set(told) if news.kind is api.ListKind.WHOLE else set()
-        gone |= {name for name, machine in told.items() if machine.phase is api.Phase.GONE}
+        gone = set(self.machines) - set(told) if news.kind is api.ListUpdateKind.SNAPSHOT else set()
+        gone |= {name for name, machine in told.items() if machine.phase is api.MachinePhase.REMOVED}
         self.machines.update(told)
         for name in gone:
             self.machines.pop(name, None)
@@ -329,7 +329,7 @@
         if machine is None:
             self._publish(self.versions.delete("machines", (name,)))
             return
-        view = self.core.settings.view
+        view = self.core.settings.list_has_free_capacity
         told = s.Machine(
             name=name,
             kind=machine.kind,
@@ -337,8 +337,8 @@
             cell=machine.cell,
             phase=machine.phase.value,
             agent=self.agents.get(name, "unknown"),  # type: ignore[arg-type]
-            cores_left=round(machine.cores_left, 3) if view else None,
-            memory_left=round(machine.memory_left, 1) if view else None,
+            cores_left=round(machine.free_cores, 3) if view else None,
+            memory_left=round(machine.free_memory, 1) if view else None,
         )
         fields = {".kind": told.kind, ".zone": told.zone, ".phase": told.phase, ".agent": told.agent}
         self._publish(self.versions.put("machines", (name,), told, fields))
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -358,7 +358,7 @@
             if what.attempt.call.framework.startswith(PREFIX + ":"):
                 self.out[what.attempt.id] = what.attempt.sent_at
         elif isinstance(what, Back):
-            self._heard(what.attempt, what.outcome is api.Outcome.REFUSED)
+            self._heard(what.attempt, what.outcome is api.Outcome.REJECTED)
         elif isinstance(what, Answered) and what.given is Given.SERVED:
             self._heard(what.call.last(), True)
         elif isinstance(what, Opened):
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -35,7 +35,7 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        tell: Callable[[api.ListTold], None],
+        tell: Callable[[api.MachineListUpdated], None],
         asking: Asking,
         silence_ms: float = 45_000.0,
         record_most: int = 16 << 20,
@@ -85,10 +85,10 @@
         self.next_at = self.loop.now() + self.asking.again(lasted, self.told_ms)
         self.log("directory failed", why=why, tries=self.tries)
         if self.asked or up_at is not None:
-            self._told(api.ListTold(api.ListKind.FAILED))
+            self._told(api.MachineListUpdated(api.ListUpdateKind.FAILED))
 
-    def _told(self, event: api.ListTold) -> None:
-        if event.kind is not api.ListKind.CHANGES:
+    def _told(self, event: api.MachineListUpdated) -> None:
+        if event.kind is not api.ListUpdateKind.DELTA:
             self.asked = False
         self.tell(event)
 
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -33,7 +33,7 @@
         self.loop, self.path, self.pool, self.most_age_ms = loop, path, pool, most_age_ms
         self.listing, self.log = listing, log
         self.file: BinaryIO | None = None  # that changes are added to
-        self.phases: dict[str, api.Phase] = {}
+        self.phases: dict[str, api.MachinePhase] = {}
         self.live = False  # the directory tells the list just now
 
     def load(self) -> tuple[api.Machine, ...]:
@@ -58,11 +58,11 @@
             self.log("kept list used", file=str(self.path), machines=len(told), age_s=age)
         return told
 
-    def told(self, event: api.ListTold) -> None:
+    def told(self, event: api.MachineListUpdated) -> None:
         """News of the directory, before anybody else hears of it."""
-        if event.kind is api.ListKind.FAILED:
+        if event.kind is api.ListUpdateKind.FAILED:
             self.live = False
-        elif event.kind is api.ListKind.WHOLE:
+        elif event.kind is api.ListUpdateKind.SNAPSHOT:
             self.live = True
             self._anew()
         elif self.file is not None:
--- a/glencleat/simulator_adapter.py
+++ b/glencleat/simulator_adapter.py
@@ -13,8 +13,8 @@
 
 OUTCOMES = {
     0: api.Outcome.ERROR,
-    1: api.Outcome.ENDED,
-    2: api.Outcome.REFUSED,
+    1: api.Outcome.COMPLETED,
+    2: api.Outcome.REJECTED,
     3: api.Outcome.TIMED_OUT,
     4: api.Outcome.UNREACHABLE,
     5: api.Outcome.LOST,
@@ -22,26 +22,26 @@
     7: api.Outcome.NOT_SENT,
 }
 REASONS = {
-    1: api.Why.CORES,
-    2: api.Why.MEMORY,
-    3: api.Why.LINE,
-    4: api.Why.NOT_HERE,
-    5: api.Why.EVICTED,
-    6: api.Why.PUSHED_OUT,
-    7: api.Why.SENT_AWAY,
+    1: api.OutcomeReason.INSUFFICIENT_CORES,
+    2: api.OutcomeReason.INSUFFICIENT_MEMORY,
+    3: api.OutcomeReason.QUEUE_FULL,
+    4: api.OutcomeReason.NOT_ELIGIBLE,
+    5: api.OutcomeReason.EVICTED,
+    6: api.OutcomeReason.PREEMPTED,
+    7: api.OutcomeReason.DRAINED,
 }
 NOTES = {
-    1: api.NoteKind.RUNS,
-    2: api.NoteKind.CORES,
-    3: api.NoteKind.MEMORY,
-    4: api.NoteKind.SERVED,
-    5: api.NoteKind.MACHINE_MEMORY,
+    1: api.ObservationKind.RUNNING,
+    2: api.ObservationKind.CORES_IN_USE,
+    3: api.ObservationKind.MEMORY_IN_USE,
+    4: api.ObservationKind.SERVICE_LEVEL,
+    5: api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
 LISTS = {
-    "delta": api.ListKind.CHANGES,
-    "full": api.ListKind.WHOLE,
-    "cached": api.ListKind.WHOLE,
-    "failed": api.ListKind.FAILED,
+    "delta": api.ListUpdateKind.DELTA,
+    "full": api.ListUpdateKind.SNAPSHOT,
+    "cached": api.ListUpdateKind.SNAPSHOT,
+    "failed": api.ListUpdateKind.FAILED,
 }
 FIELDS = {  # fields each message needs, its name included
     "BEGIN_BATCH": 3,
@@ -79,42 +79,46 @@
     if name == "ARRIVAL":
         call, band, team, _, left, lasts, service, cores, memory = values[:9]
         again = bool((values[9] or 0) & 16) if len(values) > 9 else False
-        return api.Asked(call, band, service, cores, memory, left, team or None, lasts, None, again)
+        return api.PlacementRequested(
+            call, band, service, cores, memory, left, team or None, lasts, None, again
+        )
     if name == "OPEN":
         call, cores, _, service, _, team, band, host, lasts, memory = values[:10]
-        return api.Asked(call, band, service, cores, memory, 0.0, team or None, lasts, host)
+        return api.PlacementRequested(call, band, service, cores, memory, 0.0, team or None, lasts, host)
     if name == "RETURNED":
         call, attempt, info, how, spent, over, host = values[:7]
         report = read_report(values[7]) if len(values) > 7 else None
-        why = REASONS.get(info or 0, api.Why.NONE)
-        return api.Returned(call, attempt, host, OUTCOMES[how or 0], spent or 0.0, bool(over), why, report)
+        why = REASONS.get(info or 0, api.OutcomeReason.UNSPECIFIED)
+        return api.AttemptEnded(
+            call, attempt, host, OUTCOMES[how or 0], spent or 0.0, bool(over), why, report
+        )
     if name == "LANDED":
-        return api.Accepted(*values[:4])
+        return api.AttemptAccepted(*values[:4])
     if name == "STATUS_NOTE":
         call, topic, host, value = values[:4]
-        return api.Noted(call, host, NOTES[topic], value or 0.0) if topic in NOTES else None
+        return api.TaskObserved(call, host, NOTES[topic], value or 0.0) if topic in NOTES else None
     if name == "REGISTRY":
         kind = LISTS[values[2]]
-        return api.ListTold(kind, () if kind is api.ListKind.FAILED else rosters[values[1]])
+        return api.MachineListUpdated(kind, () if kind is api.ListUpdateKind.FAILED else rosters[values[1]])
     if name == "STATUS_BACK":
         report = read_report(values[3]) if len(values) > 3 else None
-        return api.Probed(values[0], OUTCOMES[values[1] or 0], report)
+        return api.ProbeEnded(values[0], OUTCOMES[values[1] or 0], report)
     if name == "LEFT":
-        return api.Left(values[0])
+        return api.CallAbandoned(values[0])
     if name == "TICK_DUE":
-        return api.TimerDue(values[0])
+        return api.TimerFired(values[0])
     return None
 
 
 WRITERS: dict[type, Callable[[str, Any], list[Any]]] = {
-    api.Bind: lambda inst, a: ["BIND", inst, a.call, a.machine, a.timeout_ms],
-    api.Refuse: lambda inst, a: ["PUSH_BACK", inst, a.call, a.retry_after_ms],
-    api.Fail: lambda inst, a: ["FAIL", inst, a.call],
-    api.Move: lambda inst, a: ["SHIFT", inst, a.call],
+    api.Bind: lambda inst, a: ["BIND", inst, a.call_id, a.machine, a.timeout_ms],
+    api.Reject: lambda inst, a: ["PUSH_BACK", inst, a.call_id, a.retry_after_ms],
+    api.Fail: lambda inst, a: ["FAIL", inst, a.call_id],
+    api.Migrate: lambda inst, a: ["SHIFT", inst, a.call_id],
     api.Probe: lambda inst, a: ["INSPECT", inst, a.machine],
-    api.SetTimer: lambda inst, a: ["SET_TIMER", inst, a.in_ms, a.token],
-    api.Watch: lambda inst, a: ["KEEP_INFORMED", inst, True],
-    api.Log: lambda inst, a: ["TRACE", inst, a.text],
+    api.SetTimer: lambda inst, a: ["SET_TIMER", inst, a.delay_ms, a.token],
+    api.WatchMachineList: lambda inst, a: ["KEEP_INFORMED", inst, True],
+    api.LogMessage: lambda inst, a: ["TRACE", inst, a.text],
 }
 
 
