--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,11 +13,14 @@
 @pytest.mark.parametrize(("peers", "offers"), [(1, 6.0), (3, 6.0), (40, 10.0), (220, 10.0), (300, 70.0)])
 def test_all_schedulers_together_stay_within_what_a_cold_machine_bears(peers, offers):
     """Each of hundreds sent one offer: the joint sum was far past what the machine bears."""
-    crowd = [Bench([], seed=i, me=i, peers=peers, cold_offers=offers, max_attempts=9) for i in range(peers)]
+    crowd = [
+        Bench([], seed=i, allocator_index=i, allocator_count=peers, warm_up_offers=offers, max_attempts=9)
+        for i in range(peers)
+    ]
     sent = []
     start = crowd[0].now
     for bench in crowd:
-        bench.tell(api.ListTold(api.ListKind.WHOLE, (machine("m", ready=start),)))
+        bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m", ready=start),)))
     for step in range(60):
         for bench in crowd:
             bench.now = start + 100.0 * step
@@ -49,7 +52,15 @@
                 continue
             if i not in crowd:
                 known = [machine("m", ready=start)]
-                crowd[i] = Bench(known, step, now, me=i, peers=peers, cold_offers=offers, max_attempts=9)
+                crowd[i] = Bench(
+                    known,
+                    step,
+                    now,
+                    allocator_index=i,
+                    allocator_count=peers,
+                    warm_up_offers=offers,
+                    max_attempts=9,
+                )
             crowd[i].now = now
             asked = crowd[i].ask(cores=0.01, memory=0.01, left=90_000.0)[1]
             sent += [now] * len(binds(asked))
@@ -64,13 +75,13 @@
     bench = Bench([machine("m"), machine("n")])
     call, actions = bench.ask(service="web")
     first = binds(actions)[0].machine
-    after = bench.back(call, first, api.Outcome.REFUSED, why=api.Why.NONE)
+    after = bench.back(call, first, api.Outcome.REJECTED, why=api.OutcomeReason.UNSPECIFIED)
     assert binds(after)[0].machine != first
     assert binds(bench.ask(service="web")[1])[0].machine != first
     others = [binds(bench.ask("unsafe", service=f"s{i}")[1]) for i in range(8)]
     assert first in {told[0].machine for told in others if told}
     for task in [t for t in bench.scheduler.tasks.values() if t.node]:
-        bench.back(task.call, task.node.name, api.Outcome.ENDED, attempt=task.attempts - 1, over=True)
+        bench.back(task.call, task.node.name, api.Outcome.COMPLETED, attempt=task.attempts - 1, over=True)
     bench.now += 20_000.0
     again = [binds(bench.ask(service=f"t{i}")[1]) for i in range(4)]
     assert first in {told[0].machine for told in again if told}
@@ -78,21 +89,25 @@
 
 def test_after_standing_still_news_is_read_before_anything_is_bound():
     """A task that waited for a scheduler that stood still was bound to a machine whose drain lay unread."""
-    bench = Bench([machine("m"), machine("n")], must_ask=False)
+    bench = Bench([machine("m"), machine("n")], watch_on_request=False)
     first = binds(bench.ask(service="web")[1])[0].machine
     call, actions = bench.ask(service="web", left=6_500.0)
-    assert not binds(actions) and [t.in_ms for t in kinds(actions, api.SetTimer)] == [0.0]
-    bench.tell(api.ListTold(api.ListKind.CHANGES, (machine(first, phase=api.Phase.DRAINING),)))
-    told = binds(bench.tell(api.TimerDue(0)))
-    assert [b.call for b in told] == [call] and told[0].machine != first
+    assert not binds(actions) and [t.delay_ms for t in kinds(actions, api.SetTimer)] == [0.0]
+    bench.tell(
+        api.MachineListUpdated(api.ListUpdateKind.DELTA, (machine(first, phase=api.MachinePhase.DRAINING),))
+    )
+    told = binds(bench.tell(api.TimerFired(0)))
+    assert [b.call_id for b in told] == [call] and told[0].machine != first
 
 
 def test_hash_order_decides_where_an_even_slice_is_less_than_one_ask():
     """With hundreds of peers no ask fitted a slice, so hash and coverage never acted."""
     names = [machine(f"m{i}") for i in range(9)]
-    few = binds(Bench(names, peers=1).ask(service="web", cores=1.0)[1])[0].machine
+    few = binds(Bench(names, allocator_count=1).ask(service="web", cores=1.0)[1])[0].machine
     for seed in range(5):
-        bench = Bench(names, seed=seed, me=seed, peers=300, view=True)
+        bench = Bench(
+            names, seed=seed, allocator_index=seed, allocator_count=300, list_has_free_capacity=True
+        )
         logic = bench.scheduler
         call, actions = bench.ask(service="web", cores=1.0)
         assert binds(actions)[0].machine == few
@@ -101,43 +116,45 @@
 
 
 def test_no_timer_fires_with_nothing_to_do():
-    bench = Bench([machine("m")], must_ask=False)
+    bench = Bench([machine("m")], watch_on_request=False)
     call, actions = bench.ask()
-    assert not kinds(actions + bench.tell(api.Accepted(call, 0, "m", 20.0)), api.SetTimer)
-    assert not bench.tell(api.TimerDue(0))
+    assert not kinds(actions + bench.tell(api.AttemptAccepted(call, 0, "m", 20.0)), api.SetTimer)
+    assert not bench.tell(api.TimerFired(0))
 
 
 def test_probes_follow_tasks_whatever_the_fleet():
     """Every scheduler probing every machine each second cost more than the tasks did."""
-    bench = Bench([machine(f"m{i}") for i in range(80)], peers=130, probes=True, reports_on_probe=True)
+    bench = Bench(
+        [machine(f"m{i}") for i in range(80)], allocator_count=130, probes_allowed=True, reports_on_probe=True
+    )
     _, actions = bench.ask()
     asked = kinds(actions, api.Probe)
     assert 1 <= len(asked) <= 2 and not binds(actions)
-    free = api.Report(10.0, 20.0, 0.2)
-    after = [bench.tell(api.Probed(p.machine, api.Outcome.ENDED, free)) for p in asked]
+    free = api.LoadReport(10.0, 20.0, 0.2)
+    after = [bench.tell(api.ProbeEnded(p.machine, api.Outcome.COMPLETED, free)) for p in asked]
     assert {b.machine for a in after for b in binds(a)} <= {p.machine for p in asked} != set()
     assert not kinds(bench.run(3_000.0), api.Probe)
 
 
 def test_a_machine_that_does_not_answer_its_probe_is_passed_over():
-    bench = Bench([machine("m"), machine("n"), machine("o")], probes=True, reports_on_probe=True)
+    bench = Bench([machine("m"), machine("n"), machine("o")], probes_allowed=True, reports_on_probe=True)
     call, actions = bench.ask()
     asked = [p.machine for p in kinds(actions, api.Probe)]
     last = ({"m", "n", "o"} - set(asked)).pop()
     assert last in [p.machine for p in kinds(bench.run(200.0), api.Probe)]
-    told = binds(bench.tell(api.Probed(last, api.Outcome.ENDED, api.Report(10.0, 20.0, 0.2))))
-    assert [(b.call, b.machine) for b in told] == [(call, last)]
+    told = binds(bench.tell(api.ProbeEnded(last, api.Outcome.COMPLETED, api.LoadReport(10.0, 20.0, 0.2))))
+    assert [(b.call_id, b.machine) for b in told] == [(call, last)]
 
 
 def test_a_slow_no_is_waited_for():
     """Machines that limit a class take part of the aim to say so; timing out first made them suspect."""
-    slow = api.TaskClass("slow", api.Effect.SAFE, 2_500.0, 8_000.0, 1.0)
+    slow = api.TaskClass("slow", api.Idempotency.IDEMPOTENT, 2_500.0, 8_000.0, 1.0)
     told = binds(Bench([machine("m")], classes=(SAFE, slow)).ask("slow")[1])
     assert told[0].timeout_ms >= SLOW_NO * 2_500.0
 
 
 def test_work_for_one_task_does_not_grow_with_the_fleet():
-    bench = Bench([machine(f"m{i}") for i in range(300)], peers=200, view=True)
+    bench = Bench([machine(f"m{i}") for i in range(300)], allocator_count=200, list_has_free_capacity=True)
     seen = []
     real = bench.scheduler.allowed
     bench.scheduler.allowed = lambda node, *rest: seen.append(node) or real(node, *rest)
@@ -150,12 +167,12 @@
     bench = Bench([])
     logic = bench.scheduler
     for i in range(60):
-        bench.tell(api.ListTold(api.ListKind.WHOLE, (machine(f"m{i}"),)))
+        bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine(f"m{i}"),)))
         call, actions = bench.ask(service=f"s{i}")
         host = binds(actions)[0].machine
-        bench.tell(api.Accepted(call, 0, host, 20.0))
+        bench.tell(api.AttemptAccepted(call, 0, host, 20.0))
         bench.now += 1_000.0
-        bench.back(call, host, api.Outcome.ENDED, over=True)
+        bench.back(call, host, api.Outcome.COMPLETED, over=True)
     assert len(logic.nodes) <= 2 and not logic.services and not logic.tasks
     logic.profiles.update({f"old{i}": logic.profiles["s1"] for i in range(2 * KNOWN)})
     bench.end_some(count=1)
@@ -164,17 +181,23 @@
 
 @pytest.mark.parametrize("peers", [1, 2, 300])
 def test_a_list_that_shrinks_to_nothing_holds_and_recovers(peers):
-    bench = Bench([machine("m")], peers=peers, view=True)
-    bench.tell(api.ListTold(api.ListKind.WHOLE, ()))
+    bench = Bench([machine("m")], allocator_count=peers, list_has_free_capacity=True)
+    bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, ()))
     call, actions = bench.ask()
     assert not binds(actions)
-    bench.tell(api.ListTold(api.ListKind.WHOLE, (machine("m"),)))
-    assert [b.call for b in binds(bench.run(10 * PULSE_MS))] == [call]
+    bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m"),)))
+    assert [b.call_id for b in binds(bench.run(10 * PULSE_MS))] == [call]
 
 
-@pytest.mark.parametrize("report", [api.Report(), api.Report(cores_free=1.0), api.Report(busy=0.5)])
+@pytest.mark.parametrize(
+    "report", [api.LoadReport(), api.LoadReport(free_cores=1.0), api.LoadReport(busy_share=0.5)]
+)
 def test_a_report_that_misses_values_is_used_for_what_it_has(report):
-    bench = Bench([machine("m")], peers=300)
+    bench = Bench([machine("m")], allocator_count=300)
     call, _ = bench.ask()
-    bench.tell(api.Returned(call, 0, "m", api.Outcome.ENDED, 1.0, True, api.Why.NONE, report))
+    bench.tell(
+        api.AttemptEnded(
+            call, 0, "m", api.Outcome.COMPLETED, 1.0, True, api.OutcomeReason.UNSPECIFIED, report
+        )
+    )
     assert binds(bench.ask()[1])
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -42,7 +42,7 @@
         self.world, self.random, self.tasks = world, Random(seed), 0
         self.names = [f"h{i}" for i in range(self.random.randint(2, 9))]
         self.port = dict(zip(self.names, range(1, 99), strict=False))
-        self.phase = dict.fromkeys(self.names, api.Phase.SERVING)
+        self.phase = dict.fromkeys(self.names, api.MachinePhase.SERVING)
         self.started = dict.fromkeys(self.names, 0.0)
         self.spans = self.random.choice(((1.0, 400.0), (1.0, 2_500.0), (1.0, 60.0)))
         for name in self.names:
@@ -97,13 +97,13 @@
 
     def list(self):
         name = self.any(self.names)
-        self.phase[name] = self.random.choice(list(api.Phase))
+        self.phase[name] = self.random.choice(list(api.MachinePhase))
         self.world.told(self.entry(name))
 
     def whole(self):
         left = [name for name in self.names if self.random.random() < 0.8]
         for name in self.names:
-            self.phase[name] = api.Phase.SERVING if name in left else api.Phase.GONE
+            self.phase[name] = api.MachinePhase.SERVING if name in left else api.MachinePhase.REMOVED
         self.world.told(*map(self.entry, left), whole=True)
 
     def mode(self):
@@ -187,7 +187,7 @@
     world = World(patch=patch)
     for i in range(count):
         world.peer(f"h{i}", i + 1)
-    everyone = [(f"h{i}", i + 1, api.Phase.SERVING, 0.0) for i in range(count)]
+    everyone = [(f"h{i}", i + 1, api.MachinePhase.SERVING, 0.0) for i in range(count)]
     world.told(*everyone, whole=True)
     for i in range(tasks):
         world.adopt(i + 1, f"h{i}")
@@ -224,7 +224,7 @@
 def test_hosts_gone_at_once_are_looked_at_once_each(monkeypatch, how):
     world, everyone = many(400, monkeypatch)
     if how == "gone":
-        world.told(*((name, port, api.Phase.GONE, 0.0) for name, port, _, _ in everyone[:60]))
+        world.told(*((name, port, api.MachinePhase.REMOVED, 0.0) for name, port, _, _ in everyone[:60]))
     else:
         world.told(*everyone[60:], whole=True)
     assert looked(world, 1_000.0)[0] == 60
@@ -233,7 +233,7 @@
 
 def test_what_is_forgotten_leaves_nothing_behind(monkeypatch):
     world, everyone = many(30, monkeypatch, tasks=20)
-    world.told(*((name, port, api.Phase.GONE, 0.0) for name, port, _, _ in everyone))
+    world.told(*((name, port, api.MachinePhase.REMOVED, 0.0) for name, port, _, _ in everyone))
     for peer in world.peers.values():
         peer.mode = "refuses"
         peer.breaks()
