--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -23,9 +23,9 @@
 from glencleat.event_loop.loop import READ
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import Nodes
-from glencleat.emulators.proxy import Passed, Relay
-from glencleat.emulators.proxy_faults import State, Weather
+from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.emulators.proxy import Passed, Proxy
+from glencleat.emulators.proxy_faults import ProxyState, Weather
 
 OFFERS, WINDOW_MS, COLD_MS = 24.0, 1_000.0, 16_000.0
 RULES = {"warm-within-ms": COLD_MS, "overload-for-ms": WINDOW_MS, "stop-sending-within-ms": 500.0}
@@ -65,8 +65,8 @@
         ports = {name: port for pipe in pipes for name, port in pipe.recv().items()}
         started, now = loop.now(), loop.clock.wall()
         service = ChannelService(loop, [entry(name, ports[name], started_ms=int(now)) for name in names])
-        relay = Relay(loop, "list", service.address, Weather(State()), 1, record.append)
-        with Nodes(folder, count, seed=11, sockets=SOCKETS) as nodes:
+        relay = Proxy(loop, "list", service.address, Weather(ProxyState()), 1, record.append)
+        with AllocatorProcesses(folder, count, seed=11, sockets=SOCKETS) as nodes:
             for i in range(count):
                 nodes.configure(i, relay.address, service.known(), rules=RULES, domain=DOMAIN)
             began = loop.now()
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -19,7 +19,7 @@
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import Nodes
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 
 CALM_MS, AWAY_MS, AFTER_MS = 6_000.0, 4_000.0, 6_000.0
 LIFE_MS = 20_000.0
@@ -35,7 +35,7 @@
     loop = Loop()
     hosts = [LiveHost(loop, f"h{i}", LIFE_MS) for i in range(size)]
     service = ChannelService(loop, [entry(host.name, host.port) for host in hosts])
-    with Nodes(folder, count, seed=11, sockets=min(512, OURS // count), tree=tree) as nodes:
+    with AllocatorProcesses(folder, count, seed=11, sockets=min(512, OURS // count), tree=tree) as nodes:
         start_all(loop, nodes, service.address, service)
         owners = [LiveOwner(loop, nodes.ready(i), rate, i + 1) for i in range(count)]
         begun = loop.now()
--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from glencleat.flow_control.backoff import LIST, Asking
+from glencleat.flow_control.backoff import LIST, Backoff
 
 DOWN_MS, SLOT_MS, FIXED_MS, MOST_MS = 10_000.0, 100.0, 100.0, 120_000.0
 
@@ -47,7 +47,7 @@
 
 
 def asking(i: int) -> Callable[[], float]:
-    return Asking(LIST, Random(i)).again
+    return Backoff(LIST, Random(i)).again
 
 
 def fixed(i: int) -> Callable[[], float]:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -18,7 +18,7 @@
 from benchmarks.common import table
 from glencleat import interface as api
 from glencleat.checker.chance_bounds import busiest
-from glencleat.policy.scheduler import Node, Scheduler
+from glencleat.policy.scheduler import MachineState, Scheduler
 
 WINDOW_MS, COLD_MS, OFFERS, STEP_MS, STEPS = 1_000.0, 10_000.0, 10.0, 50.0, 120
 CLASS = api.TaskClass("safe", api.Idempotency.IDEMPOTENT, 1_000.0, 8_000.0, 1.0)
@@ -33,7 +33,9 @@
         settings = api.Settings(me, peers, "a", (CLASS,), {"std": SIZE}, **cold)
         self.module = Scheduler(settings, 1)
         self.module.born = -1e18 if anew else now
-        self.node = Node(api.Machine("m", "std", "a", 0, api.MachinePhase.SERVING, 16.0, 32.0, start), SIZE)
+        self.node = MachineState(
+            api.Machine("m", "std", "a", 0, api.MachinePhase.SERVING, 16.0, 32.0, start), SIZE
+        )
 
     def offers(self, now: float) -> bool:
         self.module.now = now
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -15,9 +15,9 @@
 from glencleat.checker.chance_bounds import busiest
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.allocator_processes import Nodes
-from glencleat.emulators.proxy import Passed, Relay
-from glencleat.emulators.proxy_faults import Door, Fault, State, Weather
+from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.emulators.proxy import Passed, Proxy
+from glencleat.emulators.proxy_faults import Door, ProxyFault, ProxyState, Weather
 
 DOWN_MS, AFTER_MS, START_MS, BACK_MS = 10_000.0, 3_000.0, 240_000.0, 10_000.0
 
@@ -33,7 +33,9 @@
     return True
 
 
-def start_all(loop: Loop, nodes: Nodes, place: tuple[str, int], service: ChannelService) -> float:
+def start_all(
+    loop: Loop, nodes: AllocatorProcesses, place: tuple[str, int], service: ChannelService
+) -> float:
     """All at one instant, with the list known and the channel at `place`; the loop's time of the start.
 
     Returns when all listen."""
@@ -50,9 +52,9 @@
 def play(folder: Path, count: int, tree: Path | None) -> dict[str, float]:
     loop, record = Loop(), list[Passed]()
     service = ChannelService(loop, [entry(f"h{i}") for i in range(400)])
-    weather = Weather(State(), [Fault(0.0, float("inf"), {"door": Door.CLOSES})])
-    relay = Relay(loop, "list", service.address, weather, 1, record.append)
-    with Nodes(folder, count, seed=11, tree=tree) as nodes:
+    weather = Weather(ProxyState(), [ProxyFault(0.0, float("inf"), {"door": Door.CLOSES})])
+    relay = Proxy(loop, "list", service.address, weather, 1, record.append)
+    with AllocatorProcesses(folder, count, seed=11, tree=tree) as nodes:
         first = start_all(loop, nodes, relay.address, service) - relay.began
         ready = relay.now()
         until(loop, lambda: relay.now() > ready + DOWN_MS, 2.0 * DOWN_MS)
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -20,12 +20,12 @@
 from sortedcontainers import SortedList
 
 from benchmarks.common import cpu_s, machine, rows_of, rss_mb
-from glencleat.index.due_queue import DueIndex
+from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop, Timer, TimerWheel, connect
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost
-from glencleat.emulators.allocator_processes import Nodes
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 
 SEED, TICK_MS, EVERY_MS, TICKS = 7, 200.0, 1_000.0, 50
 IDLE_S, EVENTS = 10.0, 100
@@ -98,7 +98,7 @@
 
 KINDS: dict[str, Callable[[int], Index]] = {
     "sweep": Sweep,
-    "heap, lazy deletion": lambda keys: DueIndex[int](),
+    "heap, lazy deletion": lambda keys: DueQueue[int](),
     "sorted list": lambda keys: Sorted(),
     "timer wheel": lambda keys: Wheel(),
 }
@@ -139,7 +139,7 @@
         free = (port for port in range(1_000, 65_536) if port not in {host.port for host in self.hosts})
         self.entries += [entry(f"h{i}", next(free)) for i in range(live, hosts)]
         self.service = ChannelService(self.loop, self.entries)
-        self.nodes = Nodes(folder, 1, seed=3, sockets=8_000, tree=tree)
+        self.nodes = AllocatorProcesses(folder, 1, seed=3, sockets=8_000, tree=tree)
         self.nodes.configure(0, self.service.address, self.service.known())
         self.nodes.start(0)
         self.until(lambda: self.nodes.ready(0) and self.service.streams)
--- a/benchmarks/order_index.py
+++ b/benchmarks/order_index.py
@@ -15,7 +15,7 @@
 from benchmarks.common import machine, rows_of
 from benchmarks.equal_actions import at_revision
 from glencleat import interface as api
-from glencleat.index.rendezvous import Members, hashed
+from glencleat.index.rendezvous import RendezvousIndex, hashed
 from glencleat.policy.scheduler import Scheduler
 
 SERVICES, TASKS, PEERS = 100, 2_050, 20
@@ -41,7 +41,7 @@
 
 def kept(items, new):
     """An order of the items, and the number of one that is not there."""
-    members = Members(10**7, 10)
+    members = RendezvousIndex(10**7, 10)
     for item in items:
         members.put(item, True)
     number = members.slots.number(new)
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -39,12 +39,12 @@
 
 
 def hosts(folder: str, part: str, agents: str) -> None:
-    from glencleat.checker.trace import Recorder
+    from glencleat.checker.trace import TraceRecorder
     from glencleat.event_loop import Loop
     from glencleat.emulators import standalone
     from glencleat.emulators.script import load_campus, load_script
 
-    class Forgetful(Recorder):
+    class Forgetful(TraceRecorder):
         def add(self, kind, **fields):
             return None
 
@@ -218,14 +218,16 @@
 
 def places(rig: Rig, rate: float, seconds: float, tag: str) -> list[float]:
     """Milliseconds from ACCEPT to the update that says placed, of tasks of ten Scheduler API owners."""
-    from glencleat.checker.trace import Recorder
+    from glencleat.checker.trace import TraceRecorder
     from glencleat.event_loop import Loop
-    from glencleat.emulators.owners import Job, Owner, Want
+    from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
 
     loop = Loop()
-    recorder, random = Recorder(loop.now), Random(3)
+    recorder, random = TraceRecorder(loop.now), Random(3)
     host, _, port = rig.bound["owners"].rpartition(":")
-    made = [Owner(loop, recorder, f"{tag}-{i}", "firm", "a0", (host, int(port)), i) for i in range(10)]
+    made = [
+        EmulatedOwner(loop, recorder, f"{tag}-{i}", "firm", "a0", (host, int(port)), i) for i in range(10)
+    ]
     want = Want("pull-front", "safe", 8_000.0, ((0.5, 128.0),), (500.0, 1_000.0))
 
     def asking():
@@ -237,7 +239,7 @@
             yield from loop.sleep(max(0.0, due - loop.now()))
             number += 1
             service, life = f"pull-front-{number % 40}", random.uniform(500.0, 1_000.0)
-            made[number % 10].ask(Job(f"t{number}", want, service, 0.5, 128.0, life))
+            made[number % 10].ask(OwnerJob(f"t{number}", want, service, 0.5, 128.0, life))
         yield from loop.sleep(1_500.0)
 
     loop.run_until(loop.spawn(asking(), "asking"))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -20,7 +20,7 @@
 from benchmarks.common import machine
 from glencleat.scale import compare, report
 from glencleat.scale import run_size as sizes
-from glencleat.scale.measure import Phase
+from glencleat.scale.measure import MeasuredPhase
 from glencleat.scale.worker_processes import CantStart, PartFailed
 from glencleat.scale.runs import Run, RunFailed
 from glencleat.emulators.allocator_processes import ProcessError
@@ -42,7 +42,7 @@
     raise KeyboardInterrupt
 
 
-def play(size: sizes.Size, tree: Path, found: list[Phase]) -> tuple[int, str]:
+def play(size: sizes.RunSize, tree: Path, found: list[MeasuredPhase]) -> tuple[int, str]:
     """All numbers of hosts in turn: the exit code and, if the run was broken off, why."""
     ends_at = time.monotonic() + size.limit_s
     try:
@@ -83,7 +83,7 @@
         sys.exit(2)
     signal.signal(signal.SIGTERM, interrupted)
     tree = (checkout or HERE).resolve()
-    found: list[Phase] = []
+    found: list[MeasuredPhase] = []
     code, why = play(size, tree, found)
     results = report.Results(report.VERSION, why, machine(), commit(tree), size, found)
     more: list[str] = []
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -94,13 +94,13 @@
             self.loop.spawn(self._hear(Stream(self.loop, sock)), "silent host")
 
     def _hear(self, stream: Any) -> Iterator[Any]:
-        from glencleat.event_loop import StreamClosed
+        from glencleat.event_loop import StreamClosedError
 
         self.open.add(stream)
         try:
             while (yield from stream.read()):
                 pass
-        except StreamClosed:
+        except StreamClosedError:
             pass
         finally:
             self.open.discard(stream)
--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -248,17 +248,17 @@
 
 def channel(hosts: int, tasks: int, services: int, peers: int, seed: int) -> Figures:
     """The command channel's bytes to news: a whole list, a change of one, a heartbeat."""
-    from glencleat.platform_protocol.command_channel import Channel
+    from glencleat.platform_protocol.command_channel import CommandChannel
 
     drawn = random.Random(seed)
     first = event(1, [entry(i) for i in range(hosts)], whole=True)
     tracemalloc.start()  # what is resident after a list was read depends on what was freed by then
-    feeds = Channel(0.0)
+    feeds = CommandChannel(0.0)
     list(feeds.feed(first, 1e6))
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    feeds = Channel(0.0)
+    feeds = CommandChannel(0.0)
     list(feeds.feed(first, 1e6))
     repeats = []
     for cursor in range(2, 5):
@@ -300,7 +300,7 @@
     }
     found: Figures = {}
     for name, (kind, parameters) in kinds.items():
-        data, decoder = m.encode(kind, 1 << 60, parameters), m.Decoder()
+        data, decoder = m.encode(kind, 1 << 60, parameters), m.MessageDecoder()
 
         def read(data: bytes = data, decoder: Any = decoder) -> None:
             decoder.feed(data)
--- a/benchmarks/watch_index.py
+++ b/benchmarks/watch_index.py
@@ -32,7 +32,7 @@
     kinds = 1 if same else watchers
     random = Random(3)
     told = Versions("e", {"k": EVENTS})
-    hub = watches.Channels(watches.Limits(watchers, watchers, lines=EVENTS), told.told)
+    hub = watches.WatchChannels(watches.WatchLimits(watchers, watchers, lines=EVENTS), told.told)
     asked = []
     for i in range(watchers):
         selector = parse(f".service=s{i % kinds},.state!=st2")
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -10,20 +10,20 @@
 
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
-from glencleat.allocator.call_table import Call, Ledger
-from glencleat.allocator.domain_events import Asking, Verdict
-from glencleat.allocator.status_mapping import Fate
+from glencleat.allocator.call_table import Call, CallTable
+from glencleat.allocator.domain_events import AdmissionRequest, AdmissionDecision
+from glencleat.allocator.status_mapping import ExecutionStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class AdmissionLimits:
     open_most: int = 100_000  # tasks without an answer, in all
     open_each: int = 20_000  # of one framework
     placed_most: int = 500_000  # calls that the module knows
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class AdmissionLoad:
     open: int
     open_here: int  # of the framework that asks
     known: int
@@ -31,7 +31,7 @@
     ending: bool  # SIGTERM came
 
 
-def refuses(load: Load, limits: Limits) -> str | None:
+def refuses(load: AdmissionLoad, limits: AdmissionLimits) -> str | None:
     """Why a new task can't be taken now, or None."""
     if load.ending:
         return "the allocator is shutting down"
@@ -53,22 +53,22 @@
         return None
     if before.given is None or not before.over:
         return "same"  # a client that lost its connection in mid-call and sends it again
-    if before.effect is api.Idempotency.NON_IDEMPOTENT and before.fate() is not Fate.NEVER_RAN:
+    if before.effect is api.Idempotency.NON_IDEMPOTENT and before.fate() is not ExecutionStatus.NEVER_RAN:
         return "never"
     return None
 
 
-class Twins:
+class DuplicateFilter:
     """The same work asked for by two tasks: of two fronts, or of a framework under a new id.
 
     A key that the owner gave names the work within its tenant. For a class that must not start twice, a
     second task of that key is not taken while the first is open or may have run; machines drop repeats of
     the others by themselves, or bear them."""
 
-    def __init__(self, ledger: Ledger) -> None:
+    def __init__(self, ledger: CallTable) -> None:
         self.ledger = ledger
 
-    def decide(self, asking: Asking) -> Verdict | None:
+    def decide(self, asking: AdmissionRequest) -> AdmissionDecision | None:
         if (
             asking.effect is not api.Idempotency.NON_IDEMPOTENT
             or not asking.tenant
@@ -78,12 +78,12 @@
         before = self.ledger.keys.get((asking.tenant, asking.ask.key))
         if before is None or (before.framework, before.task_id) == (asking.owner, asking.task_id):
             return None
-        if before.given is not None and before.over and before.fate() is Fate.NEVER_RAN:
+        if before.given is not None and before.over and before.fate() is ExecutionStatus.NEVER_RAN:
             return None
         text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
-        return Verdict(
-            status_mapping.Answer(
-                status_mapping.ERROR, status_mapping.Retry.NEVER, status_mapping.TASK_INVALID
+        return AdmissionDecision(
+            status_mapping.StatusAnswer(
+                status_mapping.ERROR, status_mapping.RetryAdvice.NEVER, status_mapping.TASK_INVALID
             ),
             text,
         )
--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -13,17 +13,17 @@
 from sortedcontainers import SortedDict
 
 from glencleat.allocator import status_mapping
-from glencleat.allocator.call_table import Call, Given
-from glencleat.allocator.ports import Middle
-from glencleat.allocator.domain_events import Answered, Happened
+from glencleat.allocator.call_table import Call, FinalAnswer
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.domain_events import CallAnswered, Happened
 from glencleat.flow_control.slow_start import LAST_MS, SLOT_MS, SlowStart
 
 Place = tuple[float, float, int]
 WAIT_MS = 1_000.0  # a task without an answer for so long waits for room, and holds up nobody
 
 
-class Early:
-    def __init__(self, core: Middle) -> None:
+class AdmissionQueue:
+    def __init__(self, core: CorePort) -> None:
         self.core = core
         self.line: SortedDict[Place, Call] = SortedDict()
         self.out: dict[int, float] = {}  # call -> since when it is the module's
@@ -53,8 +53,8 @@
         self._pump()
 
     def _heard(self, what: Happened) -> None:
-        if isinstance(what, Answered) and what.call.number in self.out:
-            self._back(what.call.number, what.given is Given.SERVED)
+        if isinstance(what, CallAnswered) and what.call.number in self.out:
+            self._back(what.call.number, what.given is FinalAnswer.SERVED)
 
     def _back(self, number: int, placed: bool) -> None:
         del self.out[number]
@@ -104,4 +104,4 @@
         call = self.line.pop(place, None)
         if call is not None and call.given is None:
             self.refused += 1
-            self.core.answer(call, Given.REFUSED, status_mapping.refusal(False))
+            self.core.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(False))
--- a/glencleat/allocator/agent_membership.py
+++ b/glencleat/allocator/agent_membership.py
@@ -11,18 +11,18 @@
 from enum import Enum
 
 
-class State(Enum):
+class AgentState(Enum):
     SUBSCRIBED = "subscribed"
     AWAY = "away"
     LOST = "lost"
 
 
 @dataclass(slots=True, eq=False)
-class Member:
+class AgentMember:
     id: str
     run: str
     session: object | None
-    state: State
+    state: AgentState
     heard_at: float
     since: float  # of the present state
     runs: int = 1
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    member: Member
+    member: AgentMember
     replaced: object | None  # the session that this one puts out, if it was still open
     same_run: bool  # it is the process that was here before, so that its list of tasks is the whole truth
 
 
-class Refused(Exception):
+class AgentLimitError(Exception):
     """An agent that can't be taken; the text says why."""
 
 
@@ -45,34 +45,34 @@
     return (agent, run) if agent else (executor_id, "")
 
 
-class Members:
+class AgentMembership:
     def __init__(self, heartbeat_ms: float, missed: int, return_ms: float, most: int = 20_000) -> None:
         self.heartbeat_ms, self.missed, self.return_ms, self.most = heartbeat_ms, missed, return_ms, most
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, AgentMember] = {}
 
     def subscribe(self, agent: str, run: str, session: object, now: float) -> Joined:
         member = self.members.get(agent)
         if member is None:
             if len(self.members) >= self.most:
                 self._make_room()
-            member = self.members[agent] = Member(agent, run, session, State.SUBSCRIBED, now, now)
+            member = self.members[agent] = AgentMember(agent, run, session, AgentState.SUBSCRIBED, now, now)
             return Joined(member, None, False)
         same = bool(run) and member.run == run
         replaced, member.session = member.session, session
         member.runs += not same
-        member.run, member.state, member.heard_at, member.since = run, State.SUBSCRIBED, now, now
+        member.run, member.state, member.heard_at, member.since = run, AgentState.SUBSCRIBED, now, now
         return Joined(member, replaced, same)
 
     def _make_room(self) -> None:
-        lost = [m for m in self.members.values() if m.state is State.LOST]
+        lost = [m for m in self.members.values() if m.state is AgentState.LOST]
         if not lost:
-            raise Refused(f"{self.most} agents are known; expected no more")
+            raise AgentLimitError(f"{self.most} agents are known; expected no more")
         del self.members[min(lost, key=lambda m: m.since).id]
 
     def heard(self, agent: str, run: str, now: float) -> bool:
         """A call of an agent; False: it is not of the run that is subscribed, and must not count."""
         member = self.members.get(agent)
-        if member is None or member.run != run or member.state is not State.SUBSCRIBED:
+        if member is None or member.run != run or member.state is not AgentState.SUBSCRIBED:
             return False
         member.heard_at = now
         return True
@@ -86,19 +86,23 @@
         member = self.members.get(agent)
         if member is None or member.session is not session:
             return False
-        member.session, member.state, member.since = None, State.AWAY, now
+        member.session, member.state, member.since = None, AgentState.AWAY, now
         return True
 
-    def silent(self, now: float) -> list[Member]:
+    def silent(self, now: float) -> list[AgentMember]:
         """Subscribed agents whose heartbeats stopped: their sessions are to be cut.
 
         The connection may look open for hours when a machine is gone without a word."""
         limit = self.heartbeat_ms * self.missed
-        return [m for m in self.members.values() if m.state is State.SUBSCRIBED and now - m.heard_at > limit]
+        return [
+            m for m in self.members.values() if m.state is AgentState.SUBSCRIBED and now - m.heard_at > limit
+        ]
 
-    def lost(self, now: float) -> list[Member]:
+    def lost(self, now: float) -> list[AgentMember]:
         """Agents away for too long; each is given once."""
-        gone = [m for m in self.members.values() if m.state is State.AWAY and now - m.since > self.return_ms]
+        gone = [
+            m for m in self.members.values() if m.state is AgentState.AWAY and now - m.since > self.return_ms
+        ]
         for member in gone:
-            member.state, member.since = State.LOST, now
+            member.state, member.since = AgentState.LOST, now
         return gone
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -9,16 +9,16 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
-from glencleat.allocator.task_requests import BadAsk, read
-from glencleat.allocator.call_table import Attempt, Call, Given
-from glencleat.allocator.agent_membership import State, split_id
-from glencleat.allocator.ports import Middle
-from glencleat.allocator.domain_events import AgentSeen, Taken
-from glencleat.allocator.status_mapping import Fate, Step, Told
+from glencleat.allocator.task_requests import TaskRequestError, read
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
+from glencleat.allocator.agent_membership import AgentState, split_id
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.domain_events import AgentStateChanged, CallTaken
+from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep, StatusMeaning
 from glencleat.mesos import messages as m
 
 
-class NotSubscribed(Exception):
+class NotSubscribedError(Exception):
     """A call of an agent's run that has no session."""
 
 
@@ -26,8 +26,8 @@
     return api.LoadReport(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
 
 
-class AgentSide:
-    def __init__(self, core: Middle) -> None:
+class AgentSessions:
+    def __init__(self, core: CorePort) -> None:
         self.core = core
 
     # ---- sessions ----
@@ -38,7 +38,7 @@
         agent, run = split_id(call.executor_id.value)
         told = call.subscribe or m.SubscribeExecutor()
         joined = core.members.subscribe(agent, run, session, now)
-        core.happened(AgentSeen(agent, State.SUBSCRIBED.value))
+        core.happened(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=run, tasks=len(told.unacknowledged_tasks))
         # An old stream that was still open may hold a LAUNCH which this run has yet to read.
         whole_truth = joined.same_run and joined.replaced is None
@@ -73,7 +73,7 @@
         """A session's connection ended."""
         core = self.core
         if core.members.closed(agent, session, core.now()):
-            core.happened(AgentSeen(agent, State.AWAY.value))
+            core.happened(AgentStateChanged(agent, AgentState.AWAY.value))
             core.log("agent away", agent=agent, why=why)
         self._doubt(agent, session)
 
@@ -84,49 +84,49 @@
             verdict = delivery_status.on_session_lost(
                 attempt.step, self.core.handed(attempt), attempt.call.effect
             )
-            if verdict.do is delivery_status.Do.RETURN:
+            if verdict.do is delivery_status.DeliveryAction.RETURN:
                 self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
     def _compare(self, attempt: Attempt, listed: bool, same_run: bool) -> None:
         """An attempt of an earlier session, against what the agent says it holds."""
         verdict = delivery_status.on_resubscribe(attempt.step, listed, same_run)
-        if verdict.do is delivery_status.Do.IGNORE:
+        if verdict.do is delivery_status.DeliveryAction.IGNORE:
             return
         never = not verdict.may_have_run
         if attempt.back:
-            attempt.ran, attempt.step = (False, attempt.step) if never else (attempt.ran, Step.OVER)
+            attempt.ran, attempt.step = (False, attempt.step) if never else (attempt.ran, AttemptStep.OVER)
             self.core.ledger.settle(attempt)
-        elif attempt.step is Step.OUT:
-            attempt.step = attempt.step if never else Step.OVER
+        elif attempt.step is AttemptStep.OUT:
+            attempt.step = attempt.step if never else AttemptStep.OVER
             self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
         else:
-            self._over(attempt, Told(Step.OVER, verdict.outcome), None)
+            self._over(attempt, StatusMeaning(AttemptStep.OVER, verdict.outcome), None)
 
     def _listed(self, agent: str, task: m.TaskInfo) -> None:
         """A task that the agent holds: known, or placed by a former incarnation of ours."""
         core = self.core
         attempt = core.ledger.attempts.get(task.task_id.value)
         if attempt is not None:
-            if not attempt.back and attempt.step is Step.OUT:
+            if not attempt.back and attempt.step is AttemptStep.OUT:
                 self._accepted(attempt)
-            elif attempt.back and attempt.step in (Step.OUT, Step.ACCEPTED, Step.RUNS):
-                attempt.step = Step.ACCEPTED if attempt.step is Step.OUT else attempt.step
+            elif attempt.back and attempt.step in (AttemptStep.OUT, AttemptStep.ACCEPTED, AttemptStep.RUNS):
+                attempt.step = AttemptStep.ACCEPTED if attempt.step is AttemptStep.OUT else attempt.step
                 self._late_yes(attempt, attempt.placed)
             return
         framework, name = m.label(task.labels, "framework"), m.label(task.labels, "task")
         try:
             if framework is None or name is None:
-                raise BadAsk("labels framework and task are missing")
+                raise TaskRequestError("labels framework and task are missing")
             ask = read(task, core.classes, None, 0.0)
-        except BadAsk as error:
+        except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
         before = core.ledger.task(framework, name)
         elsewhere = before is not None and (before.given is None or before.placed())
         effect = core.classes[ask.task_class].idempotency
         call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
-        attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=Step.ACCEPTED)
-        if delivery_status.on_unknown(elsewhere) is delivery_status.Late.KILL:
+        attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=AttemptStep.ACCEPTED)
+        if delivery_status.on_unknown(elsewhere) is delivery_status.LateAcceptance.KILL:
             core.kill(attempt)
         else:
             self._adopt(attempt, call)
@@ -135,16 +135,18 @@
         """Makes a task that runs already a call of its own, ours from here on."""
         core = self.core
         call.number = next(core.numbers)
-        call.given, call.adopted = Given.SERVED, True
+        call.given, call.adopted = FinalAnswer.SERVED, True
         call.attempts.clear()
         attempt.call, attempt.number, attempt.back, attempt.ran = call, 0, False, None
         attempt.placed = True
         core.ledger.take(call)
         core.ledger.bind(attempt)
         core.figures.adopted[call.ask.task_class] += 1
-        core.happened(Taken(call))
+        core.happened(CallTaken(call))
         core.tell_asked(call, 0.0, attempt.machine)
-        core.told.status(call, status_mapping.reconciled(attempt.fate(), attempt.step is Step.ACCEPTED))
+        core.told.status(
+            call, status_mapping.reconciled(attempt.fate(), attempt.step is AttemptStep.ACCEPTED)
+        )
 
     # ---- updates ----
 
@@ -166,63 +168,69 @@
             return
         self._apply(attempt, told, None if payload is None else as_report(payload))
 
-    def _apply(self, attempt: Attempt, told: Told, report: api.LoadReport | None) -> None:
+    def _apply(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
         if attempt.back:
             self._apply_late(attempt, told)
             return
-        if told.step is Step.OVER and not told.ran:
-            attempt.step, attempt.ran = Step.OVER, False
+        if told.step is AttemptStep.OVER and not told.ran:
+            attempt.step, attempt.ran = AttemptStep.OVER, False
             self.core.ledger.settle(attempt)
             self.core.returned(attempt, told.outcome, attempt.call.left, told.why, report)
             return
-        if attempt.step is Step.OUT:
+        if attempt.step is AttemptStep.OUT:
             self._accepted(attempt)
-        if told.step is Step.RUNS and not attempt.back:
-            attempt.step = Step.RUNS
+        if told.step is AttemptStep.RUNS and not attempt.back:
+            attempt.step = AttemptStep.RUNS
             self.core.tell(
                 api.TaskObserved(attempt.call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
             )
             if attempt.call.given is not None:
                 self.core.told.status(
-                    attempt.call, status_mapping.Answer(status_mapping.RUNNING, status_mapping.Retry.NEVER)
+                    attempt.call,
+                    status_mapping.StatusAnswer(status_mapping.RUNNING, status_mapping.RetryAdvice.NEVER),
                 )
-        elif told.step is Step.OVER:
+        elif told.step is AttemptStep.OVER:
             self._over(attempt, told, report)
 
-    def _apply_late(self, attempt: Attempt, told: Told) -> None:
+    def _apply_late(self, attempt: Attempt, told: StatusMeaning) -> None:
         """A status of an attempt that was given up; what it settles, an owner left in doubt is told."""
         # Not by its step: a late yes moves that on too, and its next status would pass for a placed task's.
         call, was_placed = attempt.call, attempt.placed
         attempt.step = told.step
-        if told.step is not Step.OVER:
+        if told.step is not AttemptStep.OVER:
             self._late_yes(attempt, was_placed)
             return
         attempt.ran = attempt.ran if told.ran else False
         self.core.ledger.settle(attempt)
         if self.core.ledger.task(call.framework, call.task_id) is not call:
             return  # it was asked for again since
-        if was_placed and call.given is Given.SERVED and attempt is call.last():
+        if was_placed and call.given is FinalAnswer.SERVED and attempt is call.last():
             self.core.told.status(call, status_mapping.ended(told.outcome, told.why))
-        elif call.given is Given.FAILED and call.fate() in (Fate.NEVER_RAN, Fate.ENDED):
+        elif call.given is FinalAnswer.FAILED and call.fate() in (
+            ExecutionStatus.NEVER_RAN,
+            ExecutionStatus.ENDED,
+        ):
             self.core.told.status(call, status_mapping.reconciled(call.fate()))
 
     def _accepted(self, attempt: Attempt) -> None:
         """The agent's yes: the task is placed, which is its answer."""
         core, call = self.core, attempt.call
         core.stop_timer(attempt)
-        attempt.step, attempt.placed = Step.ACCEPTED, True
+        attempt.step, attempt.placed = AttemptStep.ACCEPTED, True
         spent = max(0.0, core.now() - attempt.sent_at)
         core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent))
         core.answer(
-            call, Given.SERVED, status_mapping.Answer(status_mapping.STARTING, status_mapping.Retry.NEVER)
+            call,
+            FinalAnswer.SERVED,
+            status_mapping.StatusAnswer(status_mapping.STARTING, status_mapping.RetryAdvice.NEVER),
         )
         if call.left:
             core.kill(attempt)  # its owner gave up just as the machine said yes
 
-    def _over(self, attempt: Attempt, told: Told, report: api.LoadReport | None) -> None:
+    def _over(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
         core, call = self.core, attempt.call
-        attempt.step = Step.OVER
+        attempt.step = AttemptStep.OVER
         core.ledger.settle(attempt)
         core.returned(attempt, told.outcome, True, told.why, report)
         core.told.status(call, status_mapping.ended(told.outcome, told.why))
@@ -239,7 +247,7 @@
             answered, was_placed, latest.out() is not None and not placed, placed, gone
         )
         core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=verdict.value)
-        if verdict is delivery_status.Late.ADOPT:
+        if verdict is delivery_status.LateAcceptance.ADOPT:
             call.attempts.remove(attempt)
             core.ledger.forget(latest)
             again = Call(
@@ -261,7 +269,7 @@
 
     def _use(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
         attempt = self.core.ledger.attempts.get(use.task_id)
-        if attempt is None or attempt.back or attempt.machine != agent or attempt.step is Step.OUT:
+        if attempt is None or attempt.back or attempt.machine != agent or attempt.step is AttemptStep.OUT:
             return
         kinds = api.ObservationKind
         for kind, value in (
@@ -277,7 +285,7 @@
         """A sign of life, which every call is; gives the agent's id, raises NotSubscribed."""
         agent, run = split_id(executor_id)
         if not self.core.members.heard(agent, run, self.core.now()):
-            raise NotSubscribed(f"{executor_id} is not subscribed")
+            raise NotSubscribedError(f"{executor_id} is not subscribed")
         return agent
 
     # ---- absence ----
@@ -285,11 +293,13 @@
     def lost(self, agent: str) -> None:
         """The agent stayed away too long: its placed tasks are over for us, their fate is unsure."""
         for attempt in self.core.ledger.at(agent):
-            if attempt.back or attempt.step is Step.OUT:
+            if attempt.back or attempt.step is AttemptStep.OUT:
                 continue
             call = attempt.call
             self.core.returned(attempt, api.Outcome.LOST, over=True)
             safe = call.effect is api.Idempotency.IDEMPOTENT
-            retry = status_mapping.Retry.HARMLESS if safe else status_mapping.Retry.RECONCILE
-            answer = status_mapping.Answer(status_mapping.UNREACHABLE, retry, status_mapping.AGENT_REMOVED)
+            retry = status_mapping.RetryAdvice.HARMLESS if safe else status_mapping.RetryAdvice.RECONCILE
+            answer = status_mapping.StatusAnswer(
+                status_mapping.UNREACHABLE, retry, status_mapping.AGENT_REMOVED
+            )
             self.core.told.status(call, answer)
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -13,14 +13,14 @@
 
 from glencleat import interface as api
 from glencleat.allocator.delivery_status import merge
-from glencleat.allocator.status_mapping import Fate, Step
-from glencleat.allocator.pending_reasons import Record
+from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
+from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.mesos.messages import TaskInfo
 
 UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
 
 
-class Given(Enum):
+class FinalAnswer(Enum):
     """The one final answer of a call."""
 
     SERVED = "served"
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class TaskRequest:
     """What a TaskInfo asks for, checked (`asks.read`)."""
 
     task_class: str
@@ -55,19 +55,19 @@
     session: object = None  # the agent's session that the LAUNCH went to
     begin: int = 0  # the LAUNCH's place in that session's stream
     end: int = 0
-    step: Step = Step.OUT
+    step: AttemptStep = AttemptStep.OUT
     back: bool = False  # the module has had its Returned
     placed: bool = False  # its yes came while the module still waited for it, or it was adopted
     ran: bool | None = None  # None: not known
     timer: object = None
     uuids: list[str] = field(default_factory=list)
 
-    def fate(self) -> Fate:
+    def fate(self) -> ExecutionStatus:
         if self.ran is False:
-            return Fate.NEVER_RAN
-        if self.step is Step.OVER:
-            return Fate.ENDED
-        return Fate.UNSURE if self.step is Step.OUT else Fate.RUNS
+            return ExecutionStatus.NEVER_RAN
+        if self.step is AttemptStep.OVER:
+            return ExecutionStatus.ENDED
+        return ExecutionStatus.UNSURE if self.step is AttemptStep.OUT else ExecutionStatus.RUNS
 
     def seen(self, uuid: str | None) -> bool:
         """Whether an update with this uuid was handled before; remembers it."""
@@ -86,17 +86,17 @@
     framework: str
     task_id: str
     info: TaskInfo
-    ask: Ask
+    ask: TaskRequest
     effect: api.Idempotency
     tenant: str | None
     taken_at: float
     attempts: list[Attempt] = field(default_factory=list)
-    given: Given | None = None
+    given: FinalAnswer | None = None
     adopted: bool = False
     left: bool = False  # its owner killed it or is gone
     over: bool = False  # nothing more is expected of the module
     told: bool = False  # the module has been asked
-    why: Record = field(default_factory=Record)
+    why: PendingReasons = field(default_factory=PendingReasons)
 
     def last(self) -> Attempt | None:
         return self.attempts[-1] if self.attempts else None
@@ -108,16 +108,16 @@
 
     def placed(self) -> bool:
         out = self.out()
-        return out is not None and out.step in (Step.ACCEPTED, Step.RUNS)
+        return out is not None and out.step in (AttemptStep.ACCEPTED, AttemptStep.RUNS)
 
-    def fate(self) -> Fate:
+    def fate(self) -> ExecutionStatus:
         return merge([a.fate() for a in self.attempts])
 
     def may_have_run(self) -> bool:
         return any(a.ran is not False for a in self.attempts)
 
 
-class Ledger:
+class CallTable:
     """Calls by number and by owner's task, attempts by their id and by machine."""
 
     def __init__(self, remembered: int = 50_000) -> None:
@@ -143,7 +143,7 @@
         self.attempts[attempt.id] = attempt
         self.machines.setdefault(attempt.machine, {})[attempt.id] = attempt
 
-    def give(self, call: Call, given: Given) -> None:
+    def give(self, call: Call, given: FinalAnswer) -> None:
         if call.given is not None:
             raise AssertionError(f"call {call.number}: {given.value} after {call.given.value}")
         call.given = given
--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -18,12 +18,12 @@
     """A caller or the module broke the contract of `glencleat/interface.py`; the text says how."""
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
 
 
 @dataclass(slots=True)
-class Known:
+class TrackedCall:
     """What the contract remembers of one call."""
 
     binds: int = 0
@@ -36,10 +36,10 @@
 class Contract:
     """Wraps a module; forgets a call once it is over and its last attempt is back."""
 
-    def __init__(self, module: Module) -> None:
+    def __init__(self, module: DecisionModule) -> None:
         self.module = module
         self.now = float("-inf")
-        self.calls: dict[int, Known] = {}
+        self.calls: dict[int, TrackedCall] = {}
         self.timers = 0
         self.module_s, self.events = 0.0, 0  # CPU time that the module itself took, and for how many events
         self.probes: dict[str, int] = {}
@@ -94,14 +94,14 @@
                 f"call {event.call_id}: left_ms is {event.remaining_ms}; expected a time above 0"
             )
         adopted = event.machine is not None
-        self.calls[event.call_id] = Known(int(adopted), event.machine or "", adopted, adopted)
+        self.calls[event.call_id] = TrackedCall(int(adopted), event.machine or "", adopted, adopted)
 
-    def _known(self, call: int, name: str) -> Known:
+    def _known(self, call: int, name: str) -> TrackedCall:
         if call not in self.calls:
             raise ContractError(f"call {call}: {name} of a call never asked or over")
         return self.calls[call]
 
-    def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> Known:
+    def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> TrackedCall:
         known = self._known(event.call_id, name)
         if event.attempt != known.binds - 1:
             told = f"{name} of attempt {event.attempt}"
@@ -144,7 +144,7 @@
         elif isinstance(action, api.Probe):
             self.probes[action.machine] = self.probes.get(action.machine, 0) + 1
 
-    def _open(self, call: int, name: str) -> Known:
+    def _open(self, call: int, name: str) -> TrackedCall:
         known = self.calls.get(call)
         if known is None or known.over:
             raise ContractError(f"call {call}: {name} after its answer")
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -16,39 +16,39 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
-from glencleat.allocator.admission import Twins
-from glencleat.allocator.agent_sessions import AgentSide
-from glencleat.allocator.contract import Contract, Module
-from glencleat.allocator.admission_queue import Early
-from glencleat.allocator.counters import Figures
+from glencleat.allocator.admission import DuplicateFilter
+from glencleat.allocator.agent_sessions import AgentSessions
+from glencleat.allocator.contract import Contract, DecisionModule
+from glencleat.allocator.admission_queue import AdmissionQueue
+from glencleat.allocator.counters import TaskCounters
 from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.call_table import Attempt, Call, Given, Ledger
-from glencleat.allocator.agent_membership import Members, State
-from glencleat.allocator.ports import Timing
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, CallTable
+from glencleat.allocator.agent_membership import AgentMembership, AgentState
+from glencleat.allocator.ports import TimingPort
 from glencleat.allocator.options import Options
-from glencleat.allocator.framework_sessions import OwnerSide
-from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.framework_sessions import FrameworkSessions
+from glencleat.allocator.startup_gate import StartupGate
 from glencleat.allocator.domain_events import (
-    AgentSeen,
-    Answered,
-    Asking,
-    Back,
+    AgentStateChanged,
+    CallAnswered,
+    AdmissionRequest,
+    AttemptConcluded,
     Decider,
-    Forgotten,
+    CallForgotten,
     Happened,
     Hear,
-    Insider,
-    MachinesTold,
-    Opened,
-    Sent,
-    Verdict,
+    InProcessOwner,
+    MachineListChanged,
+    PlacementOpened,
+    AttemptSent,
+    AdmissionDecision,
 )
-from glencleat.allocator.event_dispatcher import Telling
-from glencleat.allocator.status_mapping import Answer, Step
+from glencleat.allocator.event_dispatcher import EventDispatcher
+from glencleat.allocator.status_mapping import StatusAnswer, AttemptStep
 from glencleat.mesos import messages as m
 
 
-class Link(Protocol):
+class SessionStream(Protocol):
     """A session's stream of records, as a front gives it."""
 
     def send(self, record: bytes) -> tuple[int, int]:
@@ -64,9 +64,9 @@
     def __init__(
         self,
         settings: api.Settings,
-        module: Module,
+        module: DecisionModule,
         options: Options,
-        timing: Timing,
+        timing: TimingPort,
         seed: int,
         log: Callable[..., None] = lambda event, **more: None,
     ) -> None:
@@ -74,30 +74,32 @@
         self.classes = {c.name: c for c in settings.classes}
         self.module = Contract(module)
         self.random = Random(seed)
-        self.ledger = Ledger(options.remembered)
-        self.figures = Figures(self.ledger)
-        self.members = Members(options.heartbeat_ms, options.missed, options.return_ms, options.agents_most)
+        self.ledger = CallTable(options.remembered)
+        self.figures = TaskCounters(self.ledger)
+        self.members = AgentMembership(
+            options.heartbeat_ms, options.missed, options.return_ms, options.agents_most
+        )
         self.frameworks = Frameworks(
             options.frameworks_most, options.unacked_most, retry_ms=options.update_retry_ms
         )
         self.incarnation = f"{self.random.getrandbits(40):010x}"
         self.numbers, self.probe_numbers = itertools.count(1), itertools.count(1)
         self.probes: dict[str, deque[tuple[int, Any]]] = {}  # machine -> probe number and its timer
-        self.telling = Telling(self.module, self.now, self._act)
+        self.telling = EventDispatcher(self.module, self.now, self._act)
         self.ending = False
         self.watch: Callable[[], None] = lambda: None  # set by the directory's client
         self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered while ending
         self.last_now = timing.now()
         least = 1.25 * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
-        self.opening = Opening(self.last_now, least, options.grace_ms)
+        self.opening = StartupGate(self.last_now, least, options.grace_ms)
         self.listed: set[str] | None = None  # machines that the list tells as serving
         self.hearers: list[Hear] = []
-        self.early = Early(self)  # tasks that came before the opening, or soon after it
-        self.deciders: list[Decider] = [Twins(self.ledger).decide]
-        self.insiders: dict[str, Insider] = {}
-        self.ledger.forgot = lambda call: self.happened(Forgotten(call))
-        self.owners = self.told = OwnerSide(self)
-        self.agents = AgentSide(self)
+        self.early = AdmissionQueue(self)  # tasks that came before the opening, or soon after it
+        self.deciders: list[Decider] = [DuplicateFilter(self.ledger).decide]
+        self.insiders: dict[str, InProcessOwner] = {}
+        self.ledger.forgot = lambda call: self.happened(CallForgotten(call))
+        self.owners = self.told = FrameworkSessions(self)
+        self.agents = AgentSessions(self)
         timing.call_in(options.sweep_ms, self._sweep)
 
     # ---- the seam ----
@@ -110,7 +112,7 @@
         for hearer in self.hearers:
             hearer(what)
 
-    def decide(self, asking: Asking) -> Verdict | None:
+    def decide(self, asking: AdmissionRequest) -> AdmissionDecision | None:
         """The first verdict of the chain; None: the task is taken."""
         for decider in self.deciders:
             verdict = decider(asking)
@@ -118,7 +120,7 @@
                 return verdict
         return None
 
-    def admit(self, insider: Insider) -> None:
+    def admit(self, insider: InProcessOwner) -> None:
         """Makes an owner within the process known; frameworks can't subscribe under its prefix."""
         self.insiders[insider.prefix] = insider
 
@@ -148,7 +150,7 @@
             else:
                 self.listed -= {machine.name for machine in event.machines}
                 self.listed |= serving
-        self.happened(MachinesTold(event))
+        self.happened(MachineListChanged(event))
         self.tell(event)
         self.open_up()
 
@@ -159,7 +161,7 @@
             return
         left = call.ask.left_ms - (self.now() - call.taken_at)
         if left <= 0.0:
-            self.answer(call, Given.REFUSED, status_mapping.refusal(False))
+            self.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(False))
         else:
             self.tell_asked(call, left)
 
@@ -185,12 +187,12 @@
     def open_up(self) -> None:
         if self.early.start is not None:
             return
-        here = (x.id for x in self.members.members.values() if x.state is State.SUBSCRIBED)
+        here = (x.id for x in self.members.members.values() if x.state is AgentState.SUBSCRIBED)
         before = self.opening.done
         if not self.opening.opens(self.now(), self.listed, here):
             return
         if not before:
-            self.happened(Opened())
+            self.happened(PlacementOpened())
         if self.listed:
             self.early.begin()
 
@@ -207,9 +209,9 @@
             self._bind(action)
         elif isinstance(action, api.Reject):
             call = self.ledger.calls[action.call_id]
-            self.answer(call, Given.REFUSED, status_mapping.refusal(call.may_have_run()))
+            self.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(call.may_have_run()))
         elif isinstance(action, api.Fail):
-            self.answer(self.ledger.calls[action.call_id], Given.FAILED, status_mapping.failure())
+            self.answer(self.ledger.calls[action.call_id], FinalAnswer.FAILED, status_mapping.failure())
         elif isinstance(action, api.SetTimer):
             token = action.token
             self.timing.call_in(action.delay_ms, lambda: self.tell(api.TimerFired(token)))
@@ -230,7 +232,7 @@
         name = f"{self.options.name}-{self.incarnation}-{call.number}.{number}"
         attempt = Attempt(call, number, action.machine, name, now)
         self.ledger.bind(attempt)
-        self.happened(Sent(attempt))
+        self.happened(AttemptSent(attempt))
         link: Any = self.members.session(action.machine)
         if link is None:
             self.give_up(attempt, api.Outcome.UNREACHABLE, may_have_run=False)
@@ -269,20 +271,20 @@
         )
         return m.encode(m.ExecutorEvent("LAUNCH", launch=m.LaunchEvent(info)))
 
-    def handed(self, attempt: Attempt) -> delivery_status.Handed:
+    def handed(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
         session: Any = attempt.session
         if session is None:
-            return delivery_status.Handed.NOTHING
+            return delivery_status.DeliveryStatus.NOTHING
         return delivery_status.handed(session.written(), attempt.begin, attempt.end)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if attempt.back:
             return
         verdict = delivery_status.on_timeout(attempt.step, self.handed(attempt))
-        if verdict.do is delivery_status.Do.CUT:
+        if verdict.do is delivery_status.DeliveryAction.CUT:
             session: Any = attempt.session
             session.close("the agent does not read")  # ends as a lost session, which settles the attempt
-        if verdict.do is not delivery_status.Do.IGNORE and not attempt.back:
+        if verdict.do is not delivery_status.DeliveryAction.IGNORE and not attempt.back:
             self.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
     def give_up(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
@@ -310,7 +312,7 @@
             call.why.note(outcome, why, attempt.machine, self.now())
         if over and call.given is not None:
             self.ledger.close(call)
-        self.happened(Back(attempt, outcome, why))
+        self.happened(AttemptConcluded(attempt, outcome, why))
         self.tell(
             api.AttemptEnded(call.number, attempt.number, attempt.machine, outcome, spent, over, why, report)
         )
@@ -320,9 +322,13 @@
     def _withdrawn(self, call: Call) -> None:
         """The owner killed the task while an attempt was out, and the attempt is back."""
         if call.may_have_run():
-            self.answer(call, Given.FAILED, status_mapping.failure())
+            self.answer(call, FinalAnswer.FAILED, status_mapping.failure())
         else:
-            self.answer(call, Given.REFUSED, Answer(status_mapping.KILLED, status_mapping.Retry.HARMLESS))
+            self.answer(
+                call,
+                FinalAnswer.REFUSED,
+                StatusAnswer(status_mapping.KILLED, status_mapping.RetryAdvice.HARMLESS),
+            )
 
     def stop_timer(self, attempt: Attempt) -> None:
         timer: Any = attempt.timer
@@ -338,7 +344,7 @@
     def kill(self, attempt: Attempt) -> None:
         """Asks the agent to stop the task; follows its LAUNCH on the same stream, so it can't overtake it."""
         link: Any = self.members.session(attempt.machine)
-        if link is not None and attempt.step is not Step.OVER:
+        if link is not None and attempt.step is not AttemptStep.OVER:
             self.figures.events["kill"] += 1
             link.send(m.encode(m.ExecutorEvent("KILL", kill=m.KillEvent(m.Value(attempt.id)))))
 
@@ -370,17 +376,17 @@
 
     # ---- answers ----
 
-    def answer(self, call: Call, given: Given, answer: Answer) -> None:
+    def answer(self, call: Call, given: FinalAnswer, answer: StatusAnswer) -> None:
         """The one final answer of a call, to figures, ledger and owner."""
         self.ledger.give(call, given)
         self.figures.give(call.ask.task_class, given)
         framework = self.framework_of(call)
         if framework is not None:
             framework.open -= 1
-        if given is not Given.SERVED:
+        if given is not FinalAnswer.SERVED:
             self.ledger.close(call)
-        self.happened(Answered(call, given))
-        text = None if given is Given.SERVED else call.why.text(len(self.listed or ()))
+        self.happened(CallAnswered(call, given))
+        text = None if given is FinalAnswer.SERVED else call.why.text(len(self.listed or ()))
         self.owners.status(call, answer, text)
         if self.ending and not self.ledger.open:
             self.on_idle()
@@ -388,7 +394,7 @@
     def status(
         self,
         task_id: str,
-        answer: Answer,
+        answer: StatusAnswer,
         machine: str | None,
         message: str | None = None,
         acked: bool = True,
@@ -422,7 +428,7 @@
             session.close("no heartbeat")
         for member in self.members.lost(now):
             self.log("agent lost", agent=member.id)
-            self.happened(AgentSeen(member.id, State.LOST.value))
+            self.happened(AgentStateChanged(member.id, AgentState.LOST.value))
             self.agents.lost(member.id)
         self.owners.sweep(now)
 
@@ -441,7 +447,7 @@
             if call.told:
                 self.tell(api.CallAbandoned(call.number))
             out = call.out()
-            if out is not None and self.handed(out) is not delivery_status.Handed.WHOLE:
+            if out is not None and self.handed(out) is not delivery_status.DeliveryStatus.WHOLE:
                 session: Any = out.session
                 session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
             elif out is not None:
@@ -449,7 +455,7 @@
             if call.given is None:
                 may = call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT
                 answer = status_mapping.failure() if may else status_mapping.refusal(call.may_have_run())
-                self.answer(call, Given.FAILED if may else Given.REFUSED, answer)
+                self.answer(call, FinalAnswer.FAILED if may else FinalAnswer.REFUSED, answer)
 
     def framework_of(self, call: Call) -> Framework | None:
         return self.frameworks.known.get(call.framework)
--- a/glencleat/allocator/counters.py
+++ b/glencleat/allocator/counters.py
@@ -7,11 +7,11 @@
 
 from collections import Counter
 
-from glencleat.allocator.call_table import Given, Ledger
+from glencleat.allocator.call_table import FinalAnswer, CallTable
 
 
-class Figures:
-    def __init__(self, ledger: Ledger) -> None:
+class TaskCounters:
+    def __init__(self, ledger: CallTable) -> None:
         self.ledger = ledger
         self.taken: Counter[str] = Counter()
         self.given: Counter[tuple[str, str]] = Counter()  # class, answer
@@ -22,7 +22,7 @@
     def take(self, task_class: str) -> None:
         self.taken[task_class] += 1
 
-    def give(self, task_class: str, given: Given) -> None:
+    def give(self, task_class: str, given: FinalAnswer) -> None:
         self.given[task_class, given.value] += 1
 
     def open_by_class(self) -> Counter[str]:
@@ -36,7 +36,7 @@
         open_now = self.open_by_class() if open_now is None else open_now
         off = {}
         for name in set(self.taken) | {c for c, _ in self.given} | set(open_now):
-            answered = sum(self.given[name, g.value] for g in Given)
+            answered = sum(self.given[name, g.value] for g in FinalAnswer)
             if difference := self.taken[name] - answered - open_now[name]:
                 off[name] = difference
         return off
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -14,10 +14,10 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.status_mapping import Fate, Step
+from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
 
 
-class Handed(Enum):
+class DeliveryStatus(Enum):
     """How much of an attempt's LAUNCH had been handed to the socket."""
 
     NOTHING = "nothing"  # not one byte of it
@@ -25,7 +25,7 @@
     WHOLE = "whole"
 
 
-class Do(Enum):
+class DeliveryAction(Enum):
     """What the core does about an attempt."""
 
     WAIT = "wait"  # goes on being out: its time-out decides, or what the agent says till then
@@ -35,54 +35,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    do: Do
+class DeliveryVerdict:
+    do: DeliveryAction
     outcome: api.Outcome = api.Outcome.NOT_SENT
     may_have_run: bool = False
 
 
-def handed(written: int, begin: int, end: int) -> Handed:
+def handed(written: int, begin: int, end: int) -> DeliveryStatus:
     """From the stream's count of written bytes and the LAUNCH's place in it."""
     if written >= end:
-        return Handed.WHOLE
-    return Handed.NOTHING if written <= begin else Handed.PART
+        return DeliveryStatus.WHOLE
+    return DeliveryStatus.NOTHING if written <= begin else DeliveryStatus.PART
 
 
-def on_session_lost(step: Step, out: Handed, effect: api.Idempotency) -> Verdict:
+def on_session_lost(step: AttemptStep, out: DeliveryStatus, effect: api.Idempotency) -> DeliveryVerdict:
     """The agent's session ended while the attempt was out or its task ran.
 
     Unsent is known not to have run. A safe task tries elsewhere at once. Others wait for the agent to come
     back and tell, as long as their time-out lets them: answering now would turn a short cut into a
     failure."""
-    if step is not Step.OUT:
-        return Verdict(Do.WAIT)  # members decide when a silent agent's tasks are lost
-    if out is not Handed.WHOLE:
-        return Verdict(Do.RETURN, api.Outcome.UNREACHABLE)
+    if step is not AttemptStep.OUT:
+        return DeliveryVerdict(DeliveryAction.WAIT)  # members decide when a silent agent's tasks are lost
+    if out is not DeliveryStatus.WHOLE:
+        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.UNREACHABLE)
     if effect is api.Idempotency.IDEMPOTENT:
-        return Verdict(Do.RETURN, api.Outcome.LOST, may_have_run=True)
-    return Verdict(Do.WAIT)
+        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.LOST, may_have_run=True)
+    return DeliveryVerdict(DeliveryAction.WAIT)
 
 
-def on_timeout(step: Step, out: Handed) -> Verdict:
+def on_timeout(step: AttemptStep, out: DeliveryStatus) -> DeliveryVerdict:
     """The attempt's time-out. If the agent does not even read, its session is cut: a LAUNCH that lies in our
     buffer must not be sent after the module was told that the attempt is back."""
-    if step is not Step.OUT:
-        return Verdict(Do.IGNORE)
-    if out is Handed.WHOLE:
-        return Verdict(Do.RETURN, api.Outcome.TIMED_OUT, may_have_run=True)
-    return Verdict(Do.CUT, api.Outcome.UNREACHABLE)
+    if step is not AttemptStep.OUT:
+        return DeliveryVerdict(DeliveryAction.IGNORE)
+    if out is DeliveryStatus.WHOLE:
+        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.TIMED_OUT, may_have_run=True)
+    return DeliveryVerdict(DeliveryAction.CUT, api.Outcome.UNREACHABLE)
 
 
-def on_resubscribe(step: Step, listed: bool, same_run: bool) -> Verdict:
+def on_resubscribe(step: AttemptStep, listed: bool, same_run: bool) -> DeliveryVerdict:
     """The agent subscribed again; `listed`: among the tasks or updates that it told."""
     if listed:
-        return Verdict(Do.IGNORE)  # its own statuses follow and say all
-    if step is Step.OUT and same_run:
-        return Verdict(Do.RETURN, api.Outcome.NOT_SENT)
-    return Verdict(Do.RETURN, api.Outcome.LOST, may_have_run=True)
+        return DeliveryVerdict(DeliveryAction.IGNORE)  # its own statuses follow and say all
+    if step is AttemptStep.OUT and same_run:
+        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.NOT_SENT)
+    return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.LOST, may_have_run=True)
 
 
-class Late(Enum):
+class LateAcceptance(Enum):
     """What becomes of a copy that an agent says it holds although the module has given up on it."""
 
     ADOPT = "adopt"
@@ -91,7 +91,7 @@
 
 def on_late_yes(
     answered: str | None, was_placed: bool, other_out: bool, other_placed: bool, owner_gone: bool
-) -> Late:
+) -> LateAcceptance:
     """A machine accepted or runs an attempt that was given up.
 
     With another attempt out or placed it is a second copy, which only a class that bears one can have got
@@ -99,20 +99,20 @@
     So is the placed task (`was_placed`) of an agent that was away and is back. One that was told `refused`
     asks again and must not find two; an owner that left or is gone wants none."""
     if other_out or other_placed or owner_gone:
-        return Late.KILL
-    return Late.ADOPT if was_placed or answered == "failed" else Late.KILL
+        return LateAcceptance.KILL
+    return LateAcceptance.ADOPT if was_placed or answered == "failed" else LateAcceptance.KILL
 
 
-def on_unknown(live_elsewhere: bool) -> Late:
+def on_unknown(live_elsewhere: bool) -> LateAcceptance:
     """An agent lists a task that the ledger does not know: placed by our former incarnation, most likely.
 
     It is adopted, also when its owner has not come back yet: what it did so far is worth keeping."""
-    return Late.KILL if live_elsewhere else Late.ADOPT
+    return LateAcceptance.KILL if live_elsewhere else LateAcceptance.ADOPT
 
 
-def merge(fates: list[Fate]) -> Fate:
+def merge(fates: list[ExecutionStatus]) -> ExecutionStatus:
     """What is known of a task from the fates of all its attempts."""
-    for fate in (Fate.RUNS, Fate.UNSURE, Fate.ENDED):
+    for fate in (ExecutionStatus.RUNS, ExecutionStatus.UNSURE, ExecutionStatus.ENDED):
         if fate in fates:
             return fate
-    return Fate.NEVER_RAN
+    return ExecutionStatus.NEVER_RAN
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -14,26 +14,26 @@
 from typing import Protocol
 
 from glencleat import interface as api
-from glencleat.allocator.call_table import Ask, Attempt, Call, Given
-from glencleat.allocator.status_mapping import Answer
+from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer
+from glencleat.allocator.status_mapping import StatusAnswer
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class CallTaken:
     """A task was taken (or, `call.adopted`, found to run already)."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class AttemptSent:
     """An attempt is out."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
+class AttemptConcluded:
     """An attempt is back: it came to nothing, or the task that it placed has ended."""
 
     attempt: Attempt
@@ -42,36 +42,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class CallAnswered:
     """The one final answer of a call."""
 
     call: Call
-    given: Given
+    given: FinalAnswer
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class TaskStatusReported:
     """What its owner is told of a task: its answer, and later that it runs, has ended or is out of sight."""
 
     call: Call
-    answer: Answer
+    answer: StatusAnswer
     text: str | None
 
 
 @dataclass(frozen=True, slots=True)
-class Forgotten:
+class CallForgotten:
     """The ledger no longer knows the call."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
-class MachinesTold:
+class MachineListChanged:
     news: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
-class AgentSeen:
+class AgentStateChanged:
     """An agent subscribed, went away or was given up; `state` is members.State's value."""
 
     agent: str
@@ -79,37 +79,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class PlacementOpened:
     """Asks are told to the module from here on."""
 
 
-Happened = Taken | Sent | Back | Answered | Told | Forgotten | MachinesTold | AgentSeen | Opened
+Happened = (
+    CallTaken
+    | AttemptSent
+    | AttemptConcluded
+    | CallAnswered
+    | TaskStatusReported
+    | CallForgotten
+    | MachineListChanged
+    | AgentStateChanged
+    | PlacementOpened
+)
 Hear = Callable[[Happened], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class AdmissionRequest:
     """A task that is about to be taken."""
 
     owner: str  # framework id, or an insider's
     tenant: str | None
     task_id: str
     effect: api.Idempotency
-    ask: Ask
+    ask: TaskRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class AdmissionDecision:
     """The task is not taken; `answer` is what its owner is told, `text` why."""
 
-    answer: Answer
+    answer: StatusAnswer
     text: str
 
 
-Decider = Callable[[Asking], Verdict | None]
+Decider = Callable[[AdmissionRequest], AdmissionDecision | None]
 
 
-class Insider(Protocol):
+class InProcessOwner(Protocol):
     """Owners within the process whose ids begin with its prefix and a colon."""
 
     prefix: str
--- a/glencleat/allocator/endpoint_list.py
+++ b/glencleat/allocator/endpoint_list.py
@@ -61,7 +61,7 @@
     return tuple(item for item in found if item is not None)
 
 
-class Listing:
+class MachineListing:
     """The list as last told, so that a removal can be told with the machine's own zone and kind.
 
     The module keeps a node's facts from the entry it is given: a bare removal would wipe its place."""
--- a/glencleat/allocator/event_dispatcher.py
+++ b/glencleat/allocator/event_dispatcher.py
@@ -8,13 +8,15 @@
 from collections.abc import Callable
 
 from glencleat import interface as api
-from glencleat.allocator.contract import Module
+from glencleat.allocator.contract import DecisionModule
 
 
-class Telling:
+class EventDispatcher:
     """Tells a module what happened; all its actions are carried out before the next event is told."""
 
-    def __init__(self, module: Module, now: Callable[[], float], act: Callable[[api.Action], None]) -> None:
+    def __init__(
+        self, module: DecisionModule, now: Callable[[], float], act: Callable[[api.Action], None]
+    ) -> None:
         self.module, self.now, self.act = module, now, act
         self.pending: deque[api.Event] = deque()
         self.busy = False
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -8,22 +8,27 @@
 
 from glencleat import interface as api
 from glencleat.allocator import admission, status_mapping
-from glencleat.allocator.task_requests import BadAsk, read
+from glencleat.allocator.task_requests import TaskRequestError, read
 from glencleat.allocator.frameworks import Framework
-from glencleat.allocator.call_table import Ask, Call, Given
-from glencleat.allocator.ports import Middle
-from glencleat.allocator.reconciliation import Reconciling
-from glencleat.allocator.domain_events import Asking, Taken, Told, Verdict
-from glencleat.allocator.status_mapping import Answer, Retry
-from glencleat.allocator.pending_reasons import Record
+from glencleat.allocator.call_table import TaskRequest, Call, FinalAnswer
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.reconciliation import ReconciliationQueue
+from glencleat.allocator.domain_events import (
+    AdmissionRequest,
+    CallTaken,
+    TaskStatusReported,
+    AdmissionDecision,
+)
+from glencleat.allocator.status_mapping import StatusAnswer, RetryAdvice
+from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.mesos import messages as m
 
 
-class OwnerSide:
-    def __init__(self, core: Middle) -> None:
+class FrameworkSessions:
+    def __init__(self, core: CorePort) -> None:
         self.core = core
         self.offer_number = 0
-        self.reconciling = Reconciling(core, self._reconciled)
+        self.reconciling = ReconciliationQueue(core, self._reconciled)
 
     # ---- sessions ----
 
@@ -117,7 +122,9 @@
                     self._launch(framework, info)
                 else:
                     text = "the offer is not valid any more; expected one that was made in this session"
-                    answer = Answer(status_mapping.DROPPED, Retry.HARMLESS, status_mapping.INVALID_OFFERS)
+                    answer = StatusAnswer(
+                        status_mapping.DROPPED, RetryAdvice.HARMLESS, status_mapping.INVALID_OFFERS
+                    )
                     self._turn_away(framework, info, answer, text)
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
@@ -134,41 +141,50 @@
             return
         try:
             ask = read(info, core.classes, core.options.default_class, core.options.answer_margin_ms)
-        except BadAsk as error:
-            answer = Answer(status_mapping.ERROR, Retry.NEVER, status_mapping.TASK_INVALID)
+        except TaskRequestError as error:
+            answer = StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER, status_mapping.TASK_INVALID)
             self._turn_away(framework, info, answer, str(error))
             return
         taken = self._take(framework.id, framework.role(), info, ask)
-        if isinstance(taken, Verdict):
+        if isinstance(taken, AdmissionDecision):
             self._turn_away(framework, info, taken.answer, taken.text)
             return
         framework.open += 1
         core.ask(taken)
 
-    def _refused(self, before: Call | None, open_here: int, behind: bool) -> Verdict | None:
+    def _refused(self, before: Call | None, open_here: int, behind: bool) -> AdmissionDecision | None:
         """Why a task that is no repeat of one in hand is not taken, before what it asks for is looked at."""
         core = self.core
         if admission.repeats(before) == "never" and before is not None:
-            return Verdict(status_mapping.reconciled(before.fate()), "it may have run before")
-        load = admission.Load(core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending)
+            return AdmissionDecision(status_mapping.reconciled(before.fate()), "it may have run before")
+        load = admission.AdmissionLoad(
+            core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending
+        )
         why = admission.refuses(load, core.options.limits)
-        return Verdict(status_mapping.refusal(False), why) if why is not None else None
+        return AdmissionDecision(status_mapping.refusal(False), why) if why is not None else None
 
-    def _take(self, owner: str, tenant: str | None, info: m.TaskInfo, ask: Ask) -> Call | Verdict:
+    def _take(
+        self, owner: str, tenant: str | None, info: m.TaskInfo, ask: TaskRequest
+    ) -> Call | AdmissionDecision:
         core = self.core
         effect = core.classes[ask.task_class].idempotency
-        verdict = core.decide(Asking(owner, tenant, info.task_id.value, effect, ask))
+        verdict = core.decide(AdmissionRequest(owner, tenant, info.task_id.value, effect, ask))
         if verdict is not None:
             return verdict
         call = Call(next(core.numbers), owner, info.task_id.value, info, ask, effect, tenant, core.now())
         core.ledger.take(call)
         core.figures.take(ask.task_class)
-        core.happened(Taken(call))
+        core.happened(CallTaken(call))
         return call
 
     def take_inside(
-        self, owner: str, tenant: str, info: m.TaskInfo, ask: Ask, record: Record | None = None
-    ) -> Call | Verdict:
+        self,
+        owner: str,
+        tenant: str,
+        info: m.TaskInfo,
+        ask: TaskRequest,
+        record: PendingReasons | None = None,
+    ) -> Call | AdmissionDecision:
         """A task of an insider, as a LAUNCH of a framework; a Verdict where it was not taken.
 
         `record`: the reasons of its earlier rounds, to which this one's are added. A task that is open or
@@ -188,11 +204,11 @@
             core.ask(taken)
         return taken
 
-    def _turn_away(self, framework: Framework, info: m.TaskInfo, answer: Answer, text: str) -> None:
+    def _turn_away(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """An answer without a call: the module was never asked. Counted as taken and refused or failed."""
         name = m.label(info.labels, "class") or "-"
         name = name if name in self.core.classes else "-"
-        given = Given.FAILED if answer.retry is not Retry.HARMLESS else Given.REFUSED
+        given = FinalAnswer.FAILED if answer.retry is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
         self.core.figures.take(name)
         self.core.figures.give(name, given)
         self._status(framework, info.task_id.value, answer, None, text)
@@ -200,7 +216,9 @@
     def kill(self, framework: Framework, task_id: str) -> None:
         call = self.core.ledger.task(framework.id, task_id)
         if call is None:
-            answer = Answer(status_mapping.UNKNOWN, Retry.RECONCILE, status_mapping.RECONCILIATION)
+            answer = StatusAnswer(
+                status_mapping.UNKNOWN, RetryAdvice.RECONCILE, status_mapping.RECONCILIATION
+            )
             self._status(framework, task_id, answer, None, "no such task here", acked=False)
         else:
             self.withdraw(call)
@@ -218,26 +236,28 @@
             core.kill(out)
         elif call.given is None:
             if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
-                core.answer(call, Given.FAILED, status_mapping.failure())
+                core.answer(call, FinalAnswer.FAILED, status_mapping.failure())
             else:
-                core.answer(call, Given.REFUSED, Answer(status_mapping.KILLED, Retry.HARMLESS))
+                core.answer(
+                    call, FinalAnswer.REFUSED, StatusAnswer(status_mapping.KILLED, RetryAdvice.HARMLESS)
+                )
 
     # ---- updates ----
 
-    def status(self, call: Call, answer: Answer, text: str | None = None) -> None:
+    def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
         """A status of a call's task to its owner, if that is still known."""
-        self.core.happened(Told(call, answer, text))
+        self.core.happened(TaskStatusReported(call, answer, text))
         framework = self.core.framework_of(call)
         if framework is not None:
             out = call.last()
-            machine = out.machine if out is not None and call.given is Given.SERVED else None
+            machine = out.machine if out is not None and call.given is FinalAnswer.SERVED else None
             self._status(framework, call.task_id, answer, machine, text)
 
     def _status(
         self,
         framework: Framework,
         task_id: str,
-        answer: Answer,
+        answer: StatusAnswer,
         machine: str | None,
         text: str | None = None,
         acked: bool = True,
@@ -261,10 +281,13 @@
 
     def _reconciled(self, framework: Framework, task_id: str, call: Call | None) -> None:
         if call is not None and call.given is None:
-            answer, machine = Answer(status_mapping.STAGING, Retry.NEVER, status_mapping.RECONCILIATION), None
+            answer, machine = (
+                StatusAnswer(status_mapping.STAGING, RetryAdvice.NEVER, status_mapping.RECONCILIATION),
+                None,
+            )
         else:
             last = call.last() if call is not None else None
-            accepted = last is not None and last.step is status_mapping.Step.ACCEPTED
+            accepted = last is not None and last.step is status_mapping.AttemptStep.ACCEPTED
             answer = status_mapping.reconciled(None if call is None else call.fate(), accepted)
             machine = last.machine if last is not None and call is not None and call.placed() else None
         self._status(framework, task_id, answer, machine, acked=False)
--- a/glencleat/allocator/frameworks.py
+++ b/glencleat/allocator/frameworks.py
@@ -30,7 +30,7 @@
         return self.info.role or (self.info.roles[0] if self.info.roles else None)
 
 
-class Refused(Exception):
+class FrameworkLimitError(Exception):
     """A subscription that can't be taken; the text says why."""
 
 
@@ -65,7 +65,7 @@
     def check_room(self, framework_id: str | None) -> None:
         """Raises Refused where a framework of that id, or a new one (None), can't be taken."""
         if framework_id not in self.known and len(self.known) >= self.most:
-            raise Refused(f"{self.most} frameworks are subscribed; expected no more")
+            raise FrameworkLimitError(f"{self.most} frameworks are subscribed; expected no more")
 
     def closed(self, framework: Framework, session: object, now: float) -> bool:
         """A session ended; False if it was not the one that counts."""
--- a/glencleat/allocator/options.py
+++ b/glencleat/allocator/options.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from glencleat.allocator.admission import Limits
+from glencleat.allocator.admission import AdmissionLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,4 +25,4 @@
     agents_most: int = 20_000
     update_retry_ms: float = 10_000.0
     grace_ms: float = 2_000.0  # after the start, for agents to tell what they hold
-    limits: Limits = Limits()
+    limits: AdmissionLimits = AdmissionLimits()
--- a/glencleat/allocator/pending_reasons.py
+++ b/glencleat/allocator/pending_reasons.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Reason:
+class PendingReason:
     """One kind of end of an attempt: how often, and by which machine and when the last time."""
 
     outcome: api.Outcome
@@ -43,15 +43,15 @@
 
 
 @dataclass(slots=True)
-class Record:
+class PendingReasons:
     """Reasons of one task, at most one for each outcome and cause."""
 
-    reasons: dict[tuple[api.Outcome, api.OutcomeReason], Reason] = field(default_factory=dict)
+    reasons: dict[tuple[api.Outcome, api.OutcomeReason], PendingReason] = field(default_factory=dict)
 
     def note(self, outcome: api.Outcome, why: api.OutcomeReason, machine: str, at: float) -> None:
         reason = self.reasons.pop((outcome, why), None)
         count = reason.count + 1 if reason is not None else 1
-        self.reasons[outcome, why] = Reason(outcome, why, count, machine, at)
+        self.reasons[outcome, why] = PendingReason(outcome, why, count, machine, at)
 
     def text(self, machines: int) -> str:
         """Newest first; without any attempt, whether a machine was known at all (`machines` serving)."""
--- a/glencleat/allocator/ports.py
+++ b/glencleat/allocator/ports.py
@@ -11,40 +11,40 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status
-from glencleat.allocator.counters import Figures
+from glencleat.allocator.counters import TaskCounters
 from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.call_table import Attempt, Call, Given, Ledger
-from glencleat.allocator.agent_membership import Members
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, CallTable
+from glencleat.allocator.agent_membership import AgentMembership
 from glencleat.allocator.options import Options
-from glencleat.allocator.startup_gate import Opening
-from glencleat.allocator.domain_events import Asking, Happened, Hear, Verdict
-from glencleat.allocator.status_mapping import Answer
+from glencleat.allocator.startup_gate import StartupGate
+from glencleat.allocator.domain_events import AdmissionRequest, Happened, Hear, AdmissionDecision
+from glencleat.allocator.status_mapping import StatusAnswer
 from glencleat.mesos import messages as m
 
 
-class Owners(Protocol):
+class OwnerPort(Protocol):
     """What the agents' half tells the owners'."""
 
-    def status(self, call: Call, answer: Answer, text: str | None = None) -> None: ...
+    def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None: ...
 
 
-class Timing(Protocol):
+class TimingPort(Protocol):
     clock: Any
 
     def now(self) -> float: ...
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Any: ...
 
 
-class Middle(Protocol):
-    timing: Timing
-    opening: Opening
+class CorePort(Protocol):
+    timing: TimingPort
+    opening: StartupGate
     settings: api.Settings
     classes: dict[str, api.TaskClass]
     options: Options
     random: Random
-    ledger: Ledger
-    figures: Figures
-    members: Members
+    ledger: CallTable
+    figures: TaskCounters
+    members: AgentMembership
     frameworks: Frameworks
     incarnation: str
     numbers: count[int]
@@ -53,20 +53,20 @@
     log: Callable[..., None]
 
     @property
-    def told(self) -> Owners: ...
+    def told(self) -> OwnerPort: ...
     def now(self) -> float: ...
     def hear(self, hearer: Hear) -> None: ...
     def tell(self, event: api.Event) -> None: ...
     def happened(self, what: Happened) -> None: ...
-    def decide(self, asking: Asking) -> Verdict | None: ...
+    def decide(self, asking: AdmissionRequest) -> AdmissionDecision | None: ...
     def wanted(self, call: Call) -> bool: ...
     def framework_of(self, call: Call) -> Framework | None: ...
     def ask(self, call: Call) -> None: ...
     def tell_asked(self, call: Call, left_ms: float, machine: str | None = None) -> None: ...
-    def answer(self, call: Call, given: Given, answer: Answer) -> None: ...
+    def answer(self, call: Call, given: FinalAnswer, answer: StatusAnswer) -> None: ...
     def kill(self, attempt: Attempt) -> None: ...
     def give_up(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None: ...
-    def handed(self, attempt: Attempt) -> delivery_status.Handed: ...
+    def handed(self, attempt: Attempt) -> delivery_status.DeliveryStatus: ...
     def stop_timer(self, attempt: Attempt) -> None: ...
     def probe_back(self, machine: str, number: int, report: api.LoadReport | None) -> None: ...
     def open_up(self) -> None: ...
@@ -81,7 +81,7 @@
     def status(
         self,
         task_id: str,
-        answer: Answer,
+        answer: StatusAnswer,
         machine: str | None,
         message: str | None = None,
         acked: bool = True,
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -13,10 +13,10 @@
 
 from glencleat.allocator.frameworks import Framework
 from glencleat.allocator.call_table import Call
-from glencleat.allocator.domain_events import Happened, Opened
+from glencleat.allocator.domain_events import Happened, PlacementOpened
 
 if TYPE_CHECKING:
-    from glencleat.allocator.ports import Middle
+    from glencleat.allocator.ports import CorePort
 
 TURN = 200  # answers in one turn of the loop: some 5 ms
 SHARE = 50  # of one owner before the next has its turn
@@ -24,8 +24,8 @@
 ALL = ""  # a question for every task that is out; no task has an empty id
 
 
-class Reconciling:
-    def __init__(self, core: Middle, answer: Callable[[Framework, str, Call | None], None]) -> None:
+class ReconciliationQueue:
+    def __init__(self, core: CorePort, answer: Callable[[Framework, str, Call | None], None]) -> None:
         self.core, self.answer = core, answer
         self.lines: dict[str, dict[str, None]] = {}  # framework -> tasks, each once, in the order asked
         self.waiting = 0
@@ -47,7 +47,7 @@
             self._pump()  # few are answered before the call returns
 
     def _heard(self, what: Happened) -> None:
-        if isinstance(what, Opened):
+        if isinstance(what, PlacementOpened):
             self._soon()
 
     def _soon(self) -> None:
--- a/glencleat/allocator/startup_gate.py
+++ b/glencleat/allocator/startup_gate.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 
-class Opening:
+class StartupGate:
     def __init__(self, started: float, least_ms: float, grace_ms: float) -> None:
         self.started, self.least_ms, self.grace_ms = started, least_ms, grace_ms
         self.done = False
--- a/glencleat/allocator/status_mapping.py
+++ b/glencleat/allocator/status_mapping.py
@@ -35,7 +35,7 @@
 }
 
 
-class Step(Enum):
+class AttemptStep(Enum):
     """How far an attempt has come by what its agent said; a status that goes back is stale."""
 
     OUT = 0
@@ -45,43 +45,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class StatusMeaning:
     """What a status means: the step it brings, and for an end the outcome and why."""
 
-    step: Step
+    step: AttemptStep
     outcome: api.Outcome = api.Outcome.COMPLETED
     why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED
     ran: bool = True  # False: known not to have run
 
 
-def read_status(state: str, reason: str | None, cause: str | None) -> Told | None:
+def read_status(state: str, reason: str | None, cause: str | None) -> StatusMeaning | None:
     """What an agent's status says of its attempt; None where it says nothing that matters (TASK_KILLING)."""
     if state == STARTING:
-        return Told(Step.ACCEPTED)
+        return StatusMeaning(AttemptStep.ACCEPTED)
     if state == RUNNING:
-        return Told(Step.RUNS)
+        return StatusMeaning(AttemptStep.RUNS)
     if state == DROPPED:
-        return Told(
-            Step.OVER, api.Outcome.REJECTED, CAUSES.get(cause or "", api.OutcomeReason.UNSPECIFIED), ran=False
+        return StatusMeaning(
+            AttemptStep.OVER,
+            api.Outcome.REJECTED,
+            CAUSES.get(cause or "", api.OutcomeReason.UNSPECIFIED),
+            ran=False,
         )
     if state == ERROR:  # the specification: an error in the task's description; it never started
-        return Told(Step.OVER, api.Outcome.REJECTED, api.OutcomeReason.NOT_ELIGIBLE, ran=False)
+        return StatusMeaning(
+            AttemptStep.OVER, api.Outcome.REJECTED, api.OutcomeReason.NOT_ELIGIBLE, ran=False
+        )
     if state == FINISHED:
-        return Told(Step.OVER, api.Outcome.COMPLETED)
+        return StatusMeaning(AttemptStep.OVER, api.Outcome.COMPLETED)
     if state == FAILED:
         why = {MEMORY_LIMIT: api.OutcomeReason.EVICTED, PREEMPTED: api.OutcomeReason.PREEMPTED}.get(
             reason or "", api.OutcomeReason.UNSPECIFIED
         )
-        return Told(Step.OVER, api.Outcome.LOST, why)
+        return StatusMeaning(AttemptStep.OVER, api.Outcome.LOST, why)
     if state == KILLED:
         why = api.OutcomeReason.DRAINED if reason == DRAINING else api.OutcomeReason.UNSPECIFIED
-        return Told(Step.OVER, api.Outcome.STOPPED, why)
+        return StatusMeaning(AttemptStep.OVER, api.Outcome.STOPPED, why)
     if state in (LOST, GONE, GONE_BY_OPERATOR):
-        return Told(Step.OVER, api.Outcome.LOST)
+        return StatusMeaning(AttemptStep.OVER, api.Outcome.LOST)
     return None
 
 
-class Retry(Enum):
+class RetryAdvice(Enum):
     """What an answer tells the owner about asking again; travels as the `retry` label."""
 
     HARMLESS = "harmless"  # ask again at once: nothing ran, or what ran does no harm
@@ -90,24 +95,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class StatusAnswer:
     state: str
-    retry: Retry
+    retry: RetryAdvice
     reason: str | None = None
 
 
-def refusal(may_have_run: bool) -> Answer:
+def refusal(may_have_run: bool) -> StatusAnswer:
     """The module's Refuse. TASK_DROPPED promises that nothing ran, so a copy that may have run is
     TASK_LOST."""
-    return Answer(LOST if may_have_run else DROPPED, Retry.HARMLESS, RESOURCES_UNKNOWN)
+    return StatusAnswer(LOST if may_have_run else DROPPED, RetryAdvice.HARMLESS, RESOURCES_UNKNOWN)
 
 
-def failure() -> Answer:
+def failure() -> StatusAnswer:
     """The module's Fail: an attempt may have run and a second run might do harm."""
-    return Answer(LOST, Retry.RECONCILE, AGENT_DISCONNECTED)
+    return StatusAnswer(LOST, RetryAdvice.RECONCILE, AGENT_DISCONNECTED)
 
 
-class Fate(Enum):
+class ExecutionStatus(Enum):
     """What is known of a task after its answer; RECONCILE tells it."""
 
     RUNS = "runs"
@@ -116,24 +121,26 @@
     ENDED = "ended"  # ran, or may have run, and is over
 
 
-def reconciled(fate: Fate | None, accepted: bool = False) -> Answer:
+def reconciled(fate: ExecutionStatus | None, accepted: bool = False) -> StatusAnswer:
     """The status that answers RECONCILE; `fate` is None for a task that is not known here."""
-    if fate is Fate.RUNS:
-        return Answer(STARTING if accepted else RUNNING, Retry.NEVER, RECONCILIATION)
-    if fate is Fate.NEVER_RAN:
-        return Answer(DROPPED, Retry.HARMLESS, RECONCILIATION)
-    if fate is Fate.UNSURE:
-        return Answer(UNREACHABLE, Retry.RECONCILE, RECONCILIATION)
-    if fate is Fate.ENDED:
-        return Answer(GONE, Retry.NEVER, RECONCILIATION)
-    return Answer(UNKNOWN, Retry.RECONCILE, RECONCILIATION)
-
-
-def ended(outcome: api.Outcome, why: api.OutcomeReason) -> Answer:
+    if fate is ExecutionStatus.RUNS:
+        return StatusAnswer(STARTING if accepted else RUNNING, RetryAdvice.NEVER, RECONCILIATION)
+    if fate is ExecutionStatus.NEVER_RAN:
+        return StatusAnswer(DROPPED, RetryAdvice.HARMLESS, RECONCILIATION)
+    if fate is ExecutionStatus.UNSURE:
+        return StatusAnswer(UNREACHABLE, RetryAdvice.RECONCILE, RECONCILIATION)
+    if fate is ExecutionStatus.ENDED:
+        return StatusAnswer(GONE, RetryAdvice.NEVER, RECONCILIATION)
+    return StatusAnswer(UNKNOWN, RetryAdvice.RECONCILE, RECONCILIATION)
+
+
+def ended(outcome: api.Outcome, why: api.OutcomeReason) -> StatusAnswer:
     """The end of a placed task, to its owner; the module is told the same outcome."""
     if outcome is api.Outcome.COMPLETED:
-        return Answer(FINISHED, Retry.NEVER)
+        return StatusAnswer(FINISHED, RetryAdvice.NEVER)
     if outcome is api.Outcome.STOPPED:
-        return Answer(KILLED, Retry.HARMLESS, DRAINING if why is api.OutcomeReason.DRAINED else None)
+        return StatusAnswer(
+            KILLED, RetryAdvice.HARMLESS, DRAINING if why is api.OutcomeReason.DRAINED else None
+        )
     reasons = {api.OutcomeReason.EVICTED: MEMORY_LIMIT, api.OutcomeReason.PREEMPTED: PREEMPTED}
-    return Answer(FAILED, Retry.HARMLESS, reasons.get(why))
+    return StatusAnswer(FAILED, RetryAdvice.HARMLESS, reasons.get(why))
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -10,13 +10,13 @@
 from collections.abc import Mapping
 
 from glencleat import interface as api
-from glencleat.allocator.call_table import Ask
+from glencleat.allocator.call_table import TaskRequest
 from glencleat.mesos.messages import TaskInfo, label, scalar
 
 TEXT_MOST = 256  # characters of an id, a service or a key
 
 
-class BadAsk(Exception):
+class TaskRequestError(Exception):
     """The owner's fault; the text names the field and what was expected."""
 
 
@@ -29,40 +29,40 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value) or value < 0.0:
-        raise BadAsk(f"label {key} is {text[:40]!r}; expected milliseconds, 0 or more")
+        raise TaskRequestError(f"label {key} is {text[:40]!r}; expected milliseconds, 0 or more")
     return value
 
 
 def amount(info: TaskInfo, name: str) -> float:
     value = scalar(info.resources, name)
     if value is None or not math.isfinite(value) or value < 0.0:
-        raise BadAsk(f"resource {name} is {value}; expected a SCALAR of 0 or more")
+        raise TaskRequestError(f"resource {name} is {value}; expected a SCALAR of 0 or more")
     return value
 
 
 def text(info: TaskInfo, key: str, default: str) -> str:
     value = label(info.labels, key) or default
     if len(value) > TEXT_MOST:
-        raise BadAsk(f"label {key} has {len(value)} characters; expected at most {TEXT_MOST}")
+        raise TaskRequestError(f"label {key} has {len(value)} characters; expected at most {TEXT_MOST}")
     return value
 
 
 def read(
     info: TaskInfo, classes: Mapping[str, api.TaskClass], default_class: str | None, margin_ms: float
-) -> Ask:
+) -> TaskRequest:
     """The ask; raises BadAsk. `margin_ms` is kept back of the owner's time, for the answer's way to it."""
     if not info.task_id.value or len(info.task_id.value) > TEXT_MOST:
-        raise BadAsk(f"task_id has {len(info.task_id.value)} characters; expected 1 to {TEXT_MOST}")
+        raise TaskRequestError(f"task_id has {len(info.task_id.value)} characters; expected 1 to {TEXT_MOST}")
     name = label(info.labels, "class") or default_class
     if name is None or name not in classes:
-        raise BadAsk(f"label class is {name!r}; expected one of {', '.join(classes)}")
+        raise TaskRequestError(f"label class is {name!r}; expected one of {', '.join(classes)}")
     told = number(info, "time_left_ms")
     left = classes[name].deadline_ms if told is None else min(told, classes[name].deadline_ms)
     if left <= margin_ms:
-        raise BadAsk(
+        raise TaskRequestError(
             f"label time_left_ms is {left:g}; expected more than {margin_ms:g}, which an answer takes"
         )
-    return Ask(
+    return TaskRequest(
         task_class=name,
         service=text(info, "service", info.name or info.task_id.value),
         key=text(info, "key", info.task_id.value),
--- a/glencleat/checker/chance_bounds.py
+++ b/glencleat/checker/chance_bounds.py
@@ -12,21 +12,23 @@
 BY_CHANCE = 1e-6  # a sound crowd passes a bound once in so many plays
 
 
-class State(Enum):
+class BoundState(Enum):
     KEPT = "kept"
     BROKEN = "broken"
     NOT_TRIED = "not tried"
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class BoundVerdict:
     bound: str
-    state: State
+    state: BoundState
     text: str
 
 
-def verdict(bound: str, tried: bool, kept: bool, text: str) -> Verdict:
-    return Verdict(bound, State.NOT_TRIED if not tried else State.KEPT if kept else State.BROKEN, text)
+def verdict(bound: str, tried: bool, kept: bool, text: str) -> BoundVerdict:
+    return BoundVerdict(
+        bound, BoundState.NOT_TRIED if not tried else BoundState.KEPT if kept else BoundState.BROKEN, text
+    )
 
 
 def busiest(times: list[float], window_ms: float) -> int:
--- a/glencleat/checker/invariants.py
+++ b/glencleat/checker/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from glencleat.checker.trace import Entry
+from glencleat.checker.trace import TraceEntry
 
 SLACK_MS = 150.0
 BACKLOG_MS = 100.0  # after a standstill what came meanwhile is read within this
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class RuleParameters:
     """What the rules state for the play that made the record."""
 
     drain_ms: float = 2_000.0
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     rule: str
     text: str
     lines: tuple[int, ...]
@@ -51,12 +51,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class ObservedAttempt:
     """One LAUNCH as its host saw it."""
 
-    offered: Entry
-    said: list[Entry] = field(default_factory=list)
-    started: list[Entry] = field(default_factory=list)
+    offered: TraceEntry
+    said: list[TraceEntry] = field(default_factory=list)
+    started: list[TraceEntry] = field(default_factory=list)
     lost_at: float = float("inf")  # its host went down or its network was cut
     unlisted_at: float = float("inf")  # the same run of its host subscribed and did not list it
     since: float = 0.0  # when it can have been sent at the earliest: it may have lain unread
@@ -71,7 +71,7 @@
         """Whether it was sent when its host read it; else nobody can tell when it was."""
         return self.since == self.offered.at
 
-    def yes(self) -> Entry | None:
+    def yes(self) -> TraceEntry | None:
         return next((e for e in self.said if e.state in PLACED), None)
 
     def end(self) -> float:
@@ -87,10 +87,10 @@
     return not any(a < until and b > since for a, b in times)
 
 
-class Story:
+class TraceHistory:
     """A record, indexed by what the rules look for."""
 
-    def __init__(self, entries: list[Entry]) -> None:
+    def __init__(self, entries: list[TraceEntry]) -> None:
         self.entries = entries
         # So much later than it was written the stand-ins read at most; when they stood still is recorded.
         still = max((e.left for e in entries if e.kind == "lag"), default=0.0)
@@ -98,14 +98,16 @@
         self.slack = SLACK_MS + still + late
         self.still = [(e.at - e.left, e.at) for e in entries if e.kind == "lag"]
         self.held: dict[tuple[str, str], Times] = defaultdict(list)  # place, allocator: when nothing passed
-        self.attempts: dict[str, Attempt] = {}
-        self.by_task: dict[str, list[Attempt]] = defaultdict(list)
-        self.by_run: dict[tuple[str, str, str], list[Attempt]] = defaultdict(list)  # host, allocator, run
+        self.attempts: dict[str, ObservedAttempt] = {}
+        self.by_task: dict[str, list[ObservedAttempt]] = defaultdict(list)
+        self.by_run: dict[tuple[str, str, str], list[ObservedAttempt]] = defaultdict(
+            list
+        )  # host, allocator, run
         self.down: dict[str, list[float]] = defaultdict(list)
         self.absent: dict[str, Times] = defaultdict(list)  # allocator -> when it did not run
         self.cuts: dict[tuple[str, str], list[float]] = defaultdict(list)
-        self.asked: dict[tuple[str, str], list[Entry]] = defaultdict(list)  # allocator, task
-        self.answers: dict[tuple[str, str], list[Entry]] = defaultdict(list)
+        self.asked: dict[tuple[str, str], list[TraceEntry]] = defaultdict(list)  # allocator, task
+        self.answers: dict[tuple[str, str], list[TraceEntry]] = defaultdict(list)
         for entry in entries:
             getattr(self, "_" + entry.kind.replace(" ", "_"), self._other)(entry)
         for attempt in self.attempts.values():
@@ -117,43 +119,43 @@
             if (yes := attempt.yes()) is not None:
                 attempt.yes_heard = self.passes("agents", offered.allocator, yes.at)
 
-    def _other(self, entry: Entry) -> None:
+    def _other(self, entry: TraceEntry) -> None:
         pass
 
-    def _offered(self, entry: Entry) -> None:
-        attempt = self.attempts[entry.attempt] = Attempt(entry)
+    def _offered(self, entry: TraceEntry) -> None:
+        attempt = self.attempts[entry.attempt] = ObservedAttempt(entry)
         self.by_task[entry.task].append(attempt)
         self.by_run[entry.who, entry.allocator, entry.text].append(attempt)
 
-    def _said(self, entry: Entry) -> None:
+    def _said(self, entry: TraceEntry) -> None:
         if entry.attempt in self.attempts:
             self.attempts[entry.attempt].said.append(entry)
 
-    def _started(self, entry: Entry) -> None:
+    def _started(self, entry: TraceEntry) -> None:
         if entry.attempt in self.attempts:
             self.attempts[entry.attempt].started.append(entry)
 
-    def _listed(self, entry: Entry) -> None:
+    def _listed(self, entry: TraceEntry) -> None:
         for attempt in self.by_run[entry.who, entry.allocator, entry.text]:
             if attempt.offered.attempt not in entry.ids:
                 attempt.unlisted_at = min(attempt.unlisted_at, entry.at)
 
-    def _down(self, entry: Entry) -> None:
+    def _down(self, entry: TraceEntry) -> None:
         self.down[entry.who].append(entry.at)
 
-    def _quiet(self, entry: Entry) -> None:
+    def _quiet(self, entry: TraceEntry) -> None:
         self.down[entry.who].append(entry.at)
 
-    def _cut(self, entry: Entry) -> None:
+    def _cut(self, entry: TraceEntry) -> None:
         self.cuts[entry.who, entry.allocator].append(entry.at)
 
-    def _asked(self, entry: Entry) -> None:
+    def _asked(self, entry: TraceEntry) -> None:
         self.asked[entry.allocator, entry.task].append(entry)
 
-    def _answer(self, entry: Entry) -> None:
+    def _answer(self, entry: TraceEntry) -> None:
         self.answers[entry.allocator, entry.task].append(entry)
 
-    def _allocator(self, entry: Entry) -> None:
+    def _allocator(self, entry: TraceEntry) -> None:
         absent = self.absent[entry.allocator]
         gone = bool(absent) and absent[-1][1] == float("inf")
         if entry.state in ("killed", "stopped", "stalled"):
@@ -162,7 +164,7 @@
         elif gone:
             absent[-1] = (absent[-1][0], entry.at)
 
-    def _wire(self, entry: Entry) -> None:
+    def _wire(self, entry: TraceEntry) -> None:
         """A fault that holds bytes back; several at once are one, until the last has ended."""
         if entry.reason != "holds":
             return
@@ -205,7 +207,7 @@
         return next((b for a, b in self.absent[allocator] if a <= at < b), at)
 
 
-def answers(story: Story, figures: Figures) -> list[Breach]:
+def answers(story: TraceHistory, figures: RuleParameters) -> list[Violation]:
     """Rule 1: one answer for each ask, in time, and nothing sent after it."""
     breaches = []
     for (allocator, task), asked in story.asked.items():
@@ -217,11 +219,11 @@
     return breaches
 
 
-def _heard(story: Story, allocator: str, task: str, ask: Entry, until: float) -> list[Entry]:
+def _heard(story: TraceHistory, allocator: str, task: str, ask: TraceEntry, until: float) -> list[TraceEntry]:
     """Answers to one ask: repeats of an update (same uuid) and replies to RECONCILE left out.
 
     A failed task that RECONCILE tells to run was adopted: what follows is about a task that is placed."""
-    seen, heard = set[str](), list[Entry]()
+    seen, heard = set[str](), list[TraceEntry]()
     for entry in story.answers.get((allocator, task), ()):
         if not ask.at <= entry.at < until or entry.text in seen:
             continue
@@ -234,7 +236,7 @@
     return heard
 
 
-def _one_answer(story: Story, ask: Entry, heard: list[Entry]) -> list[Breach]:
+def _one_answer(story: TraceHistory, ask: TraceEntry, heard: list[TraceEntry]) -> list[Violation]:
     final = [e for e in heard if e.state in PLACED + TURNED]
     due = ask.at + ask.left
     excused = not story.ran(ask.allocator, ask.at - story.slack, due)
@@ -245,16 +247,18 @@
         if excused or over:
             return []
         lines = (ask.line, *(e.line for e in final[:1]))
-        return [Breach("no task lost", f"{ask.task} had no answer of {ask.allocator} in time", lines)]
+        return [Violation("no task lost", f"{ask.task} had no answer of {ask.allocator} in time", lines)]
     first, rest = final[0], final[1:]
     wrong = [e for e in rest if first.state in TURNED or e.state in ("TASK_DROPPED", "TASK_ERROR")]
     if wrong and not any(ask.at <= at <= wrong[0].at for at in story.cuts[ask.who, ask.allocator]):
         text = f"{ask.task} was answered {first.state} and then {wrong[0].state}"
-        return [Breach("no task lost", text, (ask.line, first.line, wrong[0].line))]
+        return [Violation("no task lost", text, (ask.line, first.line, wrong[0].line))]
     return []
 
 
-def _silence_after(story: Story, ask: Entry, heard: list[Entry], until: float) -> list[Breach]:
+def _silence_after(
+    story: TraceHistory, ask: TraceEntry, heard: list[TraceEntry], until: float
+) -> list[Violation]:
     turned = next((e for e in heard if e.state in TURNED), None)
     placed = next((e for e in heard if e.state in PLACED), None)
     answered = min((e.at for e in (turned, placed) if e is not None), default=float("inf"))
@@ -262,18 +266,18 @@
         after = answered + story.slack < attempt.since and attempt.offered.at < until
         if attempt.offered.allocator == ask.allocator and after:
             text = f"{ask.task} was sent to {attempt.offered.who} after its answer"
-            return [Breach("no task lost", text, (ask.line, attempt.offered.line))]
+            return [Violation("no task lost", text, (ask.line, attempt.offered.line))]
     return []
 
 
-def effects(story: Story, figures: Figures) -> list[Breach]:
+def effects(story: TraceHistory, figures: RuleParameters) -> list[Violation]:
     """Rule 2: no effect twice, and never two attempts of an ask out at once."""
     breaches = []
     for task, attempts in list(story.by_task.items()):
         effect = attempts[0].offered.effect
         if effect == "unsafe":
             breaches += _unsafe(task, attempts)
-        calls: dict[str, list[Attempt]] = defaultdict(list)
+        calls: dict[str, list[ObservedAttempt]] = defaultdict(list)
         for attempt in attempts:
             calls[attempt.call()].append(attempt)
         for of_call in calls.values():
@@ -283,33 +287,35 @@
     return breaches
 
 
-def _unsafe(task: str, attempts: list[Attempt]) -> list[Breach]:
+def _unsafe(task: str, attempts: list[ObservedAttempt]) -> list[Violation]:
     starts = [e for a in attempts for e in a.started]
     if len(starts) > 1:
         text = f"{task} must not start twice and started {len(starts)} times"
-        return [Breach("no effect twice", text, tuple(e.line for e in starts))]
+        return [Violation("no effect twice", text, tuple(e.line for e in starts))]
     for number, later in enumerate(attempts):
         for earlier in attempts[:number]:
             if not earlier.refused_by(later.offered.at):
                 text = (
                     f"{task} was sent to {later.offered.who} while it may have run at {earlier.offered.who}"
                 )
-                return [Breach("no effect twice", text, (earlier.offered.line, later.offered.line))]
+                return [Violation("no effect twice", text, (earlier.offered.line, later.offered.line))]
     return []
 
 
-def _at_once(story: Story, task: str, attempts: list[Attempt]) -> list[Breach]:
+def _at_once(story: TraceHistory, task: str, attempts: list[ObservedAttempt]) -> list[Violation]:
     for before, after in zip(attempts, attempts[1:], strict=False):
         first = before.offered
         answered = min((e.at for e in before.said), default=float("inf"))
         out_until = min(answered, first.at + first.within, before.lost_at)
         if after.offered.at < out_until - story.slack and after.since >= first.at:
             text = f"{task} was out at {first.who} and {after.offered.who} at once"
-            return [Breach("no effect twice", text, (first.line, after.offered.line))]
+            return [Violation("no effect twice", text, (first.line, after.offered.line))]
     return []
 
 
-def _keyed(story: Story, task: str, attempts: list[Attempt], figures: Figures) -> list[Breach]:
+def _keyed(
+    story: TraceHistory, task: str, attempts: list[ObservedAttempt], figures: RuleParameters
+) -> list[Violation]:
     cls = attempts[0].offered.cls
     window, group = figures.keyed_window_ms.get(cls, 0.0), figures.keyed_group.get(cls, "all")
     for number, later in enumerate(attempts):
@@ -319,15 +325,15 @@
             late = later.offered.at - earlier.offered.at > window + story.slack
             if outside or late:
                 text = f"{task} was sent again {'out of its group' if outside else 'after its window'}"
-                return [Breach("no effect twice", text, (earlier.offered.line, later.offered.line))]
+                return [Violation("no effect twice", text, (earlier.offered.line, later.offered.line))]
     return []
 
 
-def place(entry: Entry, by: str) -> object:
+def place(entry: TraceEntry, by: str) -> object:
     return {"zone": entry.zone, "cell": (entry.zone, entry.cell)}.get(by, entry.who)
 
 
-def drains(story: Story, figures: Figures) -> list[Breach]:
+def drains(story: TraceHistory, figures: RuleParameters) -> list[Violation]:
     """Rule 3: nothing new to a host that drains or is gone, after the grace from learning it."""
     breaches = []
     told: dict[tuple[str, str], tuple[float, int]] = {}  # since when it is told as not serving
@@ -346,23 +352,23 @@
                 text = (
                     f"{entry.task} went to {entry.who} {late:.0f} ms after {entry.allocator} knew it drains"
                 )
-                breaches.append(Breach("drains kept", text, (line, entry.line)))
+                breaches.append(Violation("drains kept", text, (line, entry.line)))
     return breaches
 
 
-def cold(story: Story, figures: Figures) -> list[Breach]:
+def cold(story: TraceHistory, figures: RuleParameters) -> list[Violation]:
     """Rule 4: no cold host is offered more than it bears in a window, by all allocators, and none falls
     over."""
     breaches = []
-    up: dict[str, Entry] = {}
-    offers: dict[str, list[Entry]] = defaultdict(list)
+    up: dict[str, TraceEntry] = {}
+    offers: dict[str, list[TraceEntry]] = defaultdict(list)
     for entry in story.entries:
         if entry.kind == "up":
             up[entry.who] = entry
             offers[entry.who].clear()
         elif entry.kind == "down" and entry.text == "fell over":
             lines = (up[entry.who].line, entry.line) if entry.who in up else (entry.line,)
-            breaches.append(Breach("cold machines spared", f"{entry.who} fell over", lines))
+            breaches.append(Violation("cold machines spared", f"{entry.who} fell over", lines))
         elif entry.kind == "offered" and entry.who in up and up[entry.who].cold:
             warm = entry.at - up[entry.who].at >= figures.cold_ms
             if warm or not story.attempts[entry.attempt].dated():
@@ -372,16 +378,18 @@
             first = bisect_right(recent, entry.at - figures.cold_window_ms, key=lambda e: e.at)
             if len(recent) - first > figures.cold_offers:
                 text = f"{entry.who} was offered {len(recent) - first} within {figures.cold_window_ms:.0f} ms"
-                breaches.append(Breach("cold machines spared", text, tuple(e.line for e in recent[first:])))
+                breaches.append(
+                    Violation("cold machines spared", text, tuple(e.line for e in recent[first:]))
+                )
                 recent.clear()
     return breaches
 
 
-def spread(story: Story, figures: Figures) -> list[Breach]:
+def spread(story: TraceHistory, figures: RuleParameters) -> list[Violation]:
     """Rule 5: at each send, of one service no more than stated is placed or out in one place, by one
     allocator."""
     breaches = []
-    groups: dict[tuple[str, str, object], list[Attempt]] = defaultdict(list)
+    groups: dict[tuple[str, str, object], list[ObservedAttempt]] = defaultdict(list)
     for attempt in story.attempts.values():
         entry = attempt.offered
         rule = figures.spread.get(entry.cls)
@@ -391,12 +399,12 @@
         counted = [a for a in there if _counts(story, a, entry.at)]
         if len(counted) + 1 > rule.most and attempt.dated():
             text = f"{entry.allocator} sent a task of {entry.service} where {len(counted)} were already"
-            breaches.append(Breach("spread kept", text, (*(a.offered.line for a in counted), entry.line)))
+            breaches.append(Violation("spread kept", text, (*(a.offered.line for a in counted), entry.line)))
         there.append(attempt)
     return breaches
 
 
-def _counts(story: Story, attempt: Attempt, at: float) -> bool:
+def _counts(story: TraceHistory, attempt: ObservedAttempt, at: float) -> bool:
     """Whether the attempt was out or placed then, as its allocator must know."""
     if attempt.end() <= at + story.slack:
         return False
@@ -408,7 +416,7 @@
     return at < until - story.slack or at > attempt.yes_heard + story.slack
 
 
-RULES: dict[str, Callable[[Story, Figures], list[Breach]]] = {
+RULES: dict[str, Callable[[TraceHistory, RuleParameters], list[Violation]]] = {
     "no task lost": answers,
     "no effect twice": effects,
     "drains kept": drains,
@@ -417,7 +425,7 @@
 }
 
 
-def check(entries: list[Entry], figures: Figures) -> list[Breach]:
+def check(entries: list[TraceEntry], figures: RuleParameters) -> list[Violation]:
     """All breaches of all rules, in the order of the rules."""
-    story = Story(entries)
+    story = TraceHistory(entries)
     return [breach for rule in RULES.values() for breach in rule(story, figures)]
--- a/glencleat/checker/polling_bounds.py
+++ b/glencleat/checker/polling_bounds.py
@@ -11,9 +11,9 @@
 from itertools import pairwise
 from typing import Protocol
 
-from glencleat.checker.chance_bounds import Verdict, busiest, chance_limit, verdict
-from glencleat.checker.trace import Entry
-from glencleat.checker.invariants import Story
+from glencleat.checker.chance_bounds import BoundVerdict, busiest, chance_limit, verdict
+from glencleat.checker.trace import TraceEntry
+from glencleat.checker.invariants import TraceHistory
 
 AFTER_MS = 3_000.0  # first tries are spread over less; what goes on is judged from here
 RATE = 0.98  # connections a second of each: a tenth of what fixed steps of 0.1 s came to
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class PollingParameters:
     """The same, from a play's record."""
 
     at_ms: float
@@ -48,7 +48,7 @@
 
 def judge(
     passed: Iterable[Passed], count: int, down_ms: float, well_ms: float, ran: set[str] | None = None
-) -> list[Verdict]:
+) -> list[BoundVerdict]:
     """Of `count` allocators at a service that turned everybody away from `down_ms` to `well_ms`.
 
     `ran`: with a wire for each, those that can be back in time, as they were not stopped meanwhile."""
@@ -65,12 +65,12 @@
     ]
 
 
-def _rate(later: list[float], count: int, seconds: float, tried: bool) -> Verdict:
+def _rate(later: list[float], count: int, seconds: float, tried: bool) -> BoundVerdict:
     each = len(later) / seconds / count if tried else 0.0
     return verdict("rate", tried, each < RATE, f"{each:.2f} connections a second each, under {RATE}")
 
 
-def _busiest(later: list[float], count: int, seconds: float, tried: bool) -> Verdict:
+def _busiest(later: list[float], count: int, seconds: float, tried: bool) -> BoundVerdict:
     """Of few, more than a quarter meet by chance: then only what chance does not bring is broken."""
     most = busiest(later, WINDOW_MS)
     rate = min(len(later) / seconds, RATE * count) if tried else 0.0
@@ -79,7 +79,7 @@
     return verdict("busiest", tried and limit <= count, most < limit, text)
 
 
-def _back(record: list[Passed], count: int, well_ms: float, ran: set[str] | None) -> Verdict:
+def _back(record: list[Passed], count: int, well_ms: float, ran: set[str] | None) -> BoundVerdict:
     """Connections that were let in since, and have not ended by the time that all should be back."""
     until = well_ms + BACK_MS
     there: set[tuple[str, int]] = set()
@@ -96,7 +96,7 @@
     return verdict("back", tried and record[-1].at_ms >= well_ms, back >= count, text)
 
 
-def _alike(record: list[Passed], count: int, down_ms: float, well_ms: float) -> Verdict:
+def _alike(record: list[Passed], count: int, down_ms: float, well_ms: float) -> BoundVerdict:
     """Whether waits are drawn: by wires of their own, since those that start apart go apart without it."""
     times = defaultdict[str, list[float]](list)
     for one in record:
@@ -110,7 +110,7 @@
     return verdict("alike", tried, most < limit, text)
 
 
-def turned_away(entries: list[Entry]) -> Iterable[tuple[float, float, set[str]]]:
+def turned_away(entries: list[TraceEntry]) -> Iterable[tuple[float, float, set[str]]]:
     """Each time in a play's record at which its list turned all its allocators away: from, until, who.
 
     One that was started meanwhile has its first tries then: the time counts from when the last was up."""
@@ -131,14 +131,14 @@
             away.discard(entry.allocator)
 
 
-def judge_play(entries: list[Entry]) -> list[Verdict]:
+def judge_play(entries: list[TraceEntry]) -> list[BoundVerdict]:
     """Of each such time, by wires of their own."""
     passed = [
-        Told(entry.at, entry.allocator, entry.state, entry.number)
+        PollingParameters(entry.at, entry.allocator, entry.state, entry.number)
         for entry in entries
         if entry.kind == "passed" and entry.who == "list" and entry.state != "bytes"
     ]
-    verdicts, story = list[Verdict](), Story(entries)
+    verdicts, story = list[BoundVerdict](), TraceHistory(entries)
     for down, well, names in turned_away(entries):
         ran = {name for name in names if story.ran(name, well, well + BACK_MS)}
         verdicts += judge(passed, len(names), down, well, ran)
--- a/glencleat/checker/report.py
+++ b/glencleat/checker/report.py
@@ -10,9 +10,9 @@
 from rich.console import Console
 from rich.table import Table
 
-from glencleat.checker.chance_bounds import Verdict
-from glencleat.checker.trace import Entry
-from glencleat.checker.invariants import PLACED, RECONCILED, TURNED, Breach
+from glencleat.checker.chance_bounds import BoundVerdict
+from glencleat.checker.trace import TraceEntry
+from glencleat.checker.invariants import PLACED, RECONCILED, TURNED, Violation
 
 SHARES = (50.0, 90.0, 99.0, 100.0)
 SHOWN = 20  # breaches printed; the rest is counted
@@ -34,20 +34,20 @@
         return histogram.get_value_at_percentile(share) / 1_000.0 if histogram is not None else 0.0
 
 
-def outcome(entry: Entry) -> str:
+def outcome(entry: TraceEntry) -> str:
     if entry.state in PLACED:
         return "placed"
     return "refused" if entry.retry == "harmless" else "failed"
 
 
-def final(entry: Entry) -> bool:
+def final(entry: TraceEntry) -> bool:
     """Whether a status answers an ask; a reply to RECONCILE does not."""
     return entry.reason != RECONCILED and entry.state in PLACED + TURNED
 
 
-def summary(entries: list[Entry]) -> Summary:
+def summary(entries: list[TraceEntry]) -> Summary:
     told = Summary()
-    open_asks: dict[tuple[str, str], Entry] = {}
+    open_asks: dict[tuple[str, str], TraceEntry] = {}
     for entry in entries:
         key = entry.allocator, entry.task
         if entry.kind == "asked":
@@ -69,7 +69,9 @@
     return told
 
 
-def show(entries: list[Entry], breaches: list[Breach], bounds: list[Verdict], console: Console) -> None:
+def show(
+    entries: list[TraceEntry], breaches: list[Violation], bounds: list[BoundVerdict], console: Console
+) -> None:
     told = summary(entries)
     table = Table(title="Asks by outcome; ms from ACCEPT to placement")
     table.add_column("class", no_wrap=True)
--- a/glencleat/checker/slow_start_bounds.py
+++ b/glencleat/checker/slow_start_bounds.py
@@ -10,17 +10,17 @@
 from bisect import bisect_right
 
 from glencleat.checker.polling_bounds import BACK_MS, LEAST_CROWD, turned_away
-from glencleat.checker.chance_bounds import Verdict, verdict
-from glencleat.checker.trace import Entry
-from glencleat.checker.invariants import PLACED, TURNED, Attempt, Story
+from glencleat.checker.chance_bounds import BoundVerdict, verdict
+from glencleat.checker.trace import TraceEntry
+from glencleat.checker.invariants import PLACED, TURNED, ObservedAttempt, TraceHistory
 
 OUT_MS = 1_000.0  # one without an answer for longer waits for room, and holds up nobody
 HELD = 3  # tasks that one allocator held back, and would send at once
 
 
-def judge_play(entries: list[Entry]) -> list[Verdict]:
+def judge_play(entries: list[TraceEntry]) -> list[BoundVerdict]:
     """Of each time in a play's record at which the list came back to all its allocators."""
-    story, found = Story(entries), list[Verdict]()
+    story, found = TraceHistory(entries), list[BoundVerdict]()
     for down, well, names in turned_away(entries):
         hosts = {entry.who for entry in entries if entry.kind == "up" and entry.at <= well}
         first = max(1.0, len(hosts) / len(names))
@@ -33,7 +33,7 @@
     return found
 
 
-def _held(story: Story, name: str, down: float, well: float) -> int:
+def _held(story: TraceHistory, name: str, down: float, well: float) -> int:
     """Asks of that time whose answer, if any, came later."""
     count = 0
     for (allocator, task), asked in story.asked.items():
@@ -47,7 +47,7 @@
     return count
 
 
-def _beyond(story: Story, name: str, well: float, until: float) -> int:
+def _beyond(story: TraceHistory, name: str, well: float, until: float) -> int:
     """Attempts out, less those placed and those asked for since: the most at any LAUNCH."""
     attempts = [a for a in story.attempts.values() if a.offered.allocator == name]
     attempts = sorted((a for a in attempts if well <= a.offered.at <= until), key=lambda a: a.offered.at)
@@ -63,6 +63,6 @@
     return worst
 
 
-def _end(attempt: Attempt) -> float:
+def _end(attempt: ObservedAttempt) -> float:
     told = min((entry.at for entry in attempt.said), default=float("inf"))
     return min(told, attempt.lost_at, attempt.offered.at + min(OUT_MS, attempt.offered.within))
--- a/glencleat/checker/trace.py
+++ b/glencleat/checker/trace.py
@@ -36,7 +36,7 @@
 import msgspec
 
 
-class Entry(msgspec.Struct, omit_defaults=True):
+class TraceEntry(msgspec.Struct, omit_defaults=True):
     at: float
     kind: str
     who: str = ""
@@ -63,19 +63,19 @@
 
 
 ENCODER = msgspec.json.Encoder()
-DECODER = msgspec.json.Decoder(Entry)
+DECODER = msgspec.json.Decoder(TraceEntry)
 
 
-class BadRecord(Exception):
+class TraceError(Exception):
     """A line of a record that can't be read."""
 
 
-class Recorder:
+class TraceRecorder:
     """Keeps entries in memory and, with `sink`, writes each as a line."""
 
     def __init__(self, now: Callable[[], float], sink: TextIO | None = None) -> None:
         self.now, self.sink = now, sink
-        self.entries: list[Entry] = []
+        self.entries: list[TraceEntry] = []
         self.ended = False
 
     def end(self) -> None:
@@ -84,8 +84,8 @@
         if self.sink is not None:
             self.sink.close()
 
-    def add(self, kind: str, **fields: object) -> Entry:
-        entry = Entry(round(self.now(), 3), kind, line=len(self.entries) + 1, **fields)  # type: ignore[arg-type]
+    def add(self, kind: str, **fields: object) -> TraceEntry:
+        entry = TraceEntry(round(self.now(), 3), kind, line=len(self.entries) + 1, **fields)  # type: ignore[arg-type]
         if self.ended:
             return entry
         self.entries.append(entry)
@@ -94,18 +94,18 @@
         return entry
 
 
-def read(path: Path) -> Iterator[Entry]:
+def read(path: Path) -> Iterator[TraceEntry]:
     with path.open("rb") as source:
         for number, line in enumerate(source, 1):
             try:
                 entry = DECODER.decode(line)
             except msgspec.DecodeError as error:
-                raise BadRecord(f"{path}:{number}: {error}; expected an entry of a record") from None
+                raise TraceError(f"{path}:{number}: {error}; expected an entry of a record") from None
             entry.line = number
             yield entry
 
 
-def write(path: Path, entries: Iterable[Entry]) -> None:
+def write(path: Path, entries: Iterable[TraceEntry]) -> None:
     with path.open("wb") as sink:
         for entry in entries:
             sink.write(ENCODER.encode(entry) + b"\n")
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -15,10 +15,10 @@
 from glencleat import VERSION
 from glencleat import log as logging
 from glencleat.cli import rest
-from glencleat.config import Config, ConfigError, load
+from glencleat.config import AllocatorConfig, ConfigError, load
 
 if TYPE_CHECKING:
-    from glencleat.checker.trace import Entry
+    from glencleat.checker.trace import TraceEntry
     from glencleat.event_loop import Loop
     from glencleat.emulators.script import Script
 
@@ -36,7 +36,7 @@
     give_up("\n".join(f"glencleat: {fault}" for fault in error.faults), 2)
 
 
-def read(path: Path) -> Config:
+def read(path: Path) -> AllocatorConfig:
     try:
         return load(path)
     except ConfigError as error:
@@ -149,7 +149,7 @@
     return click.option("--for", "seconds", type=float, help="End after so many seconds.")(command)
 
 
-def read_script(path: Path) -> tuple[Script, Config]:
+def read_script(path: Path) -> tuple[Script, AllocatorConfig]:
     from glencleat.emulators.script import load_campus, load_script
 
     try:
@@ -220,7 +220,7 @@
 @click.argument("campus", type=CONF)
 def report(record: Path, campus: Path) -> None:
     """Check RECORD (of a play) again by the rules that CAMPUS states, and show its tables."""
-    from glencleat.checker.trace import BadRecord
+    from glencleat.checker.trace import TraceError
     from glencleat.checker.trace import read as read_record
     from glencleat.emulators.script import load_campus
 
@@ -228,23 +228,23 @@
         verdict(list(read_record(record)), load_campus(campus))
     except ConfigError as error:
         refuse(error)
-    except (BadRecord, OSError) as error:
+    except (TraceError, OSError) as error:
         give_up(f"glencleat: {error}", 2)
 
 
-def verdict(entries: list[Entry], campus: Config) -> None:
+def verdict(entries: list[TraceEntry], campus: AllocatorConfig) -> None:
     """Shows the tables; exits with 1 if a rule or a bound was broken."""
     from rich.console import Console
 
     from glencleat.checker import report as tables
     from glencleat.checker import polling_bounds, invariants, slow_start_bounds
-    from glencleat.checker.chance_bounds import State
+    from glencleat.checker.chance_bounds import BoundState
     from glencleat.emulators.script import figures
 
     breaches = invariants.check(entries, figures(campus))
     bounds = polling_bounds.judge_play(entries) + slow_start_bounds.judge_play(entries)
     tables.show(entries, breaches, bounds, Console(width=None if sys.stdout.isatty() else 110))
-    if breaches or any(bound.state is State.BROKEN for bound in bounds):
+    if breaches or any(bound.state is BoundState.BROKEN for bound in bounds):
         sys.exit(1)
 
 
--- a/glencleat/config/__init__.py
+++ b/glencleat/config/__init__.py
@@ -3,8 +3,8 @@
 `lines` reads lines (no meaning), `schema` is what they may say (pydantic), `load` joins both and names file,
 line and setting of everything that is wrong, all at once."""
 
-from glencleat.config.lines import Fault
+from glencleat.config.lines import ConfigFault
 from glencleat.config.load import ConfigError, load
-from glencleat.config.schema import Config
+from glencleat.config.schema import AllocatorConfig
 
-__all__ = ["Config", "ConfigError", "Fault", "load"]
+__all__ = ["AllocatorConfig", "ConfigError", "ConfigFault", "load"]
--- a/glencleat/config/load.py
+++ b/glencleat/config/load.py
@@ -9,14 +9,14 @@
 
 from pydantic import BaseModel, ValidationError
 
-from glencleat.config.lines import Fault, Line, read
-from glencleat.config.schema import Config
+from glencleat.config.lines import ConfigFault, ConfigLine, read
+from glencleat.config.schema import AllocatorConfig
 
 
 class ConfigError(Exception):
     """The file can't be used; `faults` says where and why, all at once."""
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[ConfigFault]) -> None:
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tables:
+class KeywordTables:
     """Which lines a kind of file may have."""
 
     pairs: dict[str, tuple[tuple[str, ...], str, bool]]
@@ -61,19 +61,19 @@
         return sorted([*self.pairs, *self.single, *(["listen"] if self.listen else []), "include"])
 
 
-class Reader:
+class ConfigReader:
     """Gathers what the lines say, and which line said what."""
 
-    def __init__(self, path: Path, tables: Tables) -> None:
+    def __init__(self, path: Path, tables: KeywordTables) -> None:
         self.path, self.tables = path, tables
         self.said: dict[str, Any] = {}
-        self.where: dict[tuple[str | int, ...], Line] = {}
-        self.faults: list[Fault] = []
+        self.where: dict[tuple[str | int, ...], ConfigLine] = {}
+        self.faults: list[ConfigFault] = []
 
-    def fault(self, line: Line, setting: str, text: str) -> None:
-        self.faults.append(Fault(line.file, line.number, setting, text))
+    def fault(self, line: ConfigLine, setting: str, text: str) -> None:
+        self.faults.append(ConfigFault(line.file, line.number, setting, text))
 
-    def line(self, line: Line) -> None:
+    def line(self, line: ConfigLine) -> None:
         word, rest = line.words[0], line.words[1:]
         if word in self.tables.pairs:
             self._pairs(line, word, list(rest))
@@ -92,7 +92,7 @@
                 line, word[:40], f"no such setting; expected one of {', '.join(self.tables.keywords())}"
             )
 
-    def _one(self, line: Line, shown: str, key: str, value: Any) -> None:
+    def _one(self, line: ConfigLine, shown: str, key: str, value: Any) -> None:
         if key in self.said:
             before = self.where[key,]
             self.fault(line, shown, f"is there twice, first at {before.file}:{before.number}")
@@ -100,7 +100,7 @@
         self.said[key] = value
         self.where[key,] = line
 
-    def _pairs(self, line: Line, word: str, rest: list[str]) -> None:
+    def _pairs(self, line: ConfigLine, word: str, rest: list[str]) -> None:
         positional, key, many = self.tables.pairs[word]
         if len(rest) < len(positional) or (len(rest) - len(positional)) % 2:
             names = " ".join(p.upper() for p in positional)
@@ -122,11 +122,11 @@
         else:
             self._one(line, word, key, record)
 
-    def place(self, loc: tuple[str | int, ...]) -> Line:
+    def place(self, loc: tuple[str | int, ...]) -> ConfigLine:
         for length in (2, 1):
             if loc[:length] in self.where:
                 return self.where[loc[:length]]
-        return Line(str(self.path), 0, ())
+        return ConfigLine(str(self.path), 0, ())
 
     def shown(self, loc: tuple[str | int, ...]) -> str:
         """A place in the schema as the file writes it."""
@@ -141,11 +141,14 @@
 
 
 def load_as(
-    schema: type[S], tables: Tables, path: Path, change: Callable[[dict[str, Any]], None] = lambda said: None
+    schema: type[S],
+    tables: KeywordTables,
+    path: Path,
+    change: Callable[[dict[str, Any]], None] = lambda said: None,
 ) -> S:
     """Reads and checks a file; raises ConfigError. `change` may alter what was said before the check."""
     lines, faults = read(path)
-    reader = Reader(path, tables)
+    reader = ConfigReader(path, tables)
     reader.faults += faults
     for line in lines:
         reader.line(line)
@@ -165,6 +168,6 @@
     return config
 
 
-def load(path: Path, change: Callable[[dict[str, Any]], None] = lambda said: None) -> Config:
+def load(path: Path, change: Callable[[dict[str, Any]], None] = lambda said: None) -> AllocatorConfig:
     """An allocator's configuration; raises ConfigError with every fault in it."""
-    return load_as(Config, Tables(PAIRS, SINGLE, LISTEN), path, change)
+    return load_as(AllocatorConfig, KeywordTables(PAIRS, SINGLE, LISTEN), path, change)
--- a/glencleat/config/schema.py
+++ b/glencleat/config/schema.py
@@ -53,7 +53,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Allocator(Part):
+class AllocatorSection(Part):
     name: Name
     number: Annotated[int, Field(ge=0)]
     of: Annotated[int, Field(ge=1, le=100_000)]
@@ -61,13 +61,13 @@
     seed: Annotated[int, Field(ge=0)] = 1
 
     @model_validator(mode="after")
-    def _counted(self) -> Allocator:
+    def _counted(self) -> AllocatorSection:
         if self.number >= self.of:
             raise ValueError(f"number is {self.number} of {self.of}; expected 0 to {self.of - 1}")
         return self
 
 
-class Class(Part):
+class TaskClassSection(Part):
     name: Name
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Milliseconds
@@ -85,7 +85,7 @@
     fade: Annotated[float, Field(ge=0, le=4)] = 1.0
 
     @model_validator(mode="after")
-    def _whole(self) -> Class:
+    def _whole(self) -> TaskClassSection:
         if self.spread != "off" and self.most < 1:
             raise ValueError(f"spread is {self.spread} and most {self.most}; expected most of 1 or more")
         if self.effect == "keyed" and self.window <= 0:
@@ -97,18 +97,18 @@
         return self
 
 
-class Kind(Part):
+class MachineKindSection(Part):
     name: Name
     cores: Annotated[float, Field(gt=0)]
     memory: Megabytes
 
 
-class Accept(Part):
+class OvercommitSection(Part):
     cores: Annotated[float, Field(gt=0)] = 1.0
     memory: Annotated[float, Field(gt=0)] = 1.0
 
 
-class Reports(Part):
+class ReportsSection(Part):
     counts: Literal["used", "asked"] = "asked"
     come: Literal["with-answers", "on-probe"] = "with-answers"
     probes: Literal["yes", "no"] = "no"
@@ -116,19 +116,19 @@
     pressure: Literal["yes", "no"] = "no"
 
 
-class Cold(Part):
+class WarmUpSection(Part):
     warm: Milliseconds = 0.0
     window: Milliseconds = 0.0
     offers: Annotated[float, Field(ge=0)] = 0.0
 
 
-class Heartbeat(Part):
+class HeartbeatSection(Part):
     every: Annotated[Milliseconds, Field(ge=10)] = 15_000.0
     missed: Annotated[int, Field(ge=1, le=100)] = 3
     agents_return: Milliseconds = 10_000.0
 
 
-class Limit(Part):
+class LimitSection(Part):
     connections: Count = 10_000
     body: Megabytes = 1.0
     unsent: Megabytes = 1.0
@@ -143,7 +143,7 @@
     remembered: Count = 50_000
 
 
-class Rest(Part):
+class RestSection(Part):
     """Bounds of the REST front; rates are a second."""
 
     requests: Annotated[float, Field(gt=0)] = 500.0  # of one connection
@@ -163,27 +163,27 @@
     watch_stall: Annotated[Milliseconds, Field(ge=1)] = 5_000.0
 
 
-class KeepList(Part):
+class EndpointSnapshotSection(Part):
     """The machine list over a restart; off unless there is such a line."""
 
     file: Annotated[str, Field(min_length=1, max_length=4_096)]
     age: Annotated[Milliseconds, Field(ge=1)] = 600_000.0  # older ones are not used
 
 
-class Log(Part):
+class LogSection(Part):
     form: Literal["console", "json"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-class Config(Part):
-    allocator: Allocator
+class AllocatorConfig(Part):
+    allocator: AllocatorSection
     owners: Address
     agents: Address
     metrics: Address | None = None
     rest_listen: Address | None = None
     directory: Address
-    classes: Annotated[tuple[Class, ...], Field(min_length=1)]
-    kinds: Annotated[tuple[Kind, ...], Field(min_length=1)]
+    classes: Annotated[tuple[TaskClassSection, ...], Field(min_length=1)]
+    kinds: Annotated[tuple[MachineKindSection, ...], Field(min_length=1)]
     default_class: Name | None = None
     pool: Name = "pool"
     attempts: Annotated[int, Field(ge=1, le=100)] = 4
@@ -192,17 +192,17 @@
     shutdown: Milliseconds = 10_000.0
     grace: Milliseconds = 2_000.0  # after the start, for agents to tell what they hold
     probe_timeout: Milliseconds = 1_000.0
-    accept: Accept = Accept()
-    reports: Reports = Reports()
-    cold: Cold = Cold()
-    heartbeat: Heartbeat = Heartbeat()
-    limit: Limit = Limit()
-    rest: Rest = Rest()
-    log: Log = Log()
-    keep_list: KeepList | None = None
+    accept: OvercommitSection = OvercommitSection()
+    reports: ReportsSection = ReportsSection()
+    cold: WarmUpSection = WarmUpSection()
+    heartbeat: HeartbeatSection = HeartbeatSection()
+    limit: LimitSection = LimitSection()
+    rest: RestSection = RestSection()
+    log: LogSection = LogSection()
+    keep_list: EndpointSnapshotSection | None = None
 
     @model_validator(mode="after")
-    def _joined(self) -> Config:
+    def _joined(self) -> AllocatorConfig:
         kinds, classes = [k.name for k in self.kinds], [c.name for c in self.classes]
         for name, all_names in (("kind", kinds), ("class", classes)):
             twice = {n for n in all_names if all_names.count(n) > 1}
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -11,23 +11,23 @@
 from typing import Any
 
 from glencleat import interface as api
-from glencleat.allocator.admission import Limits as Admission
+from glencleat.allocator.admission import AdmissionLimits as Admission
 from glencleat.allocator.core import Core
 from glencleat.allocator.options import Options
-from glencleat.config import Config, ConfigError, load
-from glencleat.flow_control.backoff import LIST, Asking, Pace
+from glencleat.config import AllocatorConfig, ConfigError, load
+from glencleat.flow_control.backoff import LIST, Backoff, BackoffPolicy
 from glencleat.servers.directory_client import DirectoryClient
-from glencleat.servers.endpoint_snapshot_file import KeptList
+from glencleat.servers.endpoint_snapshot_file import EndpointSnapshotFile
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi, problem
 from glencleat.servers.scheduler_api import SchedulerApi
-from glencleat.servers.http_server import Handler, Limits, Server, plain
+from glencleat.servers.http_server import Handler, ServerLimits, Server, plain
 from glencleat.event_loop import Loop, Signals
 from glencleat.policy.scheduler import Scheduler
 from glencleat.rest import service as rest
-from glencleat.rest.watches import Limits as WatchLimits
-from glencleat.rest.overload import Limits as GateLimits
+from glencleat.rest.watches import WatchLimits as WatchLimits
+from glencleat.rest.overload import OverloadLimits as GateLimits
 
 MB = 1 << 20
 FLUSH_MS = 1_000.0
@@ -37,7 +37,7 @@
 LIVE = {"limit", "rest", "log", "shutdown", "answer_margin", "probe_timeout"}  # what SIGHUP can change
 
 
-def options(config: Config) -> Options:
+def options(config: AllocatorConfig) -> Options:
     limit = config.limit
     return Options(
         name=config.allocator.name,
@@ -57,12 +57,14 @@
     )
 
 
-def server_limits(config: Config) -> Limits:
+def server_limits(config: AllocatorConfig) -> ServerLimits:
     limit = config.limit
-    return Limits(limit.connections, int(limit.body * MB), int(limit.unsent * MB), limit.request, limit.idle)
+    return ServerLimits(
+        limit.connections, int(limit.body * MB), int(limit.unsent * MB), limit.request, limit.idle
+    )
 
 
-def rest_limits(config: Config) -> rest.Limits:
+def rest_limits(config: AllocatorConfig) -> rest.RestLimits:
     told = config.rest
     gate = GateLimits(
         connection_rate=told.requests,
@@ -75,7 +77,7 @@
         first_round_ms=told.first_round,
     )
     watch = WatchLimits(told.watches, told.watches_each, told.watch_lines, stall_ms=told.watch_stall)
-    return rest.Limits(gate, watch, told.events, told.ended, told.jobs_kept, told.keys)
+    return rest.RestLimits(gate, watch, told.events, told.ended, told.jobs_kept, told.keys)
 
 
 class Daemon:
@@ -83,12 +85,12 @@
 
     def __init__(
         self,
-        config: Config,
+        config: AllocatorConfig,
         log: Any,
         path: Path | None = None,
         loop: Loop | None = None,
         seed: int | None = None,
-        pace: Pace = LIST,
+        pace: BackoffPolicy = LIST,
     ) -> None:
         self.config, self.log, self.path = config, log, path
         self.loop = loop or Loop()
@@ -98,24 +100,26 @@
         ids = SystemRandom().getrandbits(64) if seed is None else seed
         self.core = Core(settings, module, options(config), self.loop, ids, self._log)
         self.servers: dict[str, Server] = {}
-        self.plane: rest.Plane | None = None
+        self.plane: rest.RestService | None = None
         if config.rest_listen is not None:
-            self.plane = rest.Plane(self.core, rest_limits(config), ids ^ 0x5EED)
+            self.plane = rest.RestService(self.core, rest_limits(config), ids ^ 0x5EED)
         self.stopping = self.ending = False
         # Of its own seed: allocators of one configuration may share the decisions' one, and would go in step.
         self.directory = DirectoryClient(
             self.loop,
             config.directory,
             self._list_told,
-            Asking(pace, Random(ids ^ 0xA5C)),
+            Backoff(pace, Random(ids ^ 0xA5C)),
             3.0 * config.heartbeat.every,
             log=self._log,
         )
         self.core.watch = self.directory.watch
-        self.kept: KeptList | None = None
+        self.kept: EndpointSnapshotFile | None = None
         if (keep := config.keep_list) is not None:
             listing = self.directory.listing
-            self.kept = KeptList(self.loop, Path(keep.file), config.pool, keep.age, listing, self._log)
+            self.kept = EndpointSnapshotFile(
+                self.loop, Path(keep.file), config.pool, keep.age, listing, self._log
+            )
         self.core.on_idle = self._end_soon
 
     def _log(self, event: str, **more: Any) -> None:
--- a/glencleat/descriptor_budget.py
+++ b/glencleat/descriptor_budget.py
@@ -27,7 +27,7 @@
     LINKS = "links"
 
 
-class Worth(IntEnum):
+class EvictionPriority(IntEnum):
     """What a descriptor is held for, cheapest first."""
 
     SPARE = 0  # a link with nothing open: nothing stands at its host, or another link is up there
@@ -49,27 +49,44 @@
 
 # What may go for it, in this order; first where its side holds less than its right, then where it does not.
 # Both sides can't be short of theirs while nothing is free, so one that is finds the other above its own.
-GIVEN: dict[Demand, tuple[tuple[Worth, ...], tuple[Worth, ...]]] = {
+GIVEN: dict[Demand, tuple[tuple[EvictionPriority, ...], tuple[EvictionPriority, ...]]] = {
     Demand.OWNER: (
-        (Worth.SPARE, Worth.STRANGER, Worth.FRIEND, Worth.LISTENED, Worth.LISTENING),
-        (Worth.STRANGER, Worth.FRIEND),
+        (
+            EvictionPriority.SPARE,
+            EvictionPriority.STRANGER,
+            EvictionPriority.FRIEND,
+            EvictionPriority.LISTENED,
+            EvictionPriority.LISTENING,
+        ),
+        (EvictionPriority.STRANGER, EvictionPriority.FRIEND),
     ),
     Demand.ATTEMPT: (
-        (Worth.STRANGER, Worth.SPARE, Worth.FRIEND, Worth.LISTENED, Worth.LISTENING),
-        (Worth.SPARE, Worth.LISTENED, Worth.LISTENING),
+        (
+            EvictionPriority.STRANGER,
+            EvictionPriority.SPARE,
+            EvictionPriority.FRIEND,
+            EvictionPriority.LISTENED,
+            EvictionPriority.LISTENING,
+        ),
+        (EvictionPriority.SPARE, EvictionPriority.LISTENED, EvictionPriority.LISTENING),
     ),
-    Demand.EXTRA: ((Worth.STRANGER, Worth.SPARE), (Worth.SPARE,)),
+    Demand.EXTRA: ((EvictionPriority.STRANGER, EvictionPriority.SPARE), (EvictionPriority.SPARE,)),
     Demand.LISTEN: (
-        (Worth.STRANGER, Worth.SPARE, Worth.FRIEND, Worth.LISTENED),
-        (Worth.SPARE, Worth.LISTENED),
+        (
+            EvictionPriority.STRANGER,
+            EvictionPriority.SPARE,
+            EvictionPriority.FRIEND,
+            EvictionPriority.LISTENED,
+        ),
+        (EvictionPriority.SPARE, EvictionPriority.LISTENED),
     ),
 }
 
 
-class Holder(Protocol):
+class DescriptorHolder(Protocol):
     side: Side
 
-    def worth(self) -> Worth:
+    def worth(self) -> EvictionPriority:
         """As it is now."""
 
     def last_look(self) -> None:
@@ -79,7 +96,7 @@
         """Ends it; `free` or `leave` is called before this returns."""
 
 
-class Descriptors:
+class DescriptorBudget:
     """Every descriptor of owners and links. `limit` is the process's. OWNERS have a right to a third of it,
     since the protocol page says that they hold no more, LINKS to the rest."""
 
@@ -88,9 +105,9 @@
         owners = min(limit // 3, self.room // 2)
         self.rights = {Side.OWNERS: owners, Side.LINKS: self.room - owners}
         self.count = {Side.OWNERS: 0, Side.LINKS: 0}
-        self.filed: dict[Holder, Worth] = {}
-        self.order: tuple[dict[Holder, None], ...] = tuple({} for _ in Worth)
-        self.leaving: set[Holder] = set()
+        self.filed: dict[DescriptorHolder, EvictionPriority] = {}
+        self.order: tuple[dict[DescriptorHolder, None], ...] = tuple({} for _ in EvictionPriority)
+        self.leaving: set[DescriptorHolder] = set()
         self.most = self.turned_away = 0
         self.rush, self.came, self.since = 0.0, 0, 0.0  # newcomers in such a time: lately, now, since when
         self.freed: Callable[[], None] = lambda: None  # one is free, or worth less than it was
@@ -111,7 +128,7 @@
         self.came += 1
         if not self.make_room(Demand.OWNER):
             return False
-        while self.held >= self.room - self.kept_free and self._end_least((Worth.STRANGER,)):
+        while self.held >= self.room - self.kept_free and self._end_least((EvictionPriority.STRANGER,)):
             pass
         return True
 
@@ -131,7 +148,7 @@
         self.turned_away += 1
         return False
 
-    def _end_least(self, worths: tuple[Worth, ...]) -> bool:
+    def _end_least(self, worths: tuple[EvictionPriority, ...]) -> bool:
         while (victim := self._least(worths)) is not None:
             worth = victim.worth()
             victim.last_look()
@@ -140,7 +157,7 @@
                 return True
         return False
 
-    def _least(self, worths: tuple[Worth, ...]) -> Holder | None:
+    def _least(self, worths: tuple[EvictionPriority, ...]) -> DescriptorHolder | None:
         """The first that is still worth what it was filed under; what is not is filed anew on the way."""
         for worth in worths:
             line = self.order[worth]
@@ -152,12 +169,12 @@
                 self._move(holder, now)
         return None
 
-    def hold(self, holder: Holder) -> None:
+    def hold(self, holder: DescriptorHolder) -> None:
         self.count[holder.side] += 1
         self._move(holder, holder.worth())
         self.most = max(self.most, self.held)
 
-    def file(self, holder: Holder, used: bool = False) -> None:
+    def file(self, holder: DescriptorHolder, used: bool = False) -> None:
         """Its worth may have changed; `used` puts it last among its equals. One not held is let be."""
         before = self.filed.get(holder)
         if before is None:
@@ -168,14 +185,14 @@
             if now < before:
                 self.freed()
 
-    def _move(self, holder: Holder, worth: Worth) -> None:
+    def _move(self, holder: DescriptorHolder, worth: EvictionPriority) -> None:
         before = self.filed.get(holder)
         if before is not None:
             del self.order[before][holder]
         self.filed[holder] = worth
         self.order[worth][holder] = None
 
-    def leave(self, holder: Holder) -> bool:
+    def leave(self, holder: DescriptorHolder) -> bool:
         """It ends by itself in a moment and counts as free; False if too many do: close it now."""
         if len(self.leaving) >= LEAVING:
             return False
@@ -184,13 +201,13 @@
             self.leaving.add(holder)
         return True
 
-    def free(self, holder: Holder) -> None:
+    def free(self, holder: DescriptorHolder) -> None:
         """Its descriptor is closed."""
         self.leaving.discard(holder)
         if holder in self.filed:
             self._drop(holder)
 
-    def _drop(self, holder: Holder) -> None:
+    def _drop(self, holder: DescriptorHolder) -> None:
         del self.order[self.filed.pop(holder)][holder]
         self.count[holder.side] -= 1
         self.freed()
--- a/glencleat/emulators/allocator_processes.py
+++ b/glencleat/emulators/allocator_processes.py
@@ -45,7 +45,7 @@
     return psutil.virtual_memory().available >> 20
 
 
-class Nodes:
+class AllocatorProcesses:
     """`count` allocators. `tree` holds the program to run, by default this one: an earlier version's tree
     compares the two in one run."""
 
@@ -58,7 +58,7 @@
         self.folder, self.count, self.seed, self.sockets, self.tree = folder, count, seed, sockets, tree
         self.children: dict[int, subprocess.Popen[bytes]] = {}
 
-    def __enter__(self) -> Nodes:
+    def __enter__(self) -> AllocatorProcesses:
         return self
 
     def __exit__(
--- a/glencleat/emulators/channel.py
+++ b/glencleat/emulators/channel.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import Coroutine
 
 EVERY_MS = 1_000.0
@@ -84,7 +84,7 @@
             self.streams.add(stream)
             while (yield from stream.read()):
                 pass
-        except StreamClosed:
+        except StreamClosedError:
             return
         finally:
             self.streams.discard(stream)
--- a/glencleat/emulators/client.py
+++ b/glencleat/emulators/client.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from glencleat.event_loop import Loop, Stream, StreamClosed, Task, connect
+from glencleat.event_loop import Loop, Stream, StreamClosedError, LoopTask, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
-from glencleat.mesos.messages import BadMessage
-from glencleat.mesos.recordio import Decoder, RecordError
+from glencleat.mesos.messages import MessageError
+from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 JSON = {"content-type": "application/json", "accept": "application/json"}
 CONNECT_MS = 2_000.0
@@ -52,7 +52,7 @@
     ) -> None:
         self.loop, self.address, self.target, self.method = loop, address, target, method
         self.http = ClientConnection()
-        self.decoder: Records = decoder or Decoder(64 << 20)
+        self.decoder: Records = decoder or RecordDecoder(64 << 20)
         self.stream: Stream | None = None
         self.headers: dict[str, str] = {}
         self.early: list[bytes] = []
@@ -76,7 +76,7 @@
             if status == 200:
                 return
             if data == b"":
-                raise StreamClosed("the allocator closed the connection")
+                raise StreamClosedError("the allocator closed the connection")
 
     def records(self) -> Coroutine:
         if self.early:
@@ -88,7 +88,7 @@
                 return []
             try:
                 data = yield from self.stream.read()
-            except StreamClosed:
+            except StreamClosedError:
                 return []
             try:
                 for event in self.http.feed(data):
@@ -108,7 +108,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Answer:
+class HttpAnswer:
     status: int = 0  # 0: none came
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -125,7 +125,7 @@
         self.queue: deque[Item] = deque()
         self.stream: Stream | None = None
         self.http = ClientConnection()
-        self.waiting: Task | None = None
+        self.waiting: LoopTask | None = None
         self.closed = False
         self.task = loop.spawn(self._run(), name)
 
@@ -135,7 +135,7 @@
             task, self.waiting = self.waiting, None
             self.loop.wake(task)
 
-    def _arm(self, task: Task) -> Callable[[], None]:
+    def _arm(self, task: LoopTask) -> Callable[[], None]:
         self.waiting = task
 
         def disarm() -> None:
@@ -166,7 +166,7 @@
                 return None
             self.stream.send(self.http.request(method, target, "allocator", headers, body))
             wrote()
-            answer = Answer()
+            answer = HttpAnswer()
             while True:
                 data = yield from self.stream.read()
                 for event in self.http.feed(data):
@@ -177,8 +177,8 @@
                     elif isinstance(event, End):
                         return answer
                 if data == b"":
-                    raise StreamClosed("the allocator closed the connection")
-        except (StreamClosed, HttpError):
+                    raise StreamClosedError("the allocator closed the connection")
+        except (StreamClosedError, HttpError):
             self.drop()
             return None
 
@@ -236,7 +236,7 @@
         self.again_ms = again_ms  # between two tries: the first wait, the longest
         self.stream: Subscription | None = None
         self.calls: Calls | None = None
-        self.task: Task = loop.spawn(self._run(), name)
+        self.task: LoopTask = loop.spawn(self._run(), name)
 
     def subscription(self) -> Subscription:
         return Subscription(self.loop, self.address, self.target)
@@ -265,7 +265,7 @@
                 yield from self.follow(self.stream)
             except Rejected as error:
                 self.rejected(error.status)
-            except (StreamClosed, HttpError, RecordError, BadMessage):
+            except (StreamClosedError, HttpError, RecordError, MessageError):
                 pass
             finally:
                 self._gone()
--- a/glencleat/emulators/directory.py
+++ b/glencleat/emulators/directory.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from glencleat.checker.trace import Recorder
-from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.checker.trace import TraceRecorder
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Response, ServerConnection
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DirectoryEntry:
     """What the directory knows of a host."""
 
     name: str
@@ -58,7 +58,7 @@
     def send(self, event: m.OperatorEvent) -> bool:
         try:
             self.stream.send(self.connection.chunk(encode(m.encode(event))))
-        except StreamClosed:
+        except StreamClosedError:
             return False
         return True
 
@@ -69,8 +69,8 @@
     def __init__(
         self,
         loop: Loop,
-        recorder: Recorder,
-        look: Callable[[], list[Entry]],
+        recorder: TraceRecorder,
+        look: Callable[[], list[DirectoryEntry]],
         late_ms: float,
         every_ms: float = 500.0,
         retry_after_ms: float = 0.0,
@@ -80,7 +80,7 @@
         self.refusal = {"retry-after": f"{math.ceil(retry_after_ms / 1e3)}"} if retry_after_ms else {}
         self.failing = False
         self.empty = False  # tells that there are no hosts at all
-        self.shown: dict[str, Entry] = {}
+        self.shown: dict[str, DirectoryEntry] = {}
         self.ever: dict[str, None] = {}  # names that were shown at any time
         self.watchers: list[Watcher] = []
         self.listeners: dict[str, Listener] = {}
@@ -113,7 +113,7 @@
                     )
                 if data == b"":
                     return
-        except (StreamClosed, HttpError):
+        except (StreamClosedError, HttpError):
             return
         finally:
             if watcher in self.watchers:
@@ -131,7 +131,7 @@
             return None
         try:
             call = m.decode(m.OperatorCall, body)
-        except m.BadMessage as error:
+        except m.MessageError as error:
             stream.send(connection.answer(Response(400, str(error).encode())))
             return None
         agents = m.GetAgents([entry.agent() for entry in self.entries().values()])
@@ -151,10 +151,10 @@
         self.watchers.append(watcher)
         return watcher
 
-    def entries(self) -> dict[str, Entry]:
+    def entries(self) -> dict[str, DirectoryEntry]:
         return {} if self.empty else self.shown
 
-    def _told(self, watcher: Watcher, entry: Entry) -> None:
+    def _told(self, watcher: Watcher, entry: DirectoryEntry) -> None:
         state = "draining" if entry.draining else "serving"
         self.recorder.add("told", who=entry.name, allocator=watcher.allocator, state=state)
 
@@ -163,7 +163,7 @@
         seen = {entry.name: entry for entry in self.look()}
         self.loop.call_in(self.late_ms, lambda: self._show(seen))
 
-    def _show(self, seen: dict[str, Entry]) -> None:
+    def _show(self, seen: dict[str, DirectoryEntry]) -> None:
         before, self.shown = self.shown, seen
         self.ever.update(dict.fromkeys(seen))
         if self.empty:
--- a/glencleat/emulators/hosts.py
+++ b/glencleat/emulators/hosts.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from random import Random
 
-from glencleat.checker.trace import Recorder
+from glencleat.checker.trace import TraceRecorder
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
-from glencleat.emulators.machine import Held, Machine, Nature, Offer
+from glencleat.emulators.machine import HeldTask, EmulatedMachine, Nature, TaskOffer
 
 TARGET = "/api/v1/executor"
 AGAIN_MS = 100.0, 1_000.0  # between two tries to subscribe: the first, the longest
@@ -23,7 +23,7 @@
 class Session(Reconnecting):
     """One host's agent towards one allocator, over reconnects. Updates are kept until acknowledged."""
 
-    def __init__(self, host: Host, allocator: str, address: Address) -> None:
+    def __init__(self, host: EmulatedHost, allocator: str, address: Address) -> None:
         self.host, self.allocator = host, allocator
         self.unacked: OrderedDict[str, m.TaskStatus] = OrderedDict()
         self.infos: dict[str, m.TaskInfo] = {}
@@ -157,13 +157,13 @@
         return self.paused_at if self.host.loop.now() - self.resumed_at < BACKLOG_MS else 0.0
 
 
-class Host:
+class EmulatedHost:
     """A host: machine, agent and sessions. `stop` takes it all down without a word."""
 
     def __init__(
         self,
         loop: Loop,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         name: str,
         kind: str,
         size: tuple[float, float],
@@ -177,7 +177,7 @@
         self.loop, self.recorder, self.name, self.zone, self.cell = loop, recorder, name, zone, cell
         self.random = Random(seed)
         self.heartbeat_ms, self.report_ms = heartbeat_ms, report_ms
-        self.machine = Machine(
+        self.machine = EmulatedMachine(
             loop,
             self.random,
             name,
@@ -258,7 +258,7 @@
             return
         life = labels.get("life_ms")
         self.machine.offer(
-            Offer(
+            TaskOffer(
                 info.task_id.value,
                 session.allocator,
                 labels.get("service", ""),
@@ -278,7 +278,7 @@
         if session is not None:
             session.update(task, state, reason, cause)
 
-    def _started(self, held: Held) -> None:
+    def _started(self, held: HeldTask) -> None:
         self.recorder.add(
             "started", who=self.name, allocator=held.allocator, attempt=held.id, service=held.service
         )
--- a/glencleat/emulators/machine.py
+++ b/glencleat/emulators/machine.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldTask:
     """A task that the machine has taken."""
 
     id: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class TaskOffer:
     id: str
     allocator: str
     service: str
@@ -84,7 +84,7 @@
 
 
 @dataclass
-class Machine:
+class EmulatedMachine:
     loop: Loop
     random: Random
     name: str
@@ -93,13 +93,13 @@
     memory: float
     nature: Nature
     say: Say
-    started: Callable[[Held], None]
+    started: Callable[[HeldTask], None]
     fell: Callable[[], None]
     up_at: float = float("-inf")
     faults: Faults = field(default_factory=Faults)
-    held: dict[str, Held] = field(default_factory=dict)
-    line: deque[Offer] = field(default_factory=deque)
-    due: deque[Held] = field(default_factory=deque)  # accepted, not yet starting
+    held: dict[str, HeldTask] = field(default_factory=dict)
+    line: deque[TaskOffer] = field(default_factory=deque)
+    due: deque[HeldTask] = field(default_factory=deque)  # accepted, not yet starting
     starting: int = 0
     kept: dict[str, None] = field(default_factory=dict)
     offers_at: deque[float] = field(default_factory=deque)
@@ -108,7 +108,7 @@
 
     # ---- asks ----
 
-    def offer(self, offer: Offer) -> None:
+    def offer(self, offer: TaskOffer) -> None:
         if self._pushed_over():
             self.fell()
             return
@@ -146,7 +146,7 @@
             self._refuse(offer, cause)
         self._decide_next()
 
-    def _cause(self, offer: Offer) -> str | None:
+    def _cause(self, offer: TaskOffer) -> str | None:
         """Why it can't take the ask, or None."""
         nature, now = self.nature, self.loop.now()
         if self.faults.draining or now - offer.came_at > offer.within_ms:
@@ -161,16 +161,16 @@
             return "memory"
         return None
 
-    def _refuse(self, offer: Offer, cause: str) -> None:
+    def _refuse(self, offer: TaskOffer, cause: str) -> None:
         self.say(offer.allocator, offer.id, "TASK_DROPPED", None, cause)
 
-    def _take(self, offer: Offer) -> None:
+    def _take(self, offer: TaskOffer) -> None:
         uses = (
             offer.cores * self.random.uniform(*self.nature.use),
             offer.memory * self.random.uniform(*self.nature.memory_use),
         )
         life = offer.life_ms or self.random.uniform(*self.nature.life_ms)
-        held = Held(
+        held = HeldTask(
             offer.id,
             offer.allocator,
             offer.service,
@@ -200,7 +200,7 @@
             self.starting += 1
             held.timer = self._later(work, lambda held=held: self._started(held))  # type: ignore[misc]
 
-    def _started(self, held: Held) -> None:
+    def _started(self, held: HeldTask) -> None:
         self.starting -= 1
         if held.id in self.held:
             held.running = True
@@ -220,7 +220,7 @@
             victim = min((h for h in self.held.values() if h.running), key=lambda h: (h.priority, -h.memory))
             self.end(victim, "TASK_FAILED", "REASON_CONTAINER_LIMITATION_MEMORY")
 
-    def end(self, held: Held, state: str, reason: str | None) -> None:
+    def end(self, held: HeldTask, state: str, reason: str | None) -> None:
         if self.held.pop(held.id, None) is None:
             return
         if held.timer is not None and held.running:
--- a/glencleat/emulators/owners.py
+++ b/glencleat/emulators/owners.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from glencleat.checker.trace import Recorder
+from glencleat.checker.trace import TraceRecorder
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.event_loop.timers import Timer
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class OwnerJob:
     """One task from its owner's view."""
 
     id: str
@@ -53,28 +53,28 @@
     timer: Timer | None = None
 
 
-class Owner(Reconnecting):
+class EmulatedOwner(Reconnecting):
     """One framework at one allocator."""
 
     def __init__(
         self,
         loop: Loop,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         name: str,
         role: str,
         allocator: str,
         address: Address,
         seed: int,
-        done: Callable[[Job], None] = lambda job: None,
+        done: Callable[[OwnerJob], None] = lambda job: None,
     ) -> None:
         self.recorder, self.name, self.role, self.allocator, self.done = recorder, name, role, allocator, done
-        self.jobs: dict[str, Job] = {}
+        self.jobs: dict[str, OwnerJob] = {}
         self.offer: str | None = None
         self.stream_id = ""
         self.framework: str = f"{name}-framework"
         self.ending = False
         self.slow = False  # does not read its updates
-        self.unsent: list[Job] = []
+        self.unsent: list[OwnerJob] = []
         super().__init__(loop, Random(seed), address, TARGET, name, AGAIN_MS)
 
     # ---- session ----
@@ -132,11 +132,11 @@
 
     # ---- asking ----
 
-    def task_of(self, job: Job) -> str:
+    def task_of(self, job: OwnerJob) -> str:
         """The task as the hosts' labels name it."""
         return f"{self.framework}/{job.id}"
 
-    def ask(self, job: Job) -> None:
+    def ask(self, job: OwnerJob) -> None:
         """Asks for a task, now or as soon as there is an offer."""
         self.jobs[job.id] = job
         job.first_at = job.first_at or self.loop.now()
@@ -146,7 +146,7 @@
         else:
             self._send(job)
 
-    def _send(self, job: Job) -> None:
+    def _send(self, job: OwnerJob) -> None:
         if job.state != "waits" or self.offer is None:
             return
         job.state, job.asked_at, job.end = "asked", self.loop.now(), "unanswered"
@@ -170,7 +170,7 @@
         self._post("ACCEPT", lambda: self._wrote(job), accept=m.Accept([m.Value(self.offer)], [operation]))
         self._wait(job, job.want.deadline_ms, lambda: self._gave_up(job))
 
-    def _wrote(self, job: Job) -> None:
+    def _wrote(self, job: OwnerJob) -> None:
         job.asked_at = self.loop.now()
         self.recorder.add(
             "asked",
@@ -183,24 +183,24 @@
             left=job.want.deadline_ms,
         )
 
-    def _wait(self, job: Job, ms: float, call: Callable[[], None]) -> None:
+    def _wait(self, job: OwnerJob, ms: float, call: Callable[[], None]) -> None:
         if job.timer is not None:
             job.timer.cancel()
         job.timer = self.loop.call_in(ms, call)
 
-    def _gave_up(self, job: Job) -> None:
+    def _gave_up(self, job: OwnerJob) -> None:
         """No answer came in its time: the first rule is broken, unless the allocator or the link was."""
         self.recorder.add("gave up", who=self.name, allocator=self.allocator, task=self.task_of(job))
         self._unsure(job)
 
-    def _unsure(self, job: Job) -> None:
+    def _unsure(self, job: OwnerJob) -> None:
         if job.want.effect == "safe":
             self._again(job)
             return
         job.state = "doubt"
         self._wait(job, SETTLE_MS, lambda: self._settle(job))
 
-    def _settle(self, job: Job) -> None:
+    def _settle(self, job: OwnerJob) -> None:
         if job.state != "doubt":
             return
         if job.asks > 3 * ASKS_MOST:
@@ -214,14 +214,14 @@
         tasks = [m.ReconcileTask(m.Value(name)) for name in ids]
         self._post("RECONCILE", reconcile=m.Reconcile(tasks))
 
-    def _again(self, job: Job) -> None:
+    def _again(self, job: OwnerJob) -> None:
         if job.asks >= ASKS_MOST or self.ending:
             self._done(job)
             return
         job.state = "pause"
         self._wait(job, self.random.uniform(*PAUSE_MS), lambda: self.ask(job))
 
-    def _done(self, job: Job) -> None:
+    def _done(self, job: OwnerJob) -> None:
         if job.timer is not None:
             job.timer.cancel()
         job.state = "done"
@@ -248,7 +248,7 @@
         if job is not None:
             self._heard(job, status.state, retry)
 
-    def _heard(self, job: Job, state: str, retry: str) -> None:
+    def _heard(self, job: OwnerJob, state: str, retry: str) -> None:
         """What follows a state of a task, whichever way it was told."""
         if state in ("TASK_STARTING", "TASK_RUNNING"):
             self._placed(job)
@@ -268,14 +268,14 @@
             job.end = "failed"
             self._unsure(job)
 
-    def _placed(self, job: Job) -> None:
+    def _placed(self, job: OwnerJob) -> None:
         if job.state == "asked":
             job.end = "placed"
         job.state = "placed"
         if job.timer is not None:
             job.timer.cancel()
 
-    def _ended(self, job: Job, state: str) -> None:
+    def _ended(self, job: OwnerJob, state: str) -> None:
         if state == "TASK_FINISHED" or job.want.effect == "unsafe":
             self._done(job)
         else:
--- a/glencleat/emulators/platform_peers.py
+++ b/glencleat/emulators/platform_peers.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop import ConnectError, Listener, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.emulators.proxy import reset
 
@@ -49,7 +49,7 @@
         self.away = False
 
     def _serve(self, stream: Stream) -> Coroutine:
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         try:
             while data := (yield from stream.read()):
                 decoder.feed(data)
@@ -58,7 +58,7 @@
                         self._take(stream, message.task)
                     elif message.kind == m.TEST:
                         stream.put(m.caused(m.TESTED, message.task, 1))
-        except (StreamClosed, m.PeerError):
+        except (StreamClosedError, m.PeerError):
             pass
         finally:
             self.streams.discard(stream)
@@ -101,19 +101,19 @@
                 stream: Stream = yield from connect(self.loop, self.address, 1_000.0)
                 self.stream = stream
                 yield from self._read(stream)
-            except (ConnectFailed, StreamClosed, m.PeerError):
+            except (ConnectError, StreamClosedError, m.PeerError):
                 pass
             self.stream = None
             yield from self.loop.sleep(AGAIN_MS)
 
     def _read(self, stream: Stream) -> Coroutine:
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         while data := (yield from stream.read()):
             decoder.feed(data)
             for message in decoder.messages():
                 self._said(stream, message)
 
-    def _said(self, stream: Stream, message: m.Message) -> None:
+    def _said(self, stream: Stream, message: m.PlatformMessage) -> None:
         if message.kind == m.ANSWER and message.task in self.asked:
             at = self.asked.pop(message.task)
             self.waits.append((at, self.loop.now() - at))
--- a/glencleat/emulators/play.py
+++ b/glencleat/emulators/play.py
@@ -15,16 +15,16 @@
 from pathlib import Path
 from random import Random
 
-from glencleat.checker.trace import Recorder
-from glencleat.config import Config
+from glencleat.checker.trace import TraceRecorder
+from glencleat.config import AllocatorConfig
 from glencleat.event_loop import Loop
-from glencleat.event_loop.loop import READ, Coroutine, Task
+from glencleat.event_loop.loop import READ, Coroutine, LoopTask
 from glencleat.emulators import standalone
-from glencleat.emulators.proxies import Wires
+from glencleat.emulators.proxies import ProxyNetwork
 from glencleat.emulators.client import Address
-from glencleat.emulators.directory import Directory, Entry
-from glencleat.emulators.hosts import Host
-from glencleat.emulators.owners import Job, Owner
+from glencleat.emulators.directory import Directory, DirectoryEntry
+from glencleat.emulators.hosts import EmulatedHost
+from glencleat.emulators.owners import OwnerJob, EmulatedOwner
 from glencleat.emulators.script import At, Script
 
 START_MS = 20_000.0  # for a process to say where it listens
@@ -39,10 +39,12 @@
     """The play could not be set up; says what failed."""
 
 
-class Process:
+class AllocatorProcess:
     """One allocator: `glencleat serve` on a file written for it, at the same addresses over restarts."""
 
-    def __init__(self, loop: Loop, recorder: Recorder, name: str, folder: Path, lines: list[str]) -> None:
+    def __init__(
+        self, loop: Loop, recorder: TraceRecorder, name: str, folder: Path, lines: list[str]
+    ) -> None:
         self.loop, self.recorder, self.name, self.folder, self.lines = loop, recorder, name, folder, lines
         self.owners: Address = ("127.0.0.1", 0)
         self.agents: Address = ("127.0.0.1", 0)
@@ -50,7 +52,7 @@
         self.rest: Address = ("127.0.0.1", 0)
         self.child: subprocess.Popen[bytes] | None = None
         self.kept: list[socket.socket] = []
-        self.starting: Task | None = None  # who waits for its addresses
+        self.starting: LoopTask | None = None  # who waits for its addresses
 
     def start(self) -> Coroutine:
         """Starts it and waits for its addresses."""
@@ -83,7 +85,7 @@
         fd, data = pipe.fileno(), b""
         while not data.endswith(b"\n"):
 
-            def arm(task: Task) -> Callable[[], None]:
+            def arm(task: LoopTask) -> Callable[[], None]:
                 timer = self.loop.call_in(START_MS, lambda: told(0))
 
                 def disarm() -> None:
@@ -158,21 +160,26 @@
 
 class Play:
     def __init__(
-        self, script: Script, campus_file: Path, campus: Config, folder: Path, loop: Loop | None = None
+        self,
+        script: Script,
+        campus_file: Path,
+        campus: AllocatorConfig,
+        folder: Path,
+        loop: Loop | None = None,
     ):
         self.script, self.campus, self.folder = script, campus, folder
         self.loop = loop or Loop()
         self.random = Random(script.play.seed)
-        self.recorder = Recorder(self.loop.now, (folder / "record.jsonl").open("w"))
+        self.recorder = TraceRecorder(self.loop.now, (folder / "record.jsonl").open("w"))
         self.hosts = standalone.hosts(self.loop, self.recorder, script, campus, self.random)
         self.draining: set[str] = set()
-        self.wires = Wires(self.loop, self.recorder, script)
+        self.wires = ProxyNetwork(self.loop, self.recorder, script)
         told = script.directory
         self.directory = Directory(
             self.loop, self.recorder, self._entries, told.late, told.every, told.retry_after
         )
         self.processes = [self._process(i, campus_file) for i in range(script.allocators.count)]
-        self.owners: list[Owner] = []
+        self.owners: list[EmulatedOwner] = []
         self.exits: dict[str, int | None] = {}
         self.jobs = 0
         self.more = 1.0  # times the usual rate of new tasks
@@ -181,7 +188,7 @@
 
     # ---- making ----
 
-    def _process(self, number: int, campus_file: Path) -> Process:
+    def _process(self, number: int, campus_file: Path) -> AllocatorProcess:
         halls = self.script.hosts.halls
         name = f"a{number}"
         host, port = self.wires.way("list", name, self.directory.listen(name))
@@ -193,9 +200,9 @@
         ]
         if self.script.allocators.keep_list == "yes":
             lines.append(f"keep-list {self.folder.resolve() / name}.list")
-        return Process(self.loop, self.recorder, name, self.folder, lines)
+        return AllocatorProcess(self.loop, self.recorder, name, self.folder, lines)
 
-    def _entries(self) -> list[Entry]:
+    def _entries(self) -> list[DirectoryEntry]:
         return [standalone.entry(host, host.name in self.draining) for host in self.hosts if host.up]
 
     # ---- the day ----
@@ -264,7 +271,7 @@
             yield from self.loop.sleep(max(0.0, due - self.loop.now()))
             self.random.choice(self.owners).ask(self._job())
 
-    def _job(self) -> Job:
+    def _job(self) -> OwnerJob:
         self.jobs += 1
         return standalone.job(self.script, self.campus, self.random, self.jobs)
 
@@ -280,11 +287,11 @@
 
         self.loop.call_in(at.duration, end)
 
-    def _some(self, share: float) -> list[Host]:
+    def _some(self, share: float) -> list[EmulatedHost]:
         up = [h for h in self.hosts if h.up and h.name not in self.draining]
         return self.random.sample(up, min(len(up), max(1, round(share * len(self.hosts)))))
 
-    def _down(self, hosts: list[Host], why: str) -> Callable[[], None]:
+    def _down(self, hosts: list[EmulatedHost], why: str) -> Callable[[], None]:
         for host in hosts:
             host.stop(why)
 
@@ -301,7 +308,7 @@
     def _fault_crash(self, at: At) -> Callable[[], None]:
         return self._down(self._some(at.share()), "crash")
 
-    def _marked(self, hosts: list[Host], name: str) -> Callable[[], None]:
+    def _marked(self, hosts: list[EmulatedHost], name: str) -> Callable[[], None]:
         def mark(on: bool) -> None:
             for host in hosts:
                 setattr(host.machine.faults, name, on)
@@ -341,7 +348,7 @@
             self.draining.add(host.name)
             host.machine.drain()
 
-        def gone(host: Host) -> None:
+        def gone(host: EmulatedHost) -> None:
             host.stop("drained")
             if back:
                 self.draining.discard(host.name)
@@ -389,7 +396,7 @@
 
         return back
 
-    def _named(self, at: At) -> list[Process]:
+    def _named(self, at: At) -> list[AllocatorProcess]:
         """The allocators that a fault names."""
         if at.what.endswith("%"):
             return self.random.sample(self.processes, max(1, round(at.share() * len(self.processes))))
--- a/glencleat/emulators/proxies.py
+++ b/glencleat/emulators/proxies.py
@@ -9,24 +9,24 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from glencleat.checker.trace import Recorder
+from glencleat.checker.trace import TraceRecorder
 from glencleat.event_loop import Loop
 from glencleat.emulators.client import Address
-from glencleat.emulators.proxy import Passed, Relay
+from glencleat.emulators.proxy import Passed, Proxy
 from glencleat.emulators.script import At, Script
-from glencleat.emulators.proxy_faults import Fault, Way, Weather
+from glencleat.emulators.proxy_faults import ProxyFault, Way, Weather
 
 ENDS = ("ended", "reset", "refused")
 
 
-class Wires:
+class ProxyNetwork:
     """The relays of one play, by place and allocator."""
 
-    def __init__(self, loop: Loop, recorder: Recorder, script: Script) -> None:
+    def __init__(self, loop: Loop, recorder: TraceRecorder, script: Script) -> None:
         self.loop, self.recorder, self.seed = loop, recorder, script.play.seed
         self.began = loop.now()
         self.named = {(place, at.of) for at in script.at for place in at.places()}
-        self.relays: dict[str, dict[str, Relay]] = defaultdict(dict)
+        self.relays: dict[str, dict[str, Proxy]] = defaultdict(dict)
         self.sizes = Counter[tuple[str, str, int, Way]]()  # bytes of the connections that are open
 
     def way(self, place: str, allocator: str, target: Address) -> Address:
@@ -37,7 +37,7 @@
             return target
         relay = self.relays[place].get(allocator)
         if relay is None:
-            relay = self.relays[place][allocator] = Relay(
+            relay = self.relays[place][allocator] = Proxy(
                 self.loop,
                 f"{place} {allocator}",
                 target,
@@ -72,7 +72,7 @@
         wires = self._of(at)
         now = self.loop.now() - self.began
         for place, name, relay in wires:
-            relay.weather.add(Fault(now, at.duration, at.fields()))
+            relay.weather.add(ProxyFault(now, at.duration, at.fields()))
             self._tell(place, name, at, "begins")
 
         def end() -> None:
@@ -94,7 +94,7 @@
             for pair in list(relay.pairs.values()):
                 pair.half_open()
 
-    def _of(self, at: At) -> list[tuple[str, str, Relay]]:
+    def _of(self, at: At) -> list[tuple[str, str, Proxy]]:
         """Place, allocator and relay of the wires that a fault names."""
         relays = ((place, name, relay) for place in at.places() for name, relay in self.relays[place].items())
         return [(place, name, relay) for place, name, relay in relays if at.of in ("", name)]
--- a/glencleat/emulators/proxy.py
+++ b/glencleat/emulators/proxy.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from glencleat.event_loop import ConnectFailed, Listener, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop import ConnectError, Listener, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import READ, Coroutine
 from glencleat.emulators.proxy_faults import Datagrams, Door, Flow, Way, Weather
 
@@ -50,7 +50,7 @@
 class Pair:
     """One connection through the relay: two streams, a flow each way."""
 
-    def __init__(self, relay: Relay, number: int, near: Stream, far: Stream) -> None:
+    def __init__(self, relay: Proxy, number: int, near: Stream, far: Stream) -> None:
         self.relay, self.number, self.loop = relay, number, relay.loop
         self.sides = {Way.THERE: (near, far), Way.BACK: (far, near)}
         self.held = {Way.THERE: 0, Way.BACK: 0}
@@ -69,7 +69,7 @@
                 while self.held[way] > HELD and source.closed is None:
                     yield from self.loop.sleep(10.0)
             self._later(flow, 0, lambda: self._ended(sink))
-        except StreamClosed:
+        except StreamClosedError:
             if not self.half:
                 self._later(flow, 0, lambda: self.end(as_reset=True))
 
@@ -145,7 +145,7 @@
         self.told(Passed(self.now(), self.name, kind, number, way, size))
 
 
-class Relay(Between):
+class Proxy(Between):
     """TCP from its own address to `target`."""
 
     def _listen(self) -> None:
@@ -175,7 +175,7 @@
         self.tell("opened", number)
         try:
             far = yield from connect(self.loop, self.target, CONNECT_MS)
-        except ConnectFailed:
+        except ConnectError:
             self.tell("refused", number)
             near.close("its target is not there")
             return
@@ -193,7 +193,7 @@
         try:
             while data := (yield from near.read(PIECE)):
                 self.tell("piece", number, Way.THERE, len(data))
-        except StreamClosed:
+        except StreamClosedError:
             return
         near.close("it ended")
 
--- a/glencleat/emulators/proxy_faults.py
+++ b/glencleat/emulators/proxy_faults.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class ProxyState:
     """Of a wire at one time. Milliseconds, bytes a second, shares of datagrams."""
 
     cut: frozenset[Way] = frozenset()
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ProxyFault:
     """From `at_ms` for `for_ms` these fields of the state are others."""
 
     at_ms: float
@@ -64,18 +64,18 @@
     (frozenset(), 15.0, 6.0)
     """
 
-    def __init__(self, calm: State | None = None, faults: Iterable[Fault] = ()) -> None:
-        self.calm = calm or State()
-        self.faults: list[Fault] = []
+    def __init__(self, calm: ProxyState | None = None, faults: Iterable[ProxyFault] = ()) -> None:
+        self.calm = calm or ProxyState()
+        self.faults: list[ProxyFault] = []
         for fault in faults:
             self.add(fault)
 
-    def add(self, fault: Fault) -> None:
+    def add(self, fault: ProxyFault) -> None:
         """One that begins now or later. What passed before has its times already."""
         replace(self.calm, **fault.fields)  # a field that no state has is told now, not at its time
         self.faults = sorted([*self.faults, fault], key=lambda one: one.at_ms)
 
-    def at(self, now: float) -> State:
+    def at(self, now: float) -> ProxyState:
         state = self.calm
         for fault in self.faults:
             if fault.at_ms <= now < fault.end_ms:
--- a/glencleat/emulators/rest_owners.py
+++ b/glencleat/emulators/rest_owners.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from glencleat.checker.trace import Recorder
+from glencleat.checker.trace import TraceRecorder
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
-from glencleat.emulators.client import Address, Answer, Exchanges, Lines, Subscription
-from glencleat.emulators.owners import Job, Owner
+from glencleat.emulators.client import Address, HttpAnswer, Exchanges, Lines, Subscription
+from glencleat.emulators.owners import OwnerJob, EmulatedOwner
 
 PLACED = ("TASK_STARTING", "TASK_RUNNING")
 RECONCILED = "REASON_RECONCILIATION"
@@ -26,44 +26,44 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class RestTaskRequest:
     method: str
     target: str
     body: bytes
     headers: dict[str, str]
-    done: Callable[[Answer], None]
+    done: Callable[[HttpAnswer], None]
     wrote: Callable[[], None] = lambda: None
     until: float = 0.0  # it is sent again till then, if no answer comes
 
 
-class Requests(Exchanges[Ask]):
+class Requests(Exchanges[RestTaskRequest]):
     """Requests of the REST front; one whose answer did not come is sent again."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
         super().__init__(loop, address, "requests")
 
-    def _send(self, item: Ask) -> Coroutine:
+    def _send(self, item: RestTaskRequest) -> Coroutine:
         while True:
             answer = yield from self.exchange(item.method, item.target, item.headers, item.body, item.wrote)
             if answer is not None or self.loop.now() >= item.until:
                 break
             yield from self.loop.sleep(REPEAT_MS)
-        item.done(answer or Answer())
+        item.done(answer or HttpAnswer())
 
 
-class RestOwner(Owner):
+class RestOwner(EmulatedOwner):
     """One pipeline at one allocator's REST front."""
 
     def __init__(
         self,
         loop: Loop,
-        recorder: Recorder,
+        recorder: TraceRecorder,
         name: str,
         role: str,
         allocator: str,
         address: Address,
         seed: int,
-        done: Callable[[Job], None] = lambda job: None,
+        done: Callable[[OwnerJob], None] = lambda job: None,
     ) -> None:
         self.requests = Requests(loop, address)
         self.version = ""
@@ -134,7 +134,7 @@
             self._answered(job, "TASK_RUNNING", "never", "", f"{task['resourceVersion']} answer")
         self._answered(job, state, retry, reason, task["resourceVersion"])
 
-    def _answered(self, job: Job, state: str, retry: str, reason: str, text: str) -> None:
+    def _answered(self, job: OwnerJob, state: str, retry: str, reason: str, text: str) -> None:
         self.recorder.add(
             "answer", who=self.name, allocator=self.allocator, task=self.task_of(job),
             state=state, retry=retry, reason=reason, text=text,
@@ -143,10 +143,10 @@
 
     # ---- asking ----
 
-    def task_of(self, job: Job) -> str:
+    def task_of(self, job: OwnerJob) -> str:
         return f"{self.framework}/{job.id}.0"
 
-    def ask(self, job: Job) -> None:
+    def ask(self, job: OwnerJob) -> None:
         self.jobs[job.id] = job
         job.first_at = job.first_at or self.loop.now()
         job.state = "waits"
@@ -155,7 +155,7 @@
         else:
             self.unsent.append(job)
 
-    def _send(self, job: Job) -> None:
+    def _send(self, job: OwnerJob) -> None:
         if job.state != "waits":
             return
         job.state, job.asked_at, job.end = "asked", self.loop.now(), "unanswered"
@@ -166,13 +166,13 @@
             self._post_job(job)
 
     def _request(
-        self, method: str, target: str, body: bytes, done: Callable[[Answer], None], **more: Any
+        self, method: str, target: str, body: bytes, done: Callable[[HttpAnswer], None], **more: Any
     ) -> None:
         headers = {"content-type": "application/json"} if body else {}
         headers |= more.pop("headers", {})
-        self.requests.put(Ask(method, target, body, headers, done, **more))
+        self.requests.put(RestTaskRequest(method, target, body, headers, done, **more))
 
-    def _post_job(self, job: Job) -> None:
+    def _post_job(self, job: OwnerJob) -> None:
         if job.state != "asked":
             return
         patience = self.wait_ms.get(job.id, job.want.deadline_ms)
@@ -198,7 +198,7 @@
             headers=key, wrote=wrote, until=until,
         )  # fmt: skip
 
-    def _posted(self, job: Job, answer: Answer) -> None:
+    def _posted(self, job: OwnerJob, answer: HttpAnswer) -> None:
         if answer.status in (429, 503) and job.state == "asked":
             self._answered(job, "TASK_DROPPED", "harmless", f"HTTP {answer.status}", "")
         elif answer.status == 422 and job.state == "asked":
@@ -209,7 +209,7 @@
             target = f"{self.place}/tasks/{quote(self.framework, safe='')}/{name}.0"
             self._request("GET", target, b"", lambda answer, name=name: self._got(name, answer))  # type: ignore[misc]
 
-    def _got(self, name: str, answer: Answer) -> None:
+    def _got(self, name: str, answer: HttpAnswer) -> None:
         job = self.jobs.get(name)
         if job is None or answer.status != 200:
             return
@@ -219,7 +219,7 @@
     def _post(self, kind: str, wrote: Callable[[], None] | None = None, **parts: object) -> None:
         raise AssertionError(f"{kind} is no call of this front")
 
-    def cancel(self, job: Job) -> None:
+    def cancel(self, job: OwnerJob) -> None:
         """Asks that the job be stopped."""
         self._request("DELETE", f"{self.place}/jobs/{job.id}", b"", lambda answer: None)
 
--- a/glencleat/emulators/script.py
+++ b/glencleat/emulators/script.py
@@ -22,9 +22,9 @@
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from glencleat.checker.invariants import Figures, Spread
-from glencleat.config import Config
-from glencleat.config.load import Tables, load, load_as
+from glencleat.checker.invariants import RuleParameters, Spread
+from glencleat.config import AllocatorConfig
+from glencleat.config.load import KeywordTables, load, load_as
 from glencleat.config.schema import SIZES, Count, Megabytes, Milliseconds, Name, Part, parse_unit
 from glencleat.emulators.proxy_faults import Door, Way
 
@@ -61,14 +61,14 @@
 Share = Annotated[float, BeforeValidator(_share), Field(gt=0, le=1)]
 
 
-class Play(Part):
+class PlaySection(Part):
     seed: Annotated[int, Field(ge=0)] = 1
     warm: Milliseconds = 0.0  # from all being up to the first ask
     length: Milliseconds = 30_000.0
     settle: Milliseconds = 12_000.0  # after the last ask, for answers and ends
 
 
-class Hosts(Part):
+class HostsSection(Part):
     count: Count = 12
     halls: Annotated[tuple[Name, ...], BeforeValidator(_list)] = ("hall-a", "hall-b", "hall-c")
     decide: Milliseconds = 8.0
@@ -79,13 +79,13 @@
     heartbeat: Milliseconds = 1_000.0
 
 
-class Owners(Part):
+class OwnersSection(Part):
     count: Count = 30
     rate: Annotated[float, Field(gt=0, le=5_000)] = 20.0  # new tasks a second, of all
     rest: Annotated[float, BeforeValidator(_share), Field(ge=0, le=1)] = 0.0  # so many come by the REST front
 
 
-class Allocators(Part):
+class AllocatorsSection(Part):
     count: Annotated[int, Field(ge=1, le=64)] = 3
     keep_list: Literal["yes", "no"] = "no"  # each over its own restarts
 
@@ -189,10 +189,10 @@
 
 class Script(Part):
     campus: str
-    play: Play = Play()
-    hosts: Hosts = Hosts()
-    owners: Owners = Owners()
-    allocators: Allocators = Allocators()
+    play: PlaySection = PlaySection()
+    hosts: HostsSection = HostsSection()
+    owners: OwnersSection = OwnersSection()
+    allocators: AllocatorsSection = AllocatorsSection()
     directory: DirectoryPart = DirectoryPart()
     wants: Annotated[tuple[WantPart, ...], Field(min_length=1)]
     at: tuple[At, ...] = ()
@@ -224,10 +224,10 @@
 
 def load_script(path: Path) -> Script:
     """Reads and checks a play's file; raises ConfigError."""
-    return load_as(Script, Tables(PAIRS, {"campus": "campus"}), path)
+    return load_as(Script, KeywordTables(PAIRS, {"campus": "campus"}), path)
 
 
-def load_campus(path: Path) -> Config:
+def load_campus(path: Path) -> AllocatorConfig:
     """What all allocators of a play share; who they are is the play's to say."""
 
     def fill(said: dict[str, Any]) -> None:
@@ -238,10 +238,10 @@
     return load(path, fill)
 
 
-def figures(campus: Config) -> Figures:
+def figures(campus: AllocatorConfig) -> RuleParameters:
     """What the five rules state for this campus."""
     keyed = [c for c in campus.classes if c.effect == "keyed"]
-    return Figures(
+    return RuleParameters(
         drain_ms=campus.drain,
         cold_ms=campus.cold.warm,
         cold_window_ms=campus.cold.window,
