--- a/glencleat/emulators/standalone.py
+++ b/glencleat/emulators/standalone.py
@@ -9,20 +9,20 @@
 from collections.abc import Callable
 from random import Random
 
-from glencleat.checker.trace import Recorder
-from glencleat.config import Config
+from glencleat.checker.trace import TraceRecorder
+from glencleat.config import AllocatorConfig
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.emulators.client import Address
-from glencleat.emulators.directory import Directory, Entry
-from glencleat.emulators.hosts import Host
+from glencleat.emulators.directory import Directory, DirectoryEntry
+from glencleat.emulators.hosts import EmulatedHost
 from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import Job, Owner, Want
+from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
 from glencleat.emulators.rest_owners import RestOwner
 from glencleat.emulators.script import Script
 
 
-def nature(script: Script, campus: Config) -> Nature:
+def nature(script: Script, campus: AllocatorConfig) -> Nature:
     """How the hosts of a play behave."""
     return Nature(
         accept_cores=campus.accept.cores,
@@ -35,7 +35,9 @@
     )
 
 
-def hosts(loop: Loop, recorder: Recorder, script: Script, campus: Config, random: Random) -> list[Host]:
+def hosts(
+    loop: Loop, recorder: TraceRecorder, script: Script, campus: AllocatorConfig, random: Random
+) -> list[EmulatedHost]:
     """The hosts of a play, not started: kinds and halls in turn, four racks a hall."""
     told, made = script.hosts, []
     for i in range(told.count):
@@ -43,7 +45,7 @@
         size = kind.cores, kind.memory
         cell = i // len(told.halls) % 4
         made.append(
-            Host(
+            EmulatedHost(
                 loop, recorder, f"h{i:02d}", kind.name, size, hall, cell, nature(script, campus),
                 random.getrandbits(32), told.heartbeat, told.report,
             )
@@ -53,15 +55,15 @@
 
 def owners(
     loop: Loop,
-    recorder: Recorder,
+    recorder: TraceRecorder,
     script: Script,
     allocators: list[tuple[str, Address]],
     random: Random,
-    done: Callable[[Job], None] = lambda job: None,
+    done: Callable[[OwnerJob], None] = lambda job: None,
     rest: dict[str, Address] | None = None,
-) -> list[Owner]:
+) -> list[EmulatedOwner]:
     """The owners of a play, at the allocators in turn, of five firms; so many as the script says by REST."""
-    made = list[Owner]()
+    made = list[EmulatedOwner]()
     share, by_rest = script.owners.rest, 0
     for i in range(script.owners.count):
         name, address = allocators[i % len(allocators)]
@@ -70,19 +72,21 @@
             by_rest += 1
             made.append(RestOwner(loop, recorder, f"r{i:03d}", f"firm-{i % 5}", name, rest[name], seed, done))
         else:
-            made.append(Owner(loop, recorder, f"o{i:03d}", f"firm-{i % 5}", name, address, seed, done))
+            made.append(
+                EmulatedOwner(loop, recorder, f"o{i:03d}", f"firm-{i % 5}", name, address, seed, done)
+            )
     return made
 
 
-def entry(host: Host, draining: bool = False) -> Entry:
+def entry(host: EmulatedHost, draining: bool = False) -> DirectoryEntry:
     machine = host.machine
     size = machine.cores, machine.memory
-    return Entry(
+    return DirectoryEntry(
         host.name, machine.kind, host.zone, host.cell, *size, draining, host.up_wall, machine.asked()
     )
 
 
-def job(script: Script, campus: Config, random: Random, number: int) -> Job:
+def job(script: Script, campus: AllocatorConfig, random: Random, number: int) -> OwnerJob:
     """A task as the play's `want` lines describe them."""
     part = random.choices(script.wants, [want.share for want in script.wants])[0]
     cls = next(c for c in campus.classes if c.name == part.cls)
@@ -91,12 +95,14 @@
     cores, memory = random.choice(sizes)
     service = f"{part.cls}-{random.randrange(part.services)}"
     life = random.uniform(part.life_from, part.life_to)
-    return Job(f"t{number:05d}", want, service, cores, memory, life)
+    return OwnerJob(f"t{number:05d}", want, service, cores, memory, life)
 
 
-def run_directory(loop: Loop, script: Script, campus: Config, listen: list[tuple[str, Address]]) -> Directory:
+def run_directory(
+    loop: Loop, script: Script, campus: AllocatorConfig, listen: list[tuple[str, Address]]
+) -> Directory:
     """Serves the hosts of the script as a list, one address for each allocator."""
-    random, recorder = Random(script.play.seed), Recorder(loop.now)
+    random, recorder = Random(script.play.seed), TraceRecorder(loop.now)
     listed = [entry(host) for host in hosts(loop, recorder, script, campus, random)]
     directory = Directory(loop, recorder, lambda: listed, script.directory.late, script.directory.every)
     for name, address in listen:
@@ -106,9 +112,9 @@
 
 
 def run_hosts(
-    loop: Loop, script: Script, campus: Config, allocators: list[tuple[str, Address]]
-) -> list[Host]:
-    random, recorder = Random(script.play.seed), Recorder(loop.now)
+    loop: Loop, script: Script, campus: AllocatorConfig, allocators: list[tuple[str, Address]]
+) -> list[EmulatedHost]:
+    random, recorder = Random(script.play.seed), TraceRecorder(loop.now)
     made = hosts(loop, recorder, script, campus, random)
     for host in made:
         host.allocators = dict(allocators)
@@ -117,12 +123,12 @@
 
 
 def run_owners(
-    loop: Loop, script: Script, campus: Config, allocators: list[tuple[str, Address]]
+    loop: Loop, script: Script, campus: AllocatorConfig, allocators: list[tuple[str, Address]]
 ) -> tuple[Coroutine, Counter[str]]:
     """A task that asks for the script's length and then waits out its `settle`; counts how asks ended."""
-    random, recorder, ends = Random(script.play.seed), Recorder(loop.now), Counter[str]()
+    random, recorder, ends = Random(script.play.seed), TraceRecorder(loop.now), Counter[str]()
 
-    def done(job: Job) -> None:
+    def done(job: OwnerJob) -> None:
         ends[job.end or "not asked"] += 1
 
     made = owners(loop, recorder, script, allocators, random, done)
--- a/glencleat/endpoint_snapshot.py
+++ b/glencleat/endpoint_snapshot.py
@@ -19,11 +19,11 @@
 AHEAD_MS = 1_000.0  # of our clock: one that was set back says nothing about a list's age
 
 
-class BadList(Exception):
+class EndpointSnapshotError(Exception):
     """It can't be used; the text says why."""
 
 
-class Kept(msgspec.Struct, array_like=True):
+class MachineRecord(msgspec.Struct, array_like=True):
     """A machine. Wall milliseconds, since a restart's monotonic clock begins anew."""
 
     name: str
@@ -36,32 +36,34 @@
     ready_wall_ms: float | None
 
 
-class Whole(msgspec.Struct, tag="whole"):
+class SnapshotRecord(msgspec.Struct, tag="whole"):
     format: int
     pool: str
     at_ms: float
-    machines: list[Kept]
+    machines: list[MachineRecord]
 
 
-class Change(msgspec.Struct, tag="change"):
+class ChangeRecord(msgspec.Struct, tag="change"):
     at_ms: float
-    machine: Kept
+    machine: MachineRecord
 
 
 @dataclass
-class List:
+class EndpointSnapshot:
     pool: str
     at_ms: float  # when it was last known to be true
-    machines: dict[str, Kept] = field(default_factory=dict)
+    machines: dict[str, MachineRecord] = field(default_factory=dict)
 
 
 ENCODER = msgspec.json.Encoder()
-DECODER: msgspec.json.Decoder[Whole | Change] = msgspec.json.Decoder(Whole | Change)
+DECODER: msgspec.json.Decoder[SnapshotRecord | ChangeRecord] = msgspec.json.Decoder(
+    SnapshotRecord | ChangeRecord
+)
 
 
-def kept(machine: api.Machine, now_ms: float, wall_ms: float) -> Kept:
+def kept(machine: api.Machine, now_ms: float, wall_ms: float) -> MachineRecord:
     ready = machine.ready_at_ms
-    return Kept(
+    return MachineRecord(
         machine.name,
         machine.kind,
         machine.zone,
@@ -73,50 +75,54 @@
     )
 
 
-def _line(record: Whole | Change) -> bytes:
+def _line(record: SnapshotRecord | ChangeRecord) -> bytes:
     data = ENCODER.encode(record)
     return b"%08x %b\n" % (crc32(data), data)
 
 
 def whole(pool: str, machines: Iterable[api.Machine], now_ms: float, wall_ms: float) -> bytes:
-    return _line(Whole(FORMAT, pool, wall_ms, [kept(machine, now_ms, wall_ms) for machine in machines]))
+    return _line(
+        SnapshotRecord(FORMAT, pool, wall_ms, [kept(machine, now_ms, wall_ms) for machine in machines])
+    )
 
 
 def change(machine: api.Machine, now_ms: float, wall_ms: float) -> bytes:
-    return _line(Change(wall_ms, kept(machine, now_ms, wall_ms)))
+    return _line(ChangeRecord(wall_ms, kept(machine, now_ms, wall_ms)))
 
 
-def read(data: bytes) -> List:
+def read(data: bytes) -> EndpointSnapshot:
     """Raises BadList."""
     *lines, _ = data.split(b"\n")  # what follows the last line end was being written
-    found: List | None = None
+    found: EndpointSnapshot | None = None
     for number, line in enumerate(lines, 1):
         record = _record(number, line)
-        if isinstance(record, Whole) and found is None:
+        if isinstance(record, SnapshotRecord) and found is None:
             if record.format != FORMAT:
-                raise BadList(f"format {record.format}; expected {FORMAT}")
-            found = List(record.pool, record.at_ms, {machine.name: machine for machine in record.machines})
-        elif isinstance(record, Change) and found is not None:
+                raise EndpointSnapshotError(f"format {record.format}; expected {FORMAT}")
+            found = EndpointSnapshot(
+                record.pool, record.at_ms, {machine.name: machine for machine in record.machines}
+            )
+        elif isinstance(record, ChangeRecord) and found is not None:
             found.at_ms = max(found.at_ms, record.at_ms)
             found.machines[record.machine.name] = record.machine
         else:
-            raise BadList(f"line {number} is a {type(record).__name__.lower()} out of place")
+            raise EndpointSnapshotError(f"line {number} is a {type(record).__name__.lower()} out of place")
     if found is None:
-        raise BadList("no whole line")
+        raise EndpointSnapshotError("no whole line")
     return found
 
 
-def _record(number: int, line: bytes) -> Whole | Change:
+def _record(number: int, line: bytes) -> SnapshotRecord | ChangeRecord:
     told, _, rest = line.partition(b" ")
     if told != b"%08x" % crc32(rest):
-        raise BadList(f"line {number} is not what was written")
+        raise EndpointSnapshotError(f"line {number} is not what was written")
     try:
         return DECODER.decode(rest)
     except msgspec.DecodeError as error:
-        raise BadList(f"line {number}: {error}") from None
+        raise EndpointSnapshotError(f"line {number}: {error}") from None
 
 
-def usable(found: List, pool: str, wall_ms: float, most_age_ms: float) -> str | None:
+def usable(found: EndpointSnapshot, pool: str, wall_ms: float, most_age_ms: float) -> str | None:
     """Why not, or None."""
     age = wall_ms - found.at_ms
     if found.pool != pool:
@@ -128,14 +134,14 @@
     return None
 
 
-def machines(found: List, now_ms: float, wall_ms: float) -> tuple[api.Machine, ...]:
+def machines(found: EndpointSnapshot, now_ms: float, wall_ms: float) -> tuple[api.Machine, ...]:
     """As the list would tell them; raises BadList. One that is gone is left out."""
     told = []
     for one in found.machines.values():
         try:
             phase = api.MachinePhase(one.phase)
         except ValueError:
-            raise BadList(f"machine {one.name[:40]}: phase {one.phase[:20]!r}") from None
+            raise EndpointSnapshotError(f"machine {one.name[:40]}: phase {one.phase[:20]!r}") from None
         if phase is api.MachinePhase.REMOVED:
             continue
         ready = one.ready_wall_ms
--- a/glencleat/event_loop/__init__.py
+++ b/glencleat/event_loop/__init__.py
@@ -2,25 +2,32 @@
 
 It imports nothing of glencleat. Clock and sockets come in from outside (`Loop(clock, poller)`)."""
 
-from glencleat.event_loop.loop import Cancelled, Clock, Loop, Pause, Poller, SystemClock, Task
+from glencleat.event_loop.loop import CancelledError, Clock, Loop, Pause, Poller, SystemClock, LoopTask
 from glencleat.event_loop.signals import Signals
-from glencleat.event_loop.streams import ConnectFailed, Listener, Overflow, Stream, StreamClosed, connect
+from glencleat.event_loop.streams import (
+    ConnectError,
+    Listener,
+    StreamOverflowError,
+    Stream,
+    StreamClosedError,
+    connect,
+)
 from glencleat.event_loop.timers import Timer, TimerHeap, TimerWheel
 
 __all__ = [
-    "Cancelled",
+    "CancelledError",
     "Clock",
-    "ConnectFailed",
+    "ConnectError",
     "Listener",
     "Loop",
-    "Overflow",
+    "StreamOverflowError",
     "Pause",
     "Poller",
     "Signals",
     "Stream",
-    "StreamClosed",
+    "StreamClosedError",
     "SystemClock",
-    "Task",
+    "LoopTask",
     "Timer",
     "TimerHeap",
     "TimerWheel",
--- a/glencleat/event_loop/loop.py
+++ b/glencleat/event_loop/loop.py
@@ -13,13 +13,13 @@
 
 from glencleat.event_loop.timers import Timer, Timers, TimerWheel
 
-Arm = Callable[["Task"], Callable[[], None]]  # starts a wait, returns what ends it early
+Arm = Callable[["LoopTask"], Callable[[], None]]  # starts a wait, returns what ends it early
 Coroutine = Generator[Arm, Any, Any]
 MOST_EVENTS = 4_096  # of one poll; more than there are descriptors, so that it tells of all that has come
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 
 
-class Cancelled(BaseException):
+class CancelledError(BaseException):
     """Thrown into a task that is cancelled; a task may clean up but not go on waiting."""
 
 
@@ -88,20 +88,20 @@
         return len(events)
 
 
-class Task:
+class LoopTask:
     """A running generator. Its children are cancelled when it ends."""
 
     __slots__ = (
         "gen", "name", "parent", "urgent", "children", "done", "result", "error", "disarm", "joiners"
     )  # fmt: skip
 
-    def __init__(self, gen: Coroutine, name: str, parent: Task | None, urgent: bool = False) -> None:
+    def __init__(self, gen: Coroutine, name: str, parent: LoopTask | None, urgent: bool = False) -> None:
         self.gen, self.name, self.parent, self.urgent = gen, name, parent, urgent
-        self.children: set[Task] = set()
+        self.children: set[LoopTask] = set()
         self.done, self.result = False, None
         self.error: BaseException | None = None
         self.disarm: Callable[[], None] | None = None
-        self.joiners: list[Task] = []
+        self.joiners: list[LoopTask] = []
 
 
 class Loop:
@@ -121,15 +121,15 @@
         self.clock = clock or SystemClock()
         self.poller = poller or EpollPoller()
         self.timers: Timers = timers or TimerWheel(self.clock.now())
-        self.ready: deque[tuple[Task, Any, BaseException | None]] = deque()
-        self.first: deque[tuple[Task, Any, BaseException | None]] = deque()  # the urgent ones of these
+        self.ready: deque[tuple[LoopTask, Any, BaseException | None]] = deque()
+        self.first: deque[tuple[LoopTask, Any, BaseException | None]] = deque()  # the urgent ones of these
         self.due: deque[Timer] = deque()  # of this round; an error in one leaves the others to the next
         self.running = False
-        self.current: Task | None = None
-        self.on_error: Callable[[Task, BaseException], None] = self._raise
+        self.current: LoopTask | None = None
+        self.on_error: Callable[[LoopTask, BaseException], None] = self._raise
 
     @staticmethod
-    def _raise(task: Task, error: BaseException) -> None:
+    def _raise(task: LoopTask, error: BaseException) -> None:
         raise error
 
     def now(self) -> float:
@@ -138,40 +138,42 @@
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
         return self.timers.add(self.clock.now() + in_ms, call)
 
-    def spawn(self, gen: Coroutine, name: str, parent: Task | None = None, urgent: bool = False) -> Task:
+    def spawn(
+        self, gen: Coroutine, name: str, parent: LoopTask | None = None, urgent: bool = False
+    ) -> LoopTask:
         """`urgent`: what the poller wakes it for is handled before all timers and other tasks of that round.
 
         For what all the others have to know: after a standstill they would act on what is no longer so."""
-        task = Task(gen, name, parent, urgent)
+        task = LoopTask(gen, name, parent, urgent)
         if parent is not None:
             parent.children.add(task)
         self.ready.append((task, None, None))
         return task
 
-    def wake(self, task: Task, value: Any = None) -> None:
+    def wake(self, task: LoopTask, value: Any = None) -> None:
         """Ends the task's present wait; it goes on in this round of the loop."""
         task.disarm = None
         (self.first if task.urgent else self.ready).append((task, value, None))
 
-    def cancel(self, task: Task) -> None:
+    def cancel(self, task: LoopTask) -> None:
         if task.done:
             return
         if task.disarm is not None:
             task.disarm()
             task.disarm = None
-        self.ready.append((task, None, Cancelled()))
+        self.ready.append((task, None, CancelledError()))
 
     def sleep(self, ms: float) -> Coroutine:
-        def arm(task: Task) -> Callable[[], None]:
+        def arm(task: LoopTask) -> Callable[[], None]:
             return self.call_in(ms, lambda: self.wake(task)).cancel
 
         yield arm
 
-    def join(self, other: Task) -> Coroutine:
+    def join(self, other: LoopTask) -> Coroutine:
         """Waits for the end of another task; gives its result or raises its error."""
         if not other.done:
 
-            def arm(task: Task) -> Callable[[], None]:
+            def arm(task: LoopTask) -> Callable[[], None]:
                 other.joiners.append(task)
                 return lambda: other.joiners.remove(task)
 
@@ -180,7 +182,7 @@
             raise other.error
         return other.result
 
-    def _step(self, task: Task, value: Any, error: BaseException | None) -> None:
+    def _step(self, task: LoopTask, value: Any, error: BaseException | None) -> None:
         if task.done:
             return
         if error is not None and task.disarm is not None:
@@ -191,7 +193,7 @@
             arm = task.gen.send(value) if error is None else task.gen.throw(error)
         except StopIteration as stop:
             self._end(task, stop.value, None)
-        except Cancelled:
+        except CancelledError:
             self._end(task, None, None)
         except Exception as fault:
             self._end(task, None, fault)
@@ -200,7 +202,7 @@
         finally:
             self.current = None
 
-    def _end(self, task: Task, result: Any, error: BaseException | None) -> None:
+    def _end(self, task: LoopTask, result: Any, error: BaseException | None) -> None:
         task.done, task.result, task.error = True, result, error
         if task.parent is not None:
             task.parent.children.discard(task)
@@ -237,7 +239,7 @@
         while self.running:
             self.round()
 
-    def run_until(self, task: Task) -> Any:
+    def run_until(self, task: LoopTask) -> Any:
         """Runs until the task has ended; gives its result or raises its error."""
         while not task.done:
             self.round()
@@ -270,7 +272,7 @@
     def sleep(self, ms: float) -> Coroutine:
         """Whether it lasted as long as it should."""
 
-        def arm(task: Task) -> Callable[[], None]:
+        def arm(task: LoopTask) -> Callable[[], None]:
             def disarm() -> None:
                 timer.cancel()
                 self._wake = None
--- a/glencleat/event_loop/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, Task
+from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, LoopTask
 
 CHUNK = 65_536
 AT_ONCE = 4  # reads of one stream that need no wait before others have their turn
@@ -23,11 +23,11 @@
 TIMESPEC = struct.Struct("qq")
 
 
-class StreamClosed(Exception):
+class StreamClosedError(Exception):
     """The peer or we closed the stream; the text says which and why."""
 
 
-class ConnectFailed(StreamClosed):
+class ConnectError(StreamClosedError):
     """No connection came up; `code` is the errno: ECONNREFUSED is the peer's machine speaking."""
 
     def __init__(self, address: tuple[str, int], code: int) -> None:
@@ -35,7 +35,7 @@
         self.code = code
 
 
-class Overflow(StreamClosed):
+class StreamOverflowError(StreamClosedError):
     """The peer reads too slowly: more than the limit waits unsent."""
 
 
@@ -49,8 +49,8 @@
         self.queued = self.written = 0
         self.closed: str | None = None
         self.on_close: list[Callable[[str], None]] = []
-        self.reader: Task | None = None
-        self.flusher: Task | None = None
+        self.reader: LoopTask | None = None
+        self.flusher: LoopTask | None = None
         self.interest = 0
         self.readable = False
         self.at_once = 0  # reads in a row that needed no wait
@@ -95,14 +95,14 @@
             if self.at_once % AT_ONCE == 0:
                 yield from self.loop.sleep(0.0)
         if self.closed is not None:
-            raise StreamClosed(self.closed)
+            raise StreamClosedError(self.closed)
 
     def take(self, size: int = CHUNK) -> bytes | None:
         """What has come by this instant, whether the poller told of it or not.
 
         b"" at the peer's end, None if there is nothing; raises StreamClosed once it is closed."""
         if self.closed is not None:
-            raise StreamClosed(self.closed)
+            raise StreamClosedError(self.closed)
         try:
             data: bytes = self._recv_stamped(size) if self.stamped else self.sock.recv(size)
         except (BlockingIOError, InterruptedError):
@@ -110,7 +110,7 @@
             return None
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
-            raise StreamClosed(self.closed or "") from None
+            raise StreamClosedError(self.closed or "") from None
         if len(data) < size:
             self._emptied()
         else:
@@ -157,7 +157,7 @@
                 self.arrived = seconds * 1e3 + nanoseconds / 1e6
         return bytes(data)
 
-    def _arm_read(self, task: Task) -> Callable[[], None]:
+    def _arm_read(self, task: LoopTask) -> Callable[[], None]:
         self.reader = task
         self._want(self.interest | READ)
 
@@ -171,7 +171,7 @@
 
         Raises StreamClosed, or Overflow when the peer reads too slowly (the stream is then closed)."""
         if self.closed is not None:
-            raise StreamClosed(self.closed)
+            raise StreamClosedError(self.closed)
         self.queued += len(data)
         waiting = bool(self.out)
         self.out += data
@@ -179,14 +179,14 @@
             self._write()
         if len(self.out) > self.limit:
             self.close(f"slow reader: {len(self.out)} bytes unsent")
-            raise Overflow(self.closed or "")
+            raise StreamOverflowError(self.closed or "")
         return self.queued
 
     def put(self, data: bytes) -> bool:
         """`send` for who need not know why: False if the stream is closed, or was by this."""
         try:
             self.send(data)
-        except StreamClosed:
+        except StreamClosedError:
             return False
         return self.closed is None
 
@@ -209,7 +209,7 @@
         """Waits until all that is queued has been handed to the socket, or the stream is closed."""
         while self.out and self.closed is None:
 
-            def arm(task: Task) -> Callable[[], None]:
+            def arm(task: LoopTask) -> Callable[[], None]:
                 self.flusher = task
 
                 def disarm() -> None:
@@ -245,15 +245,15 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:  # out of descriptors: ours, not the peer's
-        raise ConnectFailed(address, error.errno or errno.EMFILE) from None
+        raise ConnectError(address, error.errno or errno.EMFILE) from None
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     code = sock.connect_ex(address)
     if code not in (0, errno.EINPROGRESS):
         sock.close()
-        raise ConnectFailed(address, code)
+        raise ConnectError(address, code)
 
-    def arm(task: Task) -> Callable[[], None]:
+    def arm(task: LoopTask) -> Callable[[], None]:
         timer = loop.call_in(timeout_ms, lambda: told(-1))
 
         def told(mask: int) -> None:
@@ -275,7 +275,7 @@
     code = errno.ETIMEDOUT if mask == -1 else sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         sock.close()
-        raise ConnectFailed(address, code)
+        raise ConnectError(address, code)
     return Stream(loop, sock, limit)
 
 
--- a/glencleat/flow_control/backoff.py
+++ b/glencleat/flow_control/backoff.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class BackoffPolicy:
     """Milliseconds. Waits are drawn from [0, first], then from the upper half of a span up to `most`."""
 
     first_ms: float
@@ -27,16 +27,16 @@
 
 # What a break of the list may cost is 2 s (protocol page); the first two waits and what comes between keep to
 # it where the service is well again. Under a service that stays down each asks every 1.5 s on average.
-LIST = Pace(first_ms=600.0, most_ms=2_000.0, steady_ms=2_000.0)
+LIST = BackoffPolicy(first_ms=600.0, most_ms=2_000.0, steady_ms=2_000.0)
 # The platform's command channel: what it tells counts as told at once, and a grace of some seconds begins.
 # The longest wait and a try that came just too early (0.5 s) stay within it; 0.9 tries a second each.
-CHANNEL = Pace(first_ms=600.0, most_ms=1_500.0, steady_ms=2_000.0)
+CHANNEL = BackoffPolicy(first_ms=600.0, most_ms=1_500.0, steady_ms=2_000.0)
 # A host that can't be had: the first two tries within the time that refusals must last to prove an end; then
 # as often as one in 0.8 s, in the mean.
-HOST = Pace(first_ms=100.0, most_ms=1_000.0, steady_ms=1_000.0)
+HOST = BackoffPolicy(first_ms=100.0, most_ms=1_000.0, steady_ms=1_000.0)
 
 
-class Asking:
+class Backoff:
     """One party that is asked.
 
     >>> asking = Asking(LIST, Random(1))
@@ -45,7 +45,7 @@
     True
     """
 
-    def __init__(self, pace: Pace, random: Random) -> None:
+    def __init__(self, pace: BackoffPolicy, random: Random) -> None:
         self.pace, self.random = pace, random
         self.tries = 0  # since the last connection that was one
         self.span = pace.first_ms
--- a/glencleat/flow_control/connection_limiter.py
+++ b/glencleat/flow_control/connection_limiter.py
@@ -29,7 +29,7 @@
     return min(LOOK_MOST_MS, 1e3 * peers / LOOKS_AT_ONE)
 
 
-class Connecting:
+class ConnectionLimiter:
     """What is coming up.
 
     >>> connecting = Connecting()
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import Any, Generic, TypeVar
 
-from glencleat.index.due_queue import DueIndex
+from glencleat.index.due_queue import DueQueue
 
 K = TypeVar("K", bound=Hashable)
 
 
-class Turns(Generic[K]):
+class DirtySet(Generic[K]):
     """`order` gives a key's place: no two have the same, and none changes while turns are taken.
 
     >>> turns = Turns[str](order=len)
@@ -32,7 +32,7 @@
     def __init__(self, order: Callable[[K], Any]) -> None:
         self.order = order
         self.dirty: set[K] = set()
-        self.due: DueIndex[K] = DueIndex()
+        self.due: DueQueue[K] = DueQueue()
         self.heap: list[tuple[Any, K]] = []  # of the turns that are being taken
         self.place: Any = None  # where they have come to
         self.taken = 0  # turns, in all
--- a/glencleat/index/due_queue.py
+++ b/glencleat/index/due_queue.py
@@ -17,7 +17,7 @@
 LEAST = 64  # stale entries that are let be
 
 
-class DueIndex(Generic[K]):
+class DueQueue(Generic[K]):
     """
     >>> index = DueIndex[str]()
     >>> index.put("a", 5.0); index.put("b", 3.0); index.put("a", 9.0)
--- a/glencleat/index/rendezvous.py
+++ b/glencleat/index/rendezvous.py
@@ -24,14 +24,14 @@
 SPARE = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
 
 
-class Member(Protocol):
+class RendezvousMember(Protocol):
     """What is ordered: told apart by identity, its name unique in the set."""
 
     name: str
     hash: int  # of its name, 64 bits
 
 
-T = TypeVar("T", bound=Member)
+T = TypeVar("T", bound=RendezvousMember)
 
 
 def hashed(text: str) -> int:
@@ -65,7 +65,7 @@
         return found
 
 
-class Order(Generic[T]):
+class RendezvousOrder(Generic[T]):
     """The members in one key's order, as of the version at which it was last asked for."""
 
     __slots__ = ("numbers", "seed", "slots", "version")
@@ -127,7 +127,7 @@
 
     __slots__ = ("keys", "order", "skipped")
 
-    def __init__(self, order: Order[T], skipped: Iterable[T]) -> None:
+    def __init__(self, order: RendezvousOrder[T], skipped: Iterable[T]) -> None:
         self.order, self.skipped, self.keys = order, skipped, list[tuple[int, str]]()
 
     def __getitem__(self, at: int) -> T:
@@ -141,7 +141,7 @@
         return order[place]
 
 
-class Members(Generic[T]):
+class RendezvousIndex(Generic[T]):
     """The set, its latest changes, and the orders asked for: the longest unused go when `most` is passed."""
 
     checked: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
@@ -153,7 +153,7 @@
         self.slots = Slots[T]()
         self.version, self.held = 0, 0
         self.changes: deque[tuple[int, bool]] = deque(maxlen=CHANGES)
-        self.orders: dict[str, Order[T]] = {}
+        self.orders: dict[str, RendezvousOrder[T]] = {}
 
     def __contains__(self, item: T) -> bool:
         return item in self.items
@@ -187,9 +187,9 @@
         for item in self.items:
             self.slots.there[self.slots.number(item)] = True
 
-    def order(self, key: str) -> Order[T]:
+    def order(self, key: str) -> RendezvousOrder[T]:
         """The members in this key's order, up to date until the next `put`; not to be changed."""
-        order = self.orders.pop(key, None) or Order[T](hashed(key), self.slots)
+        order = self.orders.pop(key, None) or RendezvousOrder[T](hashed(key), self.slots)
         self.orders[key] = order  # the last one used stands last
         if order.version != self.version:
             before = len(order)
@@ -201,7 +201,7 @@
                 self.check(order)
         return order
 
-    def _catch_up(self, order: Order[T]) -> None:
+    def _catch_up(self, order: RendezvousOrder[T]) -> None:
         behind, came = self.version - order.version, set[int]()
         if order.version >= 0 and behind <= len(self.changes) and behind * SCANNED <= len(self.items):
             net = dict[int, bool]()
@@ -222,7 +222,7 @@
                 order.insert(number)
         order.version = self.version
 
-    def check(self, order: Order[T]) -> None:
+    def check(self, order: RendezvousOrder[T]) -> None:
         """Compares an order, and the count of references, with what a sort of all members gives."""
         plain = sorted(self.items, key=order.key_of)
         if list(map(id, plain)) != list(map(id, order)):
--- a/glencleat/mesos/messages.py
+++ b/glencleat/mesos/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 
-class BadMessage(Exception):
+class MessageError(Exception):
     """The peer's fault: what was wrong in the message and what was expected."""
 
 
@@ -400,7 +400,7 @@
     try:
         message: T = DECODERS[kind].decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadMessage(f"{kind.__name__}: {str(error)[:300]}") from None
+        raise MessageError(f"{kind.__name__}: {str(error)[:300]}") from None
     return message
 
 
@@ -413,7 +413,7 @@
     try:
         raw = base64.b64decode(data, validate=True)
     except ValueError as error:
-        raise BadMessage(f"payload: {error}; expected base64") from None
+        raise MessageError(f"payload: {error}; expected base64") from None
     return decode(Payload, raw)
 
 
--- a/glencleat/mesos/recordio.py
+++ b/glencleat/mesos/recordio.py
@@ -20,7 +20,7 @@
     return b"%d\n%b" % (len(record), record)
 
 
-class Decoder:
+class RecordDecoder:
     """Fed bytes, gives whole records. A length beyond `most` is refused before any of its bytes are kept."""
 
     def __init__(self, most: int = MOST) -> None:
--- a/glencleat/platform_protocol/command_channel.py
+++ b/glencleat/platform_protocol/command_channel.py
@@ -24,7 +24,7 @@
 MOST_LEAVING = 10_000  # machines told as draining or gone that are remembered
 
 
-class Entry(msgspec.Struct, rename="camel"):
+class MachineEntry(msgspec.Struct, rename="camel"):
     """A machine as an event tells it; times are Unix milliseconds."""
 
     instance_id: str
@@ -37,20 +37,20 @@
     free: list[float] | None = None
 
 
-class Nodes(msgspec.Struct):
+class MachineListPayload(msgspec.Struct):
     reset: bool = False
-    instances: list[Entry] = []
+    instances: list[MachineEntry] = []
 
 
-class Event(msgspec.Struct):
+class ChannelEvent(msgspec.Struct):
     """One numbered event, or with no nodes the channel's word which number is the last."""
 
     cursor: int
-    nodes: Nodes | None = None
+    nodes: MachineListPayload | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class HostEntry:
     """A machine and where it listens; `started_ms` is Unix time, 0 for long ago."""
 
     machine: api.Machine
@@ -59,11 +59,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListChange:
     """What one event changed: all of the list, or some of it."""
 
     whole: bool
-    hosts: tuple[Host, ...]
+    hosts: tuple[HostEntry, ...]
 
 
 def address(text: str, least: int = 1) -> tuple[str, int]:
@@ -82,15 +82,15 @@
     return told_ms if now - CLOCKS_MS <= told_ms <= now else now
 
 
-class Channel:
+class CommandChannel:
     """The list as told so far. `ahead_ms` is Unix time less the module's clock."""
 
     def __init__(self, ahead_ms: float) -> None:
         self.ahead_ms = ahead_ms
         self.cursor = 0
-        self.hosts: dict[str, Host] = {}  # those not gone
+        self.hosts: dict[str, HostEntry] = {}  # those not gone
         self.buffer = bytearray()
-        self.decoder = msgspec.json.Decoder(Event | int, strict=False)
+        self.decoder = msgspec.json.Decoder(ChannelEvent | int, strict=False)
         self.missing = 0  # the cursor at which a gap was met: once asked for again, it is no gap any more
         self.older = 0  # words in a row that told an older number than ours
         self.anew = False  # the service's numbers are others: the next whole list counts, whatever its number
@@ -105,17 +105,17 @@
         self.older = 0
         return b"resume %d\n" % (0 if self.anew else self.cursor)
 
-    def begin(self, known: dict[str, Any], now: float) -> list[News]:
+    def begin(self, known: dict[str, Any], now: float) -> list[ListChange]:
         """The events of the start, from the configuration."""
         try:
-            events = [msgspec.convert(raw, Event, strict=False) for raw in known.get("cmds") or []]
+            events = [msgspec.convert(raw, ChannelEvent, strict=False) for raw in known.get("cmds") or []]
         except msgspec.ValidationError as error:
             raise PeerError(f"known: {error}") from None
         news = [self._event(event, event.nodes, now) for event in events if event.nodes is not None]
         self.cursor = max(self.cursor, int(known.get("cursor") or 0))
         return news
 
-    def feed(self, data: bytes, now: float) -> Iterable[News]:
+    def feed(self, data: bytes, now: float) -> Iterable[ListChange]:
         """The news in what came now; PeerError when the connection is of no further use."""
         self.buffer += data
         while (end := self.buffer.find(b"\n")) >= 0:
@@ -126,7 +126,7 @@
         if len(self.buffer) > MOST_LINE:
             raise PeerError(f"a line of over {MOST_LINE} bytes")
 
-    def _line(self, line: bytes, now: float) -> Iterable[News]:
+    def _line(self, line: bytes, now: float) -> Iterable[ListChange]:
         try:
             event = self.decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -161,14 +161,14 @@
             self.anew, self.before = True, max(self.before, self.cursor)
             raise PeerError(f"the channel is at {last}, we were told {self.cursor}: asking for all of it")
 
-    def _phase(self, entry: Entry, cursor: int) -> api.MachinePhase:
+    def _phase(self, entry: MachineEntry, cursor: int) -> api.MachinePhase:
         phase = PHASES[entry.lifecycle]
         started, told = self.leaving.get(entry.instance_id, (-1.0, phase))
         if cursor <= self.before and started == entry.started_at_ms and phase is api.MachinePhase.SERVING:
             return told
         return phase
 
-    def _note(self, host: Host) -> None:
+    def _note(self, host: HostEntry) -> None:
         name = host.machine.name
         self.leaving.pop(name, None)
         if host.machine.phase is not api.MachinePhase.SERVING:
@@ -182,7 +182,7 @@
             self.missing = self.cursor + 1
             raise PeerError(f"the channel is at {told}, we are at {self.cursor}")
 
-    def _event(self, event: Event, nodes: Nodes, now: float) -> News:
+    def _event(self, event: ChannelEvent, nodes: MachineListPayload, now: float) -> ListChange:
         hosts = tuple(self._host(entry, event.cursor, now, nodes.reset) for entry in nodes.instances)
         if nodes.reset:
             self.hosts = {}
@@ -193,9 +193,9 @@
             else:
                 self.hosts[host.machine.name] = host
         self.cursor = event.cursor
-        return News(nodes.reset, hosts)
+        return ListChange(nodes.reset, hosts)
 
-    def _ready(self, entry: Entry, known: Host | None, now: float, whole: bool) -> float | None:
+    def _ready(self, entry: MachineEntry, known: HostEntry | None, now: float, whole: bool) -> float | None:
         """When it came up, on the module's clock: never later than now, and if told as a change not long ago.
 
         A clock that is minutes ahead of the list's would make a machine that is cold look warm to all."""
@@ -207,7 +207,7 @@
         least = -math.inf if whole else now - TOLD_LATE_MS
         return min(now, max(started - self.ahead_ms, least))
 
-    def _host(self, entry: Entry, cursor: int, now: float, whole: bool) -> Host:
+    def _host(self, entry: MachineEntry, cursor: int, now: float, whole: bool) -> HostEntry:
         if entry.lifecycle not in PHASES:
             raise PeerError(f"no state of a machine: {entry.lifecycle[:40]!r}")
         known = self.hosts.get(entry.instance_id)
@@ -225,7 +225,7 @@
             memory,
             ready,
         )
-        return Host(machine, address(entry.host_port), entry.started_at_ms)
+        return HostEntry(machine, address(entry.host_port), entry.started_at_ms)
 
     def machines(self) -> tuple[api.Machine, ...]:
         return tuple(host.machine for host in self.hosts.values())
--- a/glencleat/platform_protocol/delivery.py
+++ b/glencleat/platform_protocol/delivery.py
@@ -12,7 +12,7 @@
 from glencleat import interface as api
 
 
-class SendOutcome(Enum):
+class DeliveryOutcome(Enum):
     """What a link can tell of an attempt that came to nothing without the host's word."""
 
     REFUSED = "the connection was refused"
@@ -25,18 +25,18 @@
 
 # Only the last two may have run: see interface.py, contract 7.
 OUTCOMES = {
-    SendOutcome.REFUSED: api.Outcome.UNREACHABLE,
-    SendOutcome.NEVER_UP: api.Outcome.UNREACHABLE,
-    SendOutcome.NEVER_SENT: api.Outcome.NOT_SENT,
-    SendOutcome.DISCONNECTED: api.Outcome.NOT_SENT,
-    SendOutcome.BROKEN: api.Outcome.LOST,
-    SendOutcome.SILENT: api.Outcome.TIMED_OUT,
+    DeliveryOutcome.REFUSED: api.Outcome.UNREACHABLE,
+    DeliveryOutcome.NEVER_UP: api.Outcome.UNREACHABLE,
+    DeliveryOutcome.NEVER_SENT: api.Outcome.NOT_SENT,
+    DeliveryOutcome.DISCONNECTED: api.Outcome.NOT_SENT,
+    DeliveryOutcome.BROKEN: api.Outcome.LOST,
+    DeliveryOutcome.SILENT: api.Outcome.TIMED_OUT,
 }
 NEVER_RAN = frozenset((api.Outcome.REJECTED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT))
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class AttemptEvidence:
     """What is looked at, all at one instant."""
 
     client_waits: bool
@@ -61,9 +61,9 @@
     return not cold or window_ms <= 0.0 or waited_ms <= 0.25 * window_ms
 
 
-def held_back(seen: Seen) -> SendOutcome | None:
+def held_back(seen: AttemptEvidence) -> DeliveryOutcome | None:
     """Why it may not leave, or None. The client first: nobody is owed anything for the rest then."""
     if not seen.client_waits:
-        return SendOutcome.DISCONNECTED
+        return DeliveryOutcome.DISCONNECTED
     may = seen.host_serves and seen.in_time and seen.harmless and seen.turn_holds
-    return None if may else SendOutcome.NEVER_SENT
+    return None if may else DeliveryOutcome.NEVER_SENT
--- a/glencleat/platform_protocol/ended_tasks.py
+++ b/glencleat/platform_protocol/ended_tasks.py
@@ -10,7 +10,7 @@
 MOST = 4_000  # the oldest go first
 
 
-class Ends:
+class EndedTasks:
     """
     >>> ends = Ends()
     >>> ends.heard(7, "h1", 16, told=False, now=0.0)
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -20,42 +20,42 @@
 from typing import Any, Protocol
 
 from glencleat import interface as api
-from glencleat.allocator.contract import Contract, Module
-from glencleat.allocator.event_dispatcher import Telling
+from glencleat.allocator.contract import Contract, DecisionModule
+from glencleat.allocator.event_dispatcher import EventDispatcher
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol import value_mapping
-from glencleat.platform_protocol.command_channel import News
-from glencleat.platform_protocol.ended_tasks import Ends
+from glencleat.platform_protocol.command_channel import ListChange
+from glencleat.platform_protocol.ended_tasks import EndedTasks
 from glencleat.platform_protocol.delivery import (
     OUTCOMES,
     NEVER_RAN,
-    SendOutcome,
-    Seen,
+    DeliveryOutcome,
+    AttemptEvidence,
     harmless,
     held_back,
     turn_holds,
 )
-from glencleat.platform_protocol.setup_requests import BadSetup, Reader, Setup
+from glencleat.platform_protocol.setup_requests import SetupError, SetupReader, SetupRequest
 from glencleat.platform_protocol.value_mapping import AFTER, BEFORE, TOPICS
 
 
-class State(Enum):
+class SetupState(Enum):
     TAKEN = "taken"
     OUT = "out"
     STANDS = "stands"
 
 
-class Owner(Protocol):
+class ClientPort(Protocol):
     """A connection of owners, as far as the exchange knows it."""
 
     open: set[int]  # ids that an answer is owed to on it
 
 
-class Timer(Protocol):
+class TimerHandle(Protocol):
     def cancel(self) -> None: ...
 
 
-class Ports(Protocol):
+class ExchangePorts(Protocol):
     """What the exchange asks of the sockets. None of these may call the exchange back before it returns."""
 
     def to_owner(self, owner: Any, data: bytes, owed: bool) -> None:
@@ -68,13 +68,13 @@
     def proves(self, owner: Any) -> None:
         """What came on that connection stands: no bad client's, so that releases may be told there."""
 
-    def offer(self, attempt: Attempt) -> None:
+    def offer(self, attempt: SetupAttempt) -> None:
         """Sends `attempt.setup_message(now)` to its host, and tells of a failure by `failed`, later."""
 
-    def cancel(self, attempt: Attempt) -> SendOutcome:
+    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
         """Takes it back: the give-up is written, or its connection closed. What is known of it."""
 
-    def unread(self, attempt: Attempt) -> bool:
+    def unread(self, attempt: SetupAttempt) -> bool:
         """Whether something came on the connection that it went by and has not been read."""
 
     def cut(self, host: str, task: int) -> None:
@@ -83,41 +83,41 @@
     def test(self, host: str, token: int) -> bool:
         """Asks the host for its report; False if there is no way to."""
 
-    def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer: ...
+    def call_in(self, in_ms: float, call: Callable[[], None]) -> TimerHandle: ...
     def now(self) -> float: ...
     def log(self, text: str) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class SetupCall:
     """A task from its set-up until it is over."""
 
     number: int
-    setup: Setup
-    owner: Owner
-    state: State = State.TAKEN
+    setup: SetupRequest
+    owner: ClientPort
+    state: SetupState = SetupState.TAKEN
     attempts: int = 0
-    attempt: Attempt | None = None
+    attempt: SetupAttempt | None = None
     since: float = 0.0  # when it came to stand
     may_run: float | None = None  # the earliest moment at which an attempt that may have run could be there
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class SetupAttempt:
     """One Bind. `link` is the sockets' own."""
 
-    call: Call
+    call: SetupCall
     number: int
     host: str
     began: float
     until: float
-    timer: Timer | None = None
+    timer: TimerHandle | None = None
     link: Any = field(default=None, repr=False)
 
     @property
     def out(self) -> bool:
         """It waits for the host's answer."""
-        return self.call.attempt is self and self.call.state is State.OUT
+        return self.call.attempt is self and self.call.state is SetupState.OUT
 
     def setup_message(self, now: float) -> bytes:
         setup = self.call.setup
@@ -132,15 +132,17 @@
 class Exchange:
     """One allocator's calls. `machines` is set by whoever joins the parts."""
 
-    def __init__(self, settings: api.Settings, module: Module, ports: Ports, test_ms: float) -> None:
+    def __init__(
+        self, settings: api.Settings, module: DecisionModule, ports: ExchangePorts, test_ms: float
+    ) -> None:
         self.ports, self.test_ms, self.settings = ports, test_ms, settings
         self.contract = Contract(module)
-        self.telling = Telling(self.contract, ports.now, self._act)
-        self.reader = Reader(settings)
-        self.calls: dict[int, Call] = {}  # by the module's number
-        self.tasks: dict[int, Call] = {}  # by the platform's id
-        self.standing: dict[str, dict[int, Call]] = {}  # host -> id -> call
-        self.ends = Ends()
+        self.telling = EventDispatcher(self.contract, ports.now, self._act)
+        self.reader = SetupReader(settings)
+        self.calls: dict[int, SetupCall] = {}  # by the module's number
+        self.tasks: dict[int, SetupCall] = {}  # by the platform's id
+        self.standing: dict[str, dict[int, SetupCall]] = {}  # host -> id -> call
+        self.ends = EndedTasks()
         self.tests: dict[int, str] = {}  # token -> host
         self.tokens = 0
         self.machines: Callable[[], tuple[api.Machine, ...]] = tuple
@@ -151,7 +153,7 @@
     @property
     def open(self) -> int:
         """Calls that an answer is owed to."""
-        return sum(call.state is not State.STANDS for call in self.calls.values())
+        return sum(call.state is not SetupState.STANDS for call in self.calls.values())
 
     # ---- the module ----
 
@@ -160,12 +162,12 @@
 
     def _bind(self, action: api.Bind) -> None:
         call, now = self.calls[action.call_id], self.ports.now()
-        attempt = Attempt(call, call.attempts, action.machine, now, now + action.timeout_ms)
-        call.attempts, call.attempt, call.state = call.attempts + 1, attempt, State.OUT
+        attempt = SetupAttempt(call, call.attempts, action.machine, now, now + action.timeout_ms)
+        call.attempts, call.attempt, call.state = call.attempts + 1, attempt, SetupState.OUT
         attempt.timer = self.ports.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
         self.ports.offer(attempt)
 
-    def _timed_out(self, attempt: Attempt, looked: bool = False) -> None:
+    def _timed_out(self, attempt: SetupAttempt, looked: bool = False) -> None:
         if not attempt.out:
             return
         if not looked and self.ports.unread(attempt):
@@ -181,7 +183,7 @@
     def _fail(self, action: api.Fail) -> None:
         self._answer(self.calls[action.call_id], m.RESET, {})
 
-    def _answer(self, call: Call, cause: int, more: dict[int, bytes]) -> None:
+    def _answer(self, call: SetupCall, cause: int, more: dict[int, bytes]) -> None:
         """The final answer that is no placing. Nothing is kept of the call."""
         data = m.caused(m.RELEASE, call.setup.task, cause, more)
         self._forget(call)
@@ -189,7 +191,7 @@
 
     def _move(self, action: api.Migrate) -> None:
         call = self.calls[action.call_id]
-        if call.state is State.STANDS:
+        if call.state is SetupState.STANDS:
             self.ports.to_owner(call.owner, m.encode(m.MOVE, call.setup.task), owed=True)
             self._cut(call)
 
@@ -232,7 +234,7 @@
 
     def _back(
         self,
-        attempt: Attempt,
+        attempt: SetupAttempt,
         outcome: api.Outcome,
         why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
         report: api.LoadReport | None = None,
@@ -242,8 +244,8 @@
         call, now = attempt.call, self.ports.now()
         if attempt.timer is not None:
             attempt.timer.cancel()
-        stood = call.state is State.STANDS
-        call.state, call.attempt = State.TAKEN, None
+        stood = call.state is SetupState.STANDS
+        call.state, call.attempt = SetupState.TAKEN, None
         over = stood or left
         if over:
             self._forget(call, attempt.host)
@@ -262,7 +264,7 @@
         told = api.AttemptEnded(call.number, attempt.number, attempt.host, outcome, spent, over, why, report)
         self.telling.tell(*([api.CallAbandoned(call.number)] if left else []), told)
 
-    def _forget(self, call: Call, host: str = "") -> None:
+    def _forget(self, call: SetupCall, host: str = "") -> None:
         self.calls.pop(call.number, None)
         self.tasks.pop(call.setup.task, None)
         call.owner.open.discard(call.setup.task)
@@ -273,8 +275,8 @@
                 del self.standing[host]
                 self.stands(host)
 
-    def _stands(self, call: Call, host: str) -> None:
-        call.state, call.since = State.STANDS, self.ports.now()
+    def _stands(self, call: SetupCall, host: str) -> None:
+        call.state, call.since = SetupState.STANDS, self.ports.now()
         call.owner.open.discard(call.setup.task)
         self.ports.proves(call.owner)
         there = self.standing.setdefault(host, {})
@@ -282,22 +284,22 @@
         if len(there) == 1:
             self.stands(host)
 
-    def _cut(self, call: Call) -> None:
+    def _cut(self, call: SetupCall) -> None:
         """Ends a standing task of ours at its host: moved, or released by its owner."""
         attempt = call.attempt
         assert attempt is not None
         self.ports.cut(attempt.host, call.setup.task)
         self._back(attempt, api.Outcome.STOPPED)
 
-    def failed(self, attempt: Attempt, fact: SendOutcome) -> None:
+    def failed(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
         """A link's word on an attempt that is out; of one that is back already it changes nothing."""
         if attempt.out:
-            self._back(attempt, OUTCOMES[fact], left=fact is SendOutcome.DISCONNECTED)
+            self._back(attempt, OUTCOMES[fact], left=fact is DeliveryOutcome.DISCONNECTED)
 
-    def held_back(self, attempt: Attempt, serves: bool, cold: bool) -> SendOutcome | None:
+    def held_back(self, attempt: SetupAttempt, serves: bool, cold: bool) -> DeliveryOutcome | None:
         """Asked by a link at the last instant before its first byte leaves: why it may not, or None."""
         call, now = attempt.call, self.ports.now()
-        seen = Seen(
+        seen = AttemptEvidence(
             self.ports.waits(call.owner, call.setup.task, exact=True),
             serves,
             now < attempt.until,
@@ -316,7 +318,7 @@
 
     # ---- hosts ----
 
-    def host_says(self, host: str, link: Any, message: m.Message) -> None:
+    def host_says(self, host: str, link: Any, message: m.PlatformMessage) -> None:
         """A whole message of a host; PeerError if it can't be read, before anything is changed."""
         if message.kind == m.TESTED:
             outcome = api.Outcome.COMPLETED if message.cause == 1 else api.Outcome.ERROR
@@ -335,7 +337,7 @@
                 self.late += 1  # after its time, a second time, or of nothing: the page says it means nothing
         elif message.kind == m.RELEASE:
             cause, why, report = message.cause, value_mapping.why(message), value_mapping.report(message)
-            if attempt is not None and attempt.call.state is State.STANDS:
+            if attempt is not None and attempt.call.state is SetupState.STANDS:
                 self.ends.heard(message.task, host, cause, True, self.ports.now())
                 self._back(attempt, AFTER.get(cause, api.Outcome.LOST), why, report)
             elif attempt is not None and awaited:
@@ -345,13 +347,13 @@
         elif message.kind == m.NOTE:
             self._note(attempt, message)
 
-    def _attempt(self, task: int, host: str) -> Attempt | None:
+    def _attempt(self, task: int, host: str) -> SetupAttempt | None:
         """Ours at that host under the platform's id, out or standing."""
         call = self.tasks.get(task)
         attempt = call.attempt if call is not None else None
         return attempt if attempt is not None and attempt.host == host else None
 
-    def _accepted(self, attempt: Attempt, message: m.Message) -> None:
+    def _accepted(self, attempt: SetupAttempt, message: m.PlatformMessage) -> None:
         call = attempt.call
         if not self.ports.waits(call.owner, call.setup.task, exact=False):
             # Its client left before it could be told: nobody would ever end it.
@@ -366,25 +368,27 @@
         spent = max(0.0, self.ports.now() - attempt.began)
         self.telling.tell(api.AttemptAccepted(call.number, attempt.number, attempt.host, spent))
 
-    def _note(self, attempt: Attempt | None, message: m.Message) -> None:
+    def _note(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
         topic, value = message.text(m.TOPIC), m.figure(message.text(m.VALUE) or "0")
-        if attempt is not None and attempt.call.state is State.STANDS and topic in TOPICS:
+        if attempt is not None and attempt.call.state is SetupState.STANDS and topic in TOPICS:
             self.telling.tell(api.TaskObserved(attempt.call.number, attempt.host, TOPICS[topic], value))
 
     # ---- owners ----
 
-    def owner_asks(self, owner: Owner, message: m.Message, waited_ms: float, late: bool = False) -> bool:
+    def owner_asks(
+        self, owner: ClientPort, message: m.PlatformMessage, waited_ms: float, late: bool = False
+    ) -> bool:
         """A set-up that waited so long in our socket and loop; whether it could be used. `late`: we end.
 
         PeerError: it can't even be answered."""
         task = message.task
         known = self.tasks.get(task)
-        if known is not None and known.owner is owner and known.state is not State.STANDS:
+        if known is not None and known.owner is owner and known.state is not SetupState.STANDS:
             # An answer under this number would be taken for the first one's, which is still owed.
             raise m.PeerError("a second set-up under the number of an open one")
         try:
             setup = self.reader.read(message)
-        except BadSetup as error:
+        except SetupError as error:
             return self._unusable(owner, task, str(error))
         if setup.at is not None:
             self._adopt(owner, setup)
@@ -398,34 +402,34 @@
             self._take(owner, setup, setup.wait_ms - waited_ms)
         return True
 
-    def _unusable(self, owner: Owner, task: int, why: str) -> bool:
+    def _unusable(self, owner: ClientPort, task: int, why: str) -> bool:
         self.bad += 1
         self._turn_away(owner, task, m.NOT_TAKEN, why)
         return False
 
-    def _turn_away(self, owner: Owner, task: int, cause: int, why: str) -> None:
+    def _turn_away(self, owner: ClientPort, task: int, cause: int, why: str) -> None:
         self.ports.log(f"turned away: {why}")
         self.ports.to_owner(owner, m.caused(m.RELEASE, task, cause), owed=False)
 
-    def _new(self, owner: Owner, setup: Setup) -> Call:
+    def _new(self, owner: ClientPort, setup: SetupRequest) -> SetupCall:
         self.taken += 1  # the module's numbers count with it
-        call = Call(self.taken, setup, owner)
+        call = SetupCall(self.taken, setup, owner)
         self.calls[call.number] = self.tasks[setup.task] = call
         return call
 
-    def _asked(self, call: Call, left_ms: float) -> api.PlacementRequested:
+    def _asked(self, call: SetupCall, left_ms: float) -> api.PlacementRequested:
         s = call.setup
         return api.PlacementRequested(
             call.number, s.cls.name, s.service, s.cores, s.memory, left_ms, s.tenant, None, s.at, s.again
         )
 
-    def _take(self, owner: Owner, setup: Setup, left_ms: float) -> None:
+    def _take(self, owner: ClientPort, setup: SetupRequest, left_ms: float) -> None:
         if not self.ports.waits(owner, setup.task, exact=False):
             return  # its cancel or its client's end came while it lay unread: nothing is owed
         owner.open.add(setup.task)
         self.telling.tell(self._asked(self._new(owner, setup), left_ms))
 
-    def _adopt(self, owner: Owner, setup: Setup) -> None:
+    def _adopt(self, owner: ClientPort, setup: SetupRequest) -> None:
         """A task that runs already. One that we hold is named again at every start, and changes nothing."""
         if setup.task in self.tasks or setup.at is None:
             return
@@ -437,31 +441,31 @@
                 self.ports.to_owner(owner, m.caused(m.RELEASE, setup.task, cause), owed=True)
             return
         call = self._new(owner, setup)
-        call.attempts, call.attempt = 1, Attempt(call, 0, setup.at, now, now)
+        call.attempts, call.attempt = 1, SetupAttempt(call, 0, setup.at, now, now)
         self._stands(call, setup.at)
         self.telling.tell(self._asked(call, 0.0))
 
-    def owner_releases(self, owner: Owner, message: m.Message) -> None:
+    def owner_releases(self, owner: ClientPort, message: m.PlatformMessage) -> None:
         """An open set-up is given up on its own connection; what stands may be ended on any."""
         call = self.tasks.get(message.task)
         if call is None:
             return
-        if call.state is State.STANDS:
+        if call.state is SetupState.STANDS:
             self.ports.to_owner(owner, m.encode(m.RELEASE_HEARD, message.task), owed=False)
             self._cut(call)
         elif call.owner is owner:
             self._leaves(call)
 
-    def owner_gone(self, owner: Owner) -> None:
+    def owner_gone(self, owner: ClientPort) -> None:
         """The connection has ended: nobody waits for what was open on it. What stands goes on."""
         for task in list(owner.open):
             if task in self.tasks:  # else the module answered it on hearing of one before
                 self._leaves(self.tasks[task])
 
-    def _leaves(self, call: Call) -> None:
-        if call.attempt is not None and call.state is State.OUT:
+    def _leaves(self, call: SetupCall) -> None:
+        if call.attempt is not None and call.state is SetupState.OUT:
             fact = self.ports.cancel(call.attempt)
-            sent = fact in (SendOutcome.SILENT, SendOutcome.BROKEN)
+            sent = fact in (DeliveryOutcome.SILENT, DeliveryOutcome.BROKEN)
             outcome = api.Outcome.STOPPED if sent else OUTCOMES[fact]
             self._back(call.attempt, outcome, left=True)
         else:
@@ -474,6 +478,6 @@
         """The links' word on a host that they tried by themselves."""
         self.telling.tell(api.ReachabilityChanged(host, up))
 
-    def list_told(self, news: News) -> None:
+    def list_told(self, news: ListChange) -> None:
         kind = api.ListUpdateKind.SNAPSHOT if news.whole else api.ListUpdateKind.DELTA
         self.telling.tell(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
--- a/glencleat/platform_protocol/inbox.py
+++ b/glencleat/platform_protocol/inbox.py
@@ -59,7 +59,7 @@
         """Whether its client still waits for the answer to this open request, by all that is here."""
         return not self.ended and task not in self.releases
 
-    def next(self) -> tuple[m.Message, float | None] | None:
+    def next(self) -> tuple[m.PlatformMessage, float | None] | None:
         """The next whole message and when its last byte was here; PeerError where the bytes can't be one."""
         if not self.scanned:
             if self.error is not None:
--- a/glencleat/platform_protocol/messages.py
+++ b/glencleat/platform_protocol/messages.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class PlatformMessage:
     kind: int
     task: int
     parameters: dict[int, bytes]
@@ -93,7 +93,7 @@
     return at + length + 2 if have >= length + 2 else None
 
 
-class Decoder:
+class MessageDecoder:
     """Bytes in, whole messages out; keeps at most one message that is not whole yet."""
 
     def __init__(self) -> None:
@@ -107,7 +107,7 @@
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def messages(self) -> Iterator[Message]:
+    def messages(self) -> Iterator[PlatformMessage]:
         """Whole messages; PeerError at the first byte that can't be right."""
         at = 0
         try:
@@ -119,7 +119,7 @@
             del self.buffer[:at]
 
 
-def decode(data: bytes) -> Message:
+def decode(data: bytes) -> PlatformMessage:
     """One whole message, its length and type already looked at."""
     _, kind, task = HEAD.unpack_from(data)
     at, parameters = HEAD.size, dict[int, bytes]()
@@ -134,7 +134,7 @@
             raise PeerError(f"parameter {code} twice in message {kind}")
         parameters[code] = data[at : at + length]
         at += length
-    return Message(kind, task, parameters)
+    return PlatformMessage(kind, task, parameters)
 
 
 def figure(text: str) -> float:
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -13,12 +13,12 @@
 MOST_WAIT_MS = 3_600_000.0
 
 
-class BadSetup(Exception):
+class SetupError(Exception):
     """Whole, yet not to be used; the owner is answered so."""
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class SetupRequest:
     """One set-up: what goes on to a host unchanged, and what the module is asked."""
 
     task: int
@@ -35,7 +35,7 @@
     at: str | None  # the machine that holds it already: no answer is owed
 
 
-class Reader:
+class SetupReader:
     """Reads set-ups under one configuration's settings."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -44,32 +44,32 @@
         self.most_cores = max(s.cores for s in sizes) * settings.cores_overcommit
         self.most_memory = max(s.memory for s in sizes) * settings.memory_overcommit
 
-    def read(self, message: m.Message) -> Setup:
+    def read(self, message: m.PlatformMessage) -> SetupRequest:
         """The set-up; BadSetup says what is wrong with it."""
         try:
             return self._read(message)
         except m.PeerError as error:
-            raise BadSetup(str(error)) from None
+            raise SetupError(str(error)) from None
 
-    def _read(self, message: m.Message) -> Setup:
+    def _read(self, message: m.PlatformMessage) -> SetupRequest:
         if not message.task:
-            raise BadSetup("no id")
+            raise SetupError("no id")
         cls = self.classes.get(self._need(message, m.CLASS, "class"))
         if cls is None:
-            raise BadSetup(f"no class {message.text(m.CLASS)!r}")
+            raise SetupError(f"no class {message.text(m.CLASS)!r}")
         name, extras = self._need(message, m.NAME, "name"), m.fields(message.text(m.EXTRAS) or "")
         key = message.text(m.KEY)
         if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
-            raise BadSetup("no key in a keyed class")
+            raise SetupError("no key in a keyed class")
         at = extras.get("at")
         if m.DESCRIPTION not in message.parameters:
-            raise BadSetup("no description")
+            raise SetupError("no description")
         for text in (name, key, extras.get("service"), at, message.text(m.TENANT)):
             if text is not None and len(text) > MOST_TEXT:
-                raise BadSetup("a text that is too long")
+                raise SetupError("a text that is too long")
         if not extras.get("service"):
-            raise BadSetup("no service")
-        return Setup(
+            raise SetupError("no service")
+        return SetupRequest(
             message.task,
             cls,
             name.encode(),
@@ -85,20 +85,20 @@
         )
 
     @staticmethod
-    def _need(message: m.Message, code: int, what: str) -> str:
+    def _need(message: m.PlatformMessage, code: int, what: str) -> str:
         text = message.text(code)
         if not text:
-            raise BadSetup(f"no {what}")
+            raise SetupError(f"no {what}")
         return text
 
     @staticmethod
-    def _wait(message: m.Message, at: str | None) -> float:
+    def _wait(message: m.PlatformMessage, at: str | None) -> float:
         text = message.text(m.WAIT)
         if at is not None and text is None:
             return 0.0
         readable = text is not None and len(text) <= 10 and text.isdecimal()
         if text is None or not readable or not (at or 0 < int(text) <= MOST_WAIT_MS):
-            raise BadSetup(f"no time to wait: {text and text[:40]!r}")
+            raise SetupError(f"no time to wait: {text and text[:40]!r}")
         return float(text)
 
     @staticmethod
@@ -106,5 +106,5 @@
         """A figure that some machine could take, by the settings."""
         value = m.figure(extras.get(name, "")[:40])
         if not 0.0 < value <= most:
-            raise BadSetup(f"{name} out of range: {value}")
+            raise SetupError(f"{name} out of range: {value}")
         return value
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -30,10 +30,10 @@
 FIELDS = {"util": "busy", "queue": "q"}  # names on the sockets -> in the settings, where they differ
 
 
-def why(message: m.Message) -> api.OutcomeReason:
+def why(message: m.PlatformMessage) -> api.OutcomeReason:
     return WHYS.get(message.text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
 
 
-def report(message: m.Message) -> api.LoadReport | None:
+def report(message: m.PlatformMessage) -> api.LoadReport | None:
     raw = m.fields(message.text(m.REPORT) or "")
     return read_report({FIELDS.get(name, name): m.figure(value) for name, value in raw.items()})
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from glencleat.descriptor_budget import BACKLOG, Descriptors, Side, Worth
+from glencleat.descriptor_budget import BACKLOG, DescriptorBudget, Side, EvictionPriority
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.platform_protocol.inbox import Inbox
-from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import Coroutine
 
 if TYPE_CHECKING:
@@ -32,12 +32,12 @@
 OWED, OWED_MS = 2_000, 10_000.0  # releases that wait for a connection of owners, and for how long
 
 
-class Owner:
+class ClientConnection:
     """One connection. `open` holds the ids that an answer is owed to; the exchange keeps it."""
 
     side = Side.OWNERS
 
-    def __init__(self, owners: Owners, stream: Stream, now: float) -> None:
+    def __init__(self, owners: ClientConnections, stream: Stream, now: float) -> None:
         self.owners, self.stream, self.inbox = owners, stream, Inbox()
         self.open: set[int] = set()
         self.born = self.used = now
@@ -47,10 +47,12 @@
         self.stuck: tuple[int, float] | None = None  # bytes written, since when so many while others wait
         self.begun: tuple[int, float] | None = None  # where a message that is not whole begins, since when
 
-    def worth(self) -> Worth:
+    def worth(self) -> EvictionPriority:
         if self.open or self.inbox.scanned or self.stream.out or (self.proven and self.owners.friends == 1):
-            return Worth.HELD  # an answer is owed on it, or it is the last one that releases can go by
-        return Worth.FRIEND if self.proven else Worth.STRANGER
+            return (
+                EvictionPriority.HELD
+            )  # an answer is owed on it, or it is the last one that releases can go by
+        return EvictionPriority.FRIEND if self.proven else EvictionPriority.STRANGER
 
     def last_look(self) -> None:
         self.owners.look_if_told(self)
@@ -72,14 +74,14 @@
             self.begun = self.inbox.taken, now
 
 
-class Owners:
+class ClientConnections:
     """The listener and all connections. `exchange` is set by whoever joins the parts."""
 
     exchange: Exchange
 
-    def __init__(self, loop: Loop, descriptors: Descriptors, log: Callable[[str], None]) -> None:
+    def __init__(self, loop: Loop, descriptors: DescriptorBudget, log: Callable[[str], None]) -> None:
         self.loop, self.descriptors, self.log = loop, descriptors, log
-        self.owners: dict[Owner, None] = {}  # in the order they came
+        self.owners: dict[ClientConnection, None] = {}  # in the order they came
         self.owed: deque[tuple[float, bytes]] = deque(maxlen=OWED)
         self.listener: Listener | None = None
         self.draining = False
@@ -123,17 +125,17 @@
 
     def _accepted(self, stream: Stream) -> None:
         stream.stamp()
-        owner = Owner(self, stream, self.loop.now())
+        owner = ClientConnection(self, stream, self.loop.now())
         self.owners[owner] = None
         self.descriptors.hold(owner)
         stream.on_close.append(lambda _: self._closed(owner))
         self.loop.spawn(self._serve(owner), "owner")
 
-    def _closed(self, owner: Owner) -> None:
+    def _closed(self, owner: ClientConnection) -> None:
         self.friends -= owner.proven
         self.descriptors.free(owner)
 
-    def _serve(self, owner: Owner) -> Coroutine:
+    def _serve(self, owner: ClientConnection) -> Coroutine:
         inbox = owner.inbox
         try:
             while inbox.waiting or not inbox.ended:
@@ -146,7 +148,7 @@
                 elif not (came or inbox.ended):
                     yield from owner.stream.wait()
             owner.stream.close("the owner closed it")
-        except StreamClosed:
+        except StreamClosedError:
             inbox.ended = True
         except m.PeerError as error:
             owner.stream.close(str(error))
@@ -155,7 +157,7 @@
             self.owners.pop(owner, None)
             self.exchange.owner_gone(owner)
 
-    def _take_in(self, owner: Owner, most: int, exact: bool) -> bool:
+    def _take_in(self, owner: ClientConnection, most: int, exact: bool) -> bool:
         """Reads what has come, as far as `most` bytes wait; whether something came.
 
         `exact`: until the system says that there is no more; else the poller tells of what comes later."""
@@ -172,11 +174,11 @@
                     inbox.ended = True
                 if not (exact or owner.stream.readable):
                     break
-        except StreamClosed:
+        except StreamClosedError:
             came = inbox.ended = True
         return came
 
-    def look(self, owner: Owner) -> bool:
+    def look(self, owner: ClientConnection) -> bool:
         """Takes in what has come by this instant, whoever's turn it is: an end or a cancel counts at once.
 
         Whether something came."""
@@ -188,24 +190,24 @@
             owner.inbox.ended = True
         return came
 
-    def look_if_told(self, owner: Owner) -> None:
+    def look_if_told(self, owner: ClientConnection) -> None:
         """The same where the poller has told of something."""
         if owner.stream.readable:
             self.look(owner)
 
-    def waits(self, owner: Owner, task: int, exact: bool) -> bool:
+    def waits(self, owner: ClientConnection, task: int, exact: bool) -> bool:
         if exact:
             self.look(owner)
         else:
             self.look_if_told(owner)
         return owner.inbox.waits(task)
 
-    def _ended(self, owner: Owner) -> bool:
+    def _ended(self, owner: ClientConnection) -> bool:
         """Its client has closed, as far as this round can tell: what is written to it is told to nobody."""
         self.look_if_told(owner)
         return owner.inbox.ended
 
-    def _turn(self, owner: Owner) -> bool:
+    def _turn(self, owner: ClientConnection) -> bool:
         """Up to TURN messages; whether there are more."""
         for _ in range(TURN):
             found = owner.inbox.next()
@@ -216,7 +218,7 @@
         self.descriptors.file(owner, used=True)
         return owner.inbox.waiting
 
-    def _message(self, owner: Owner, message: m.Message, arrived: float | None) -> None:
+    def _message(self, owner: ClientConnection, message: m.PlatformMessage, arrived: float | None) -> None:
         owner.spoke = True
         if self.trace is not None:
             self.trace.message("owner", message)
@@ -238,10 +240,10 @@
         After a standstill all that waited comes at once, with deadlines that would else seem fresh."""
         return 0.0 if arrived is None else min(MOST_WAITED_MS, max(0.0, self.loop.clock.wall() - arrived))
 
-    def _write(self, owner: Owner, data: bytes) -> bool:
+    def _write(self, owner: ClientConnection, data: bytes) -> bool:
         return owner.stream.put(data)
 
-    def proves(self, owner: Owner) -> None:
+    def proves(self, owner: ClientConnection) -> None:
         """A task of its stands: it is one of those that releases may be told to."""
         if not owner.proven:
             owner.proven = True
@@ -250,7 +252,7 @@
             while self.owed and owner.stream.closed is None:
                 self._write(owner, self.owed.popleft()[1])
 
-    def to_owner(self, owner: Owner | None, data: bytes, owed: bool) -> None:
+    def to_owner(self, owner: ClientConnection | None, data: bytes, owed: bool) -> None:
         if owner is not None and not (owed and self._ended(owner)) and self._write(owner, data):
             self.descriptors.file(owner)
             return
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -17,22 +17,22 @@
 from typing import TYPE_CHECKING
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import Demand, Descriptors, Worth
+from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
 from glencleat.flow_control.backoff import HOST
-from glencleat.flow_control.connection_limiter import Connecting, look_ms
-from glencleat.index.due_queue import DueIndex
-from glencleat.index.dirty_set import Turns
+from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
+from glencleat.index.due_queue import DueQueue
+from glencleat.index.dirty_set import DirtySet
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import Host, News, when
-from glencleat.platform_protocol.exchange import Attempt, Exchange
-from glencleat.platform_protocol.delivery import SendOutcome
+from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
+from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
+from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.event_loop import Loop
 from glencleat.platform_server import host_connections
-from glencleat.platform_server.failure_detector import NEVER, Do
-from glencleat.platform_server.host_connections import HostLinks, Link
+from glencleat.platform_server.failure_detector import NEVER, DetectorAction
+from glencleat.platform_server.host_connections import HostConnections, HostConnection
 
 if TYPE_CHECKING:
-    from glencleat.platform_protocol.command_channel import Channel
+    from glencleat.platform_protocol.command_channel import CommandChannel
     from glencleat.platform_server.trace import Trace
 
 TICK_MS, LATE_MS = 200.0, 1_000.0  # between two ticks; one that comes so late tells of a standstill
@@ -42,14 +42,14 @@
 MOST_CUTS = 1_000  # releases that wait for a host
 
 
-class Hosts:
+class ConnectionPool:
     """All links. `exchange` is set by whoever joins the parts."""
 
     def __init__(
         self,
         loop: Loop,
-        channel: Channel,
-        descriptors: Descriptors,
+        channel: CommandChannel,
+        descriptors: DescriptorBudget,
         connect_ms: float,
         idle_ms: float,
         random: Random,
@@ -57,22 +57,24 @@
     ) -> None:
         self.loop, self.channel, self.descriptors, self.log = loop, channel, descriptors, log
         self.connect_ms, self.idle_ms = connect_ms, 0.8 * idle_ms  # the host closes at the whole of it
-        self.random, self.connecting = random, Connecting()
-        self.hosts: dict[str, HostLinks] = {}
+        self.random, self.connecting = random, ConnectionLimiter()
+        self.hosts: dict[str, HostConnections] = {}
         self.peers = 1  # allocators that look at the same hosts, this one included
         self.cold_ms = 0.0  # a host that has just started is warm by then
         self.trace: Trace | None = None
         self.addresses: dict[tuple[str, int], str] = {}
-        self.wait_queue: dict[Attempt, None] = {}  # for a link: nothing could be given up for one
+        self.wait_queue: dict[SetupAttempt, None] = {}  # for a link: nothing could be given up for one
         self.waited = 0  # attempts that came into it
         self.serving = False
         descriptors.freed = self._freed
         self.made = 0  # hosts, which are numbered in the order in which they were made
         # The longest unheard first: where there are more hosts than descriptors they take turns.
-        self.turns = Turns[HostLinks](order=lambda host: (host.heard, host.number))
+        self.turns = DirtySet[HostConnections](order=lambda host: (host.heard, host.number))
         self.unlisted: dict[str, None] = {}  # where tasks came to stand, and no list names it
-        self.linked: set[HostLinks] = set()  # those with links, and some that have had
-        self.releasing: set[HostLinks] = set()  # those with releases to be heard, and some that have had
+        self.linked: set[HostConnections] = set()  # those with links, and some that have had
+        self.releasing: set[HostConnections] = (
+            set()
+        )  # those with releases to be heard, and some that have had
         self.ticks = 0
         self.ticked = loop.now()
         loop.call_in(TICK_MS, self._tick)
@@ -97,44 +99,44 @@
 
     # ---- what the exchange asks ----
 
-    def offer(self, attempt: Attempt) -> None:
+    def offer(self, attempt: SetupAttempt) -> None:
         host = self.hosts.get(attempt.host)
         if host is None or not host.address[1]:
-            self.answer(attempt, SendOutcome.NEVER_SENT)
+            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
         elif self._fails_fast(host):
             # A try has just failed, the next one is due soon: the same answer, a connect's time earlier.
-            self.answer(attempt, SendOutcome.NEVER_UP)
+            self.answer(attempt, DeliveryOutcome.NEVER_UP)
         elif not self._send(host, attempt):
             self._wait(attempt)
 
-    def _fails_fast(self, host: HostLinks) -> bool:
+    def _fails_fast(self, host: HostConnections) -> bool:
         waits = self.loop.now() < host.again_at and all(link.stream for link in host.links)
         return waits and host.silent(self.connect_ms)
 
-    def cancel(self, attempt: Attempt) -> SendOutcome:
-        link: Link | None = attempt.link
+    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
+        link: HostConnection | None = attempt.link
         if link is None:
             self.wait_queue.pop(attempt, None)
-            return SendOutcome.NEVER_SENT
+            return DeliveryOutcome.NEVER_SENT
         return link.cancel(attempt)
 
-    def unread(self, attempt: Attempt) -> bool:
-        link: Link | None = attempt.link
+    def unread(self, attempt: SetupAttempt) -> bool:
+        link: HostConnection | None = attempt.link
         return link is not None and link.stream is not None and link.stream.readable
 
-    def _wait(self, attempt: Attempt) -> None:
+    def _wait(self, attempt: SetupAttempt) -> None:
         """For a descriptor, within its time: a connect that fails would be tried again at once."""
         if len(self.wait_queue) >= MOST_WAITING:
-            self.answer(attempt, SendOutcome.NEVER_SENT)
+            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
             return
         self.wait_queue[attempt] = None
         self.waited += 1
 
-    def answer(self, attempt: Attempt, fact: SendOutcome) -> None:
+    def answer(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
         """Told once the exchange is done with offering it."""
         self.loop.call_in(0.0, lambda: self.exchange.failed(attempt, fact))
 
-    def cold(self, host: HostLinks) -> bool:
+    def cold(self, host: HostConnections) -> bool:
         """By the list: it started a short time ago."""
         told = self.channel.hosts.get(host.name)
         ready = told.machine.ready_at_ms if told is not None else None
@@ -154,13 +156,13 @@
                 continue  # taken back since, by what the exchange did on hearing of one before it
             if host is None or not host.address[1]:
                 del self.wait_queue[attempt]
-                self.exchange.failed(attempt, SendOutcome.NEVER_SENT)
+                self.exchange.failed(attempt, DeliveryOutcome.NEVER_SENT)
             elif self._send(host, attempt, full):
                 del self.wait_queue[attempt]
             else:
                 full = True
 
-    def _send(self, host: HostLinks, attempt: Attempt, full: bool = False) -> bool:
+    def _send(self, host: HostConnections, attempt: SetupAttempt, full: bool = False) -> bool:
         link = self._pick(host, attempt.call.setup.task, full)
         while link is not None and link.closed_by_host():
             link = self._pick(host, attempt.call.setup.task, full)
@@ -170,7 +172,7 @@
         self.descriptors.file(link)
         return True
 
-    def _pick(self, host: HostLinks, task: int, full: bool) -> Link | None:
+    def _pick(self, host: HostConnections, task: int, full: bool) -> HostConnection | None:
         """A link with nothing open if there is one, else a new one, else that with the least, else none."""
         silent = host.silent(self.connect_ms)
         usable = [
@@ -189,7 +191,7 @@
             return self._new(host)
         return min(usable, key=lambda link: link.load)
 
-    def _open(self, link: Link) -> bool:
+    def _open(self, link: HostConnection) -> bool:
         """Usable: not closed, and not idle for so long that the host may close it as we write."""
         fresh = self.loop.now() - link.used < self.idle_ms
         return link.stream is None or (link.stream.closed is None and fresh)
@@ -200,8 +202,8 @@
         may = self.connecting.may(self.loop.now(), len(self.hosts), look)
         return may and self.descriptors.make_room(demand)
 
-    def _new(self, host: HostLinks, visit: bool = False) -> Link:
-        link = Link(self, host, visit)
+    def _new(self, host: HostConnections, visit: bool = False) -> HostConnection:
+        link = HostConnection(self, host, visit)
         host.links[link] = None
         self.linked.add(host)
         self.descriptors.hold(link)
@@ -222,7 +224,7 @@
             self._again(host, Demand.ATTEMPT)
 
     @staticmethod
-    def _cut(host: HostLinks, link: Link, task: int) -> None:
+    def _cut(host: HostConnections, link: HostConnection, task: int) -> None:
         """Writes a release; the link may break with it unread, so it is kept until the host says it heard."""
         if task in host.cuts:
             host.cuts[task] = link
@@ -238,7 +240,7 @@
 
     # ---- what links tell ----
 
-    def up(self, host: HostLinks, link: Link) -> None:
+    def up(self, host: HostConnections, link: HostConnection) -> None:
         host.up(self.loop.now())
         self.back(host)
         for task in host.uncut:
@@ -246,7 +248,7 @@
         self._file(host)
         self._freed()
 
-    def _retire(self, host: HostLinks) -> None:
+    def _retire(self, host: HostConnections) -> None:
         """Ends the last visit, just before the next one is opened, and keeps the link that carries set-ups.
 
         A release that we cut off comes again on the next connection opened. Were that later, a host that
@@ -259,14 +261,14 @@
                 link.visit = False
                 self.changed(host)
 
-    def _kept(self, link: Link) -> bool:
+    def _kept(self, link: HostConnection) -> bool:
         return link.stream is not None and not (link.doubtful or link.ended) and self._open(link)
 
-    def _file(self, host: HostLinks) -> None:
+    def _file(self, host: HostConnections) -> None:
         for link in list(host.links):
             self.descriptors.file(link)
 
-    def failed(self, host: HostLinks, refused: bool) -> None:
+    def failed(self, host: HostConnections, refused: bool) -> None:
         now = self.loop.now()
         if host.failing > now:
             quiet, how = now - host.heard, "refused" if refused else "not up in time"
@@ -280,13 +282,13 @@
             self.exchange.reached(host.name, up=False)
         self._freed()
 
-    def back(self, host: HostLinks) -> None:
+    def back(self, host: HostConnections) -> None:
         """It was heard, or a connection came up."""
         if host.away:
             host.away = False
             self.exchange.reached(host.name, up=True)
 
-    def broken(self, host: HostLinks, link: Link, why: str) -> None:
+    def broken(self, host: HostConnections, link: HostConnection, why: str) -> None:
         """A release that was on its way comes again on the next connection opened: it is opened at once."""
         now = self.loop.now()
         if host.breaks(now, now - link.used > self.idle_ms, host.alone):
@@ -300,7 +302,7 @@
             self.log(f"host {host.name}: link ended, {why}; {left}")
             self._again(host)
 
-    def _again(self, host: HostLinks, demand: Demand = Demand.LISTEN) -> None:
+    def _again(self, host: HostConnections, demand: Demand = Demand.LISTEN) -> None:
         connecting = any(link.stream is None for link in host.links)
         if connecting or not host.address[1] or self.loop.now() < host.again_at:
             return
@@ -310,7 +312,7 @@
 
     # ---- the list ----
 
-    def list_told(self, news: News) -> None:
+    def list_told(self, news: ListChange) -> None:
         names = {host.machine.name for host in news.hosts}
         for name, host in self.hosts.items() if news.whole else ():
             if name not in names:
@@ -318,7 +320,7 @@
         for told in news.hosts:
             self._told(told)
 
-    def _told(self, told: Host) -> None:
+    def _told(self, told: HostEntry) -> None:
         name, now = told.machine.name, self.loop.now()
         host = self.hosts.get(name) or self._add(name)
         if told.machine.phase is api.MachinePhase.REMOVED:
@@ -339,7 +341,7 @@
             start = when(told.started_ms - self.channel.ahead_ms, now)
             self._over(host, "a later start is in the list", start)
 
-    def _replaced(self, host: HostLinks) -> None:
+    def _replaced(self, host: HostConnections) -> None:
         """Another id has its address: connections there would reach the wrong one."""
         host.leaves(self.loop.now())
         self._drop(host, "another host has its address")
@@ -347,23 +349,23 @@
         self.changed(host)
         self._over(host, "another host has its address")
 
-    def _add(self, name: str) -> HostLinks:
+    def _add(self, name: str) -> HostConnections:
         self.made += 1
-        host = self.hosts[name] = HostLinks(name, self.loop.now(), self.random, self.made, self.changed)
+        host = self.hosts[name] = HostConnections(name, self.loop.now(), self.random, self.made, self.changed)
         return host
 
-    def _over(self, host: HostLinks, why: str, before: float = float("inf")) -> None:
+    def _over(self, host: HostConnections, why: str, before: float = float("inf")) -> None:
         ended = self.exchange.host_lost(host.name, before)
         if ended:
             self.log(f"host {host.name}: {ended} tasks over, {why}")
 
-    def _drop(self, host: HostLinks, why: str) -> None:
+    def _drop(self, host: HostConnections, why: str) -> None:
         for link in list(host.links):
             link.drop(why)
 
     # ---- now and then ----
 
-    def changed(self, host: HostLinks) -> None:
+    def changed(self, host: HostConnections) -> None:
         """Something has happened on it that may bring forward when it has to be looked at."""
         self.turns.mark(host)
 
@@ -389,7 +391,7 @@
                 self._add(name).leaves(now)
             elif name in self.hosts:
                 self.changed(self.hosts[name])
-        if DueIndex.checked:
+        if DueQueue.checked:
             self._check(now)
         for host in self.turns.take(now):
             if self.hosts.get(host.name) is host:
@@ -399,7 +401,7 @@
             else:
                 self._forget(host)
 
-    def _visit(self, host: HostLinks, now: float) -> None:
+    def _visit(self, host: HostConnections, now: float) -> None:
         """All that has to be done at a host by now."""
         if host.name in self.exchange.standing:
             self._look(host, now)
@@ -412,12 +414,12 @@
         if not host.cuts:
             self.releasing.discard(host)
 
-    def _forget(self, host: HostLinks) -> None:
+    def _forget(self, host: HostConnections) -> None:
         self.linked.discard(host)
         self.releasing.discard(host)
         self.turns.put(host, NEVER)
 
-    def _next(self, host: HostLinks) -> float:
+    def _next(self, host: HostConnections) -> float:
         """When it has to be looked at again if nothing happens on it; what is past: in the next tick.
 
         Each line answers one of `_look`, `_again`, `_tidy` and `_file`; `_check` sets them against it."""
@@ -438,7 +440,7 @@
                 due = min(due, link.used + SURPLUS_MS)
             if not (link.visit or (stands and host.draining)):
                 due = min(due, link.used + self.idle_ms)
-            if self.descriptors.filed.get(link) is Worth.LISTENING:
+            if self.descriptors.filed.get(link) is EvictionPriority.LISTENING:
                 due = min(due, link.since + host_connections.VISIT_MS)
         return due
 
@@ -453,18 +455,18 @@
             assert host in self.linked or not host.links
             assert host in self.releasing or not host.cuts
 
-    def _look(self, host: HostLinks, now: float) -> None:
+    def _look(self, host: HostConnections, now: float) -> None:
         """Whether a host with standing tasks lives: `life.py` says what is to be done."""
         do, why = host.look(now, bool(host.address[1]), bool(host.links), look_ms(self.peers))
-        if do is Do.OVER:
+        if do is DetectorAction.OVER:
             self._over(host, why)
             return
-        if do is Do.LAST:
+        if do is DetectorAction.LAST:
             host.again_at = now
-        if do is not Do.NOTHING:
+        if do is not DetectorAction.NOTHING:
             self._again(host)
 
-    def _tidy(self, host: HostLinks, now: float) -> None:
+    def _tidy(self, host: HostConnections, now: float) -> None:
         """Ends links that nobody needs, and forgets hosts that are gone."""
         stands = host.name in self.exchange.standing
         for link in sorted(host.links, key=lambda link: (not link.doubtful, link.used)):
--- a/glencleat/platform_server/failure_detector.py
+++ b/glencleat/platform_server/failure_detector.py
@@ -32,14 +32,14 @@
 NEVER = float("inf")
 
 
-class Do(Enum):
+class DetectorAction(Enum):
     NOTHING = "nothing"
     LOOK = "open a connection, when one is due"
     LAST = "open a connection now: it decides"
     OVER = "what stands there has ended"
 
 
-class Life:
+class FailureDetector:
     """What was seen of one host."""
 
     def __init__(self, now: float) -> None:
@@ -114,27 +114,31 @@
         # One that began to drain after we gave up its link refuses as well, and the list may not tell it yet.
         return DRAIN_REFUSED_MS if self.given_up or (self.draining and not self.fell) else REFUSED_MS
 
-    def look(self, now: float, addressed: bool, linked: bool, look_ms: float) -> tuple[Do, str]:
+    def look(self, now: float, addressed: bool, linked: bool, look_ms: float) -> tuple[DetectorAction, str]:
         """What to do about a host where tasks stand, and why it is over where it is.
 
         `addressed`: a list tells where it is; `linked`: there is a link, up or coming up; `look_ms`: how long
         it may be quiet, by how many look at it."""
         if not addressed:
-            return (Do.OVER, "no list names it") if now - self.since > UNLISTED_MS else (Do.NOTHING, "")
+            return (
+                (DetectorAction.OVER, "no list names it")
+                if now - self.since > UNLISTED_MS
+                else (DetectorAction.NOTHING, "")
+            )
         if now - self.refused > self.proof_ms():
-            return Do.OVER, "connections are refused"
+            return DetectorAction.OVER, "connections are refused"
         if self.refusing:
             found = self._refusing(now)
             if found is not None:
                 return found
         elif self.failing < now and now - self.spoke > NEVER_UP_MS:
             if self.failed_at - self.spoke > NEVER_UP_MS:
-                return Do.OVER, "no connection comes up"
-            return Do.LAST, ""  # one before it may be nearly a second old
+                return DetectorAction.OVER, "no connection comes up"
+            return DetectorAction.LAST, ""  # one before it may be nearly a second old
         if self.given_up and self.failing > now:
-            return (Do.LOOK if now - self.spoke > HEAR_MS else Do.NOTHING), ""
+            return (DetectorAction.LOOK if now - self.spoke > HEAR_MS else DetectorAction.NOTHING), ""
         due = now - self.spoke > max(QUIET_MS, look_ms) or not linked or self.failing < now
-        return (Do.LOOK if due else Do.NOTHING), ""
+        return (DetectorAction.LOOK if due else DetectorAction.NOTHING), ""
 
     def due(self, addressed: bool, linked: bool, look_ms: float) -> float:
         """The first instant at which `look`, so asked, may say anything but NOTHING if nothing is seen until
@@ -147,11 +151,11 @@
         quiet = self.spoke + (HEAR_MS if self.given_up else max(QUIET_MS, look_ms))
         return min(self.refused + self.proof_ms(), silent, self.failing, quiet)
 
-    def _refusing(self, now: float) -> tuple[Do, str] | None:
+    def _refusing(self, now: float) -> tuple[DetectorAction, str] | None:
         if self.failed_at > self.gone_at:
-            return Do.OVER, "the list calls it gone, and connections are refused"
+            return DetectorAction.OVER, "the list calls it gone, and connections are refused"
         if now - self.spoke > NEVER_UP_MS:
             # One that drains takes no connection, and may end tasks without a word of it; a process may end
             # with a link left open, silent. Testing it on that link had a price and told no ends.
-            return Do.OVER, "it says nothing by itself, and connections are refused"
+            return DetectorAction.OVER, "it says nothing by itself, and connections are refused"
         return None
--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -22,7 +22,7 @@
 UNHANDLED_MS = 2_500.0  # beyond it: one who goes on sending, or reads nothing; a half message has 2 s
 
 
-class State(Enum):
+class ShutdownState(Enum):
     SERVING = "serving"
     DRAINING = "draining"
     CLOSING = "closing"
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ShutdownObservation:
     """What one look found."""
 
     unanswered: bool  # open calls
@@ -38,7 +38,7 @@
     undelivered: bool  # releases owed to clients or hosts, for which there is no connection
 
 
-class Draining:
+class GracefulShutdown:
     """
     >>> draining, nothing = Draining(), Seen(False, False, False)
     >>> draining.begin(0.0), draining.begin(5.0)
@@ -48,22 +48,24 @@
     """
 
     def __init__(self) -> None:
-        self.state = State.SERVING
+        self.state = ShutdownState.SERVING
         self.over_at = float("inf")  # the window's end
 
     def begin(self, now: float) -> bool:
         """SIGTERM; False if it came before."""
-        if self.state is not State.SERVING:
+        if self.state is not ShutdownState.SERVING:
             return False
-        self.state, self.over_at = State.DRAINING, now + WINDOW_MS
+        self.state, self.over_at = ShutdownState.DRAINING, now + WINDOW_MS
         return True
 
-    def look(self, now: float, seen: Seen) -> State:
-        if self.state is State.DRAINING and now >= self.over_at:
-            self.state = State.CLOSING  # what was in the backlog is in: the next look finds what it says
-        elif self.state is State.CLOSING:
+    def look(self, now: float, seen: ShutdownObservation) -> ShutdownState:
+        if self.state is ShutdownState.DRAINING and now >= self.over_at:
+            self.state = (
+                ShutdownState.CLOSING
+            )  # what was in the backlog is in: the next look finds what it says
+        elif self.state is ShutdownState.CLOSING:
             held = seen.undelivered and now < self.over_at + UNDELIVERED_MS
             held |= seen.unhandled and now < self.over_at + UNHANDLED_MS
             if not (seen.unanswered or held):
-                self.state = State.CLOSED
+                self.state = ShutdownState.CLOSED
         return self.state
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -10,15 +10,15 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from glencleat.descriptor_budget import Descriptors, Side, Worth
-from glencleat.flow_control.backoff import HOST, Asking
+from glencleat.descriptor_budget import DescriptorBudget, Side, EvictionPriority
+from glencleat.flow_control.backoff import HOST, Backoff
 from glencleat.platform_protocol import messages as m
-from glencleat.flow_control.connection_limiter import Connecting
-from glencleat.platform_protocol.exchange import Attempt, Exchange
-from glencleat.platform_protocol.delivery import SendOutcome
-from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.flow_control.connection_limiter import ConnectionLimiter
+from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
+from glencleat.platform_protocol.delivery import DeliveryOutcome
+from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
-from glencleat.platform_server.failure_detector import Life
+from glencleat.platform_server.failure_detector import FailureDetector
 
 if TYPE_CHECKING:
     from glencleat.platform_server.trace import Trace
@@ -28,31 +28,31 @@
 LEAVE_MS = 500.0  # for a host to close a link that we end
 
 
-class Keeper(Protocol):
+class ConnectionKeeper(Protocol):
     """What links need of who makes them; `platform_server/connection_pool.py` is it."""
 
     loop: Loop
-    connecting: Connecting
-    descriptors: Descriptors
+    connecting: ConnectionLimiter
+    descriptors: DescriptorBudget
     exchange: Exchange
     connect_ms: float
     trace: Trace | None
 
-    def answer(self, attempt: Attempt, fact: SendOutcome) -> None: ...
-    def cold(self, host: HostLinks) -> bool: ...
-    def up(self, host: HostLinks, link: Link) -> None: ...
-    def back(self, host: HostLinks) -> None: ...
-    def failed(self, host: HostLinks, refused: bool) -> None: ...
-    def broken(self, host: HostLinks, link: Link, why: str) -> None: ...
-    def changed(self, host: HostLinks) -> None: ...
+    def answer(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None: ...
+    def cold(self, host: HostConnections) -> bool: ...
+    def up(self, host: HostConnections, link: HostConnection) -> None: ...
+    def back(self, host: HostConnections) -> None: ...
+    def failed(self, host: HostConnections, refused: bool) -> None: ...
+    def broken(self, host: HostConnections, link: HostConnection, why: str) -> None: ...
+    def changed(self, host: HostConnections) -> None: ...
 
 
-class Link:
+class HostConnection:
     """One connection to a host, from before it is up until it has ended or is left to end."""
 
     side = Side.LINKS
 
-    def __init__(self, hosts: Keeper, host: HostLinks, visit: bool) -> None:
+    def __init__(self, hosts: ConnectionKeeper, host: HostConnections, visit: bool) -> None:
         self.hosts, self.host, self.loop = hosts, host, hosts.loop
         self.address = host.address  # which may be another by the time that it comes up
         self.visit = visit  # opened beside another to see whether the host lives: not kept unless used
@@ -60,9 +60,9 @@
         self.ended = False  # the host has closed it: what it said before is read, nothing more is sent
         self.since = 0.0  # when it came up
         self.stream: Stream | None = None
-        self.decoder = m.Decoder()
-        self.waiting: list[Attempt] = []  # until it is up
-        self.out: dict[Attempt, int] = {}  # sent; where their bytes end
+        self.decoder = m.MessageDecoder()
+        self.waiting: list[SetupAttempt] = []  # until it is up
+        self.out: dict[SetupAttempt, int] = {}  # sent; where their bytes end
         self.spent: set[int] = set()  # ids given up here: a late answer would be taken for that of a next try
         self.doubtful = False  # an attempt had no answer here, and nothing was heard since
         self.used = self.loop.now()
@@ -88,17 +88,23 @@
 
     # ---- its descriptor ----
 
-    def worth(self) -> Worth:
+    def worth(self) -> EvictionPriority:
         host = self.host
         if not self.unused:
-            return Worth.HELD
+            return EvictionPriority.HELD
         up = (li for li in host.links if li is not self and li.stream is not None and not li.doubtful)
         others = any(self.visit or not li.visit for li in up)  # a visit goes before the link it is beside
         if others or not (self.hosts.exchange.standing.get(host.name) or host.uncut):
-            return Worth.SPARE
+            return EvictionPriority.SPARE
         if host.draining:
-            return Worth.HELD  # it takes no new connection while its tasks run: there is no way back
-        return Worth.LISTENED if self.loop.now() - self.since > VISIT_MS else Worth.LISTENING
+            return (
+                EvictionPriority.HELD
+            )  # it takes no new connection while its tasks run: there is no way back
+        return (
+            EvictionPriority.LISTENED
+            if self.loop.now() - self.since > VISIT_MS
+            else EvictionPriority.LISTENING
+        )
 
     def last_look(self) -> None:
         """What is unread on it is read after it is left."""
@@ -138,11 +144,11 @@
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:
             attempt.link = None
-            self.hosts.answer(attempt, SendOutcome.NEVER_SENT)
+            self.hosts.answer(attempt, DeliveryOutcome.NEVER_SENT)
 
     # ---- attempts ----
 
-    def take(self, attempt: Attempt) -> None:
+    def take(self, attempt: SetupAttempt) -> None:
         attempt.link, self.visit = self, False
         self.used = self.loop.now()
         self.hosts.changed(self.host)
@@ -151,11 +157,11 @@
         else:
             self._send(attempt)
 
-    def _send(self, attempt: Attempt) -> None:
+    def _send(self, attempt: SetupAttempt) -> None:
         assert self.stream is not None
         held_back = self.hosts.exchange.held_back(attempt, self.host.serves, self.hosts.cold(self.host))
         if self.ended and held_back is None:
-            held_back = SendOutcome.NEVER_SENT
+            held_back = DeliveryOutcome.NEVER_SENT
         if held_back is not None:
             attempt.link = None
             self.hosts.answer(attempt, held_back)
@@ -169,30 +175,30 @@
         if self.stream is not None:
             self.stream.put(data)
 
-    def cancel(self, attempt: Attempt) -> SendOutcome:
+    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
         self.hosts.changed(self.host)
         if attempt in self.waiting:
             self.waiting.remove(attempt)
-            return SendOutcome.NEVER_UP
+            return DeliveryOutcome.NEVER_UP
         end = self.out.pop(attempt, None)
         if end is None or self.stream is None:
-            return SendOutcome.BROKEN
+            return DeliveryOutcome.BROKEN
         if self.stream.written < end:
             self.stream.close("a set-up given up before it was sent whole")
-            return SendOutcome.NEVER_SENT
+            return DeliveryOutcome.NEVER_SENT
         if self.stream.closed is not None:
-            return SendOutcome.BROKEN
+            return DeliveryOutcome.BROKEN
         self.doubtful = True
         self.spent.add(attempt.call.setup.task)
         self.write(m.caused(m.RELEASE, attempt.call.setup.task, m.GIVEN_UP))
         if self.stream.out or self.decoder.partial:
             self.stream.close("a give-up that can't be written, or an answer that stopped short")
-        return SendOutcome.SILENT
+        return DeliveryOutcome.SILENT
 
     def _run(self) -> Coroutine:
         try:
             self.stream = yield from connect(self.loop, self.address, self.hosts.connect_ms)
-        except ConnectFailed as error:
+        except ConnectError as error:
             self.hosts.connecting.ended(self.address)
             self.host.remove(self)
             self.hosts.descriptors.free(self)
@@ -200,10 +206,12 @@
                 return  # of an address that is no longer its host's
             if error.code in (errno.EMFILE, errno.ENFILE):
                 # Ours: it says nothing of the host. A sweep would try again at once, and all the others too.
-                fact, self.host.again_at = SendOutcome.NEVER_SENT, self.loop.now() + OURS_MS
+                fact, self.host.again_at = DeliveryOutcome.NEVER_SENT, self.loop.now() + OURS_MS
             else:
                 self.hosts.failed(self.host, error.code == errno.ECONNREFUSED)
-                fact = SendOutcome.REFUSED if error.code == errno.ECONNREFUSED else SendOutcome.NEVER_UP
+                fact = (
+                    DeliveryOutcome.REFUSED if error.code == errno.ECONNREFUSED else DeliveryOutcome.NEVER_UP
+                )
             while self.waiting:  # one that is taken back by what follows from another is no longer here
                 self.hosts.exchange.failed(self.waiting.pop(0), fact)
             return
@@ -221,14 +229,14 @@
             self._send(attempt)
         try:
             yield from self._read(self.stream)
-        except (StreamClosed, m.PeerError) as error:
+        except (StreamClosedError, m.PeerError) as error:
             self._end(str(error))
 
     def _read(self, stream: Stream) -> Coroutine:
         while True:
             data = yield from stream.read()
             if not data:
-                raise StreamClosed("the host closed it")
+                raise StreamClosedError("the host closed it")
             self.used = self.loop.now()
             self.host.hears(self.used)
             self.host.asking.well()
@@ -241,7 +249,7 @@
                 self._message(message)
             self.hosts.descriptors.file(self, used=True)
 
-    def _message(self, message: m.Message) -> None:
+    def _message(self, message: m.PlatformMessage) -> None:
         if self.hosts.trace is not None:
             self.hosts.trace.message(f"host {self.host.name}", message)
         if message.kind != m.TESTED:
@@ -276,28 +284,32 @@
         out, self.out = self.out, {}
         for attempt, end in out.items():
             whole = stream.written >= end
-            self.hosts.exchange.failed(attempt, SendOutcome.BROKEN if whole else SendOutcome.NEVER_SENT)
+            self.hosts.exchange.failed(
+                attempt, DeliveryOutcome.BROKEN if whole else DeliveryOutcome.NEVER_SENT
+            )
         if not self.left:
             self.hosts.broken(self.host, self, why)
 
 
-class HostLinks(Life):
+class HostConnections(FailureDetector):
     """A host, its links, and what is known of whether it lives. `changed` is told of all that may bring
     forward when it has to be looked at; what only puts it off is found when that time comes."""
 
     def __init__(
-        self, name: str, now: float, random: Random, number: int, changed: Callable[[HostLinks], None]
+        self, name: str, now: float, random: Random, number: int, changed: Callable[[HostConnections], None]
     ) -> None:
         super().__init__(now)
         self.name, self.number, self.changed = name, number, changed
-        self.asking = Asking(HOST, random)  # between two connections, when it could not be reached
+        self.asking = Backoff(HOST, random)  # between two connections, when it could not be reached
         self.address: tuple[str, int] = ("", 0)
         self.started: float | None = None  # its process, as the list told last: Unix milliseconds
-        self.links: dict[Link, None] = {}  # in the order in which they were made
+        self.links: dict[HostConnection, None] = {}  # in the order in which they were made
         self.again_at = 0.0
-        self.cuts: dict[int, Link | None] = {}  # releases that it has not said it heard, and where they went
+        self.cuts: dict[
+            int, HostConnection | None
+        ] = {}  # releases that it has not said it heard, and where they went
 
-    def remove(self, link: Link) -> None:
+    def remove(self, link: HostConnection) -> None:
         if link in self.links:
             del self.links[link]
             self.changed(self)
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -18,19 +18,24 @@
 import msgspec
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import Descriptors
-from glencleat.flow_control.backoff import CHANNEL, Asking
-from glencleat.platform_protocol.command_channel import Channel, News, address
-from glencleat.platform_protocol.exchange import Attempt, Exchange
+from glencleat.descriptor_budget import DescriptorBudget
+from glencleat.flow_control.backoff import CHANNEL, Backoff
+from glencleat.platform_protocol.command_channel import CommandChannel, ListChange, address
+from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.platform_protocol.delivery import SendOutcome
+from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.event_loop import Loop, Signals, Timer
 from glencleat.policy.scheduler import Scheduler
-from glencleat.platform_server.graceful_shutdown import WINDOW_MS, Draining, Seen, State
-from glencleat.platform_server.watch_client import Feed
-from glencleat.platform_server.connection_pool import Hosts
-from glencleat.platform_server.rate_limited_log import Log
-from glencleat.platform_server.client_connections import Owners
+from glencleat.platform_server.graceful_shutdown import (
+    WINDOW_MS,
+    GracefulShutdown,
+    ShutdownObservation,
+    ShutdownState,
+)
+from glencleat.platform_server.watch_client import WatchClient
+from glencleat.platform_server.connection_pool import ConnectionPool
+from glencleat.platform_server.rate_limited_log import RateLimitedLog
+from glencleat.platform_server.client_connections import ClientConnections
 from glencleat.platform_settings import read_settings
 
 LOOK_MS = 10.0  # between two looks whether all is answered
@@ -46,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class ProcessConfig:
     name: str
     listen: tuple[str, int]
     seed: int
@@ -58,13 +63,13 @@
     idle_ms: float
 
 
-def load(path: str) -> Config:
+def load(path: str) -> ProcessConfig:
     """Reads and checks the file that ROUTER_CONFIG names; raises BadConfig."""
     try:
         with open(path, "rb") as file:
             raw = msgspec.json.decode(file.read())
         limits = raw["settings"]["limits"]
-        return Config(
+        return ProcessConfig(
             name=str(raw["name"]),
             listen=address(raw["listen"], least=0),
             seed=int(str(raw["seed"]), 16),
@@ -83,17 +88,17 @@
         raise BadConfig(f"{path}: {type(error).__name__}: {error}") from None
 
 
-class Process:
+class PlatformProcess:
     """The parts joined; the exchange's Ports."""
 
-    def __init__(self, config: Config, loop: Loop, log: Callable[[str], None], path: str) -> None:
+    def __init__(self, config: ProcessConfig, loop: Loop, log: Callable[[str], None], path: str) -> None:
         self.loop, self.log, self.path = loop, log, path
-        self.channel = Channel(loop.clock.wall() - loop.now())
-        self.descriptors = Descriptors(config.descriptors)
-        self.owners = Owners(loop, self.descriptors, log)
+        self.channel = CommandChannel(loop.clock.wall() - loop.now())
+        self.descriptors = DescriptorBudget(config.descriptors)
+        self.owners = ClientConnections(loop, self.descriptors, log)
         random = Random(config.seed)
         limits = config.connect_ms, config.idle_ms
-        self.hosts = Hosts(loop, self.channel, self.descriptors, *limits, random, log)
+        self.hosts = ConnectionPool(loop, self.channel, self.descriptors, *limits, random, log)
         self.started = loop.now()
         self.owners.ready = self._ready
         self.hosts.peers, self.hosts.cold_ms = config.settings.allocator_count, config.settings.warm_up_ms
@@ -103,14 +108,14 @@
         self.owners.exchange = self.hosts.exchange = self.exchange
         for news in self.channel.begin(config.known, loop.now()):
             self.list_told(news)
-        asking = Asking(CHANNEL, random)
-        self.feed = Feed(loop, self.channel, asking, config.channel, self.list_told, log)
+        asking = Backoff(CHANNEL, random)
+        self.feed = WatchClient(loop, self.channel, asking, config.channel, self.list_told, log)
         self.rereads = 0
         self.faults = 0
         if os.environ.get("GLENCLEAT_TRACE") == "1":
             self._trace()
         self.lag = 0.0
-        self.draining = Draining()
+        self.draining = GracefulShutdown()
 
     def _ready(self) -> bool:
         """There is somewhere to place, or there was no list for too long: what is asked is then refused at
@@ -120,7 +125,7 @@
     def _trace(self) -> None:
         from glencleat.platform_server.trace import Trace
 
-        line, contract = Log("trace", most=1 << 30, width=500), self.exchange.contract
+        line, contract = RateLimitedLog("trace", most=1 << 30, width=500), self.exchange.contract
         contract.module = trace = Trace(contract.module, self.exchange.calls, line)
         self.owners.trace = self.hosts.trace = trace
 
@@ -135,13 +140,13 @@
     def proves(self, owner: Any) -> None:
         self.owners.proves(owner)
 
-    def offer(self, attempt: Attempt) -> None:
+    def offer(self, attempt: SetupAttempt) -> None:
         self.hosts.offer(attempt)
 
-    def cancel(self, attempt: Attempt) -> SendOutcome:
+    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
         return self.hosts.cancel(attempt)
 
-    def unread(self, attempt: Attempt) -> bool:
+    def unread(self, attempt: SetupAttempt) -> bool:
         return self.hosts.unread(attempt)
 
     def cut(self, host: str, task: int) -> None:
@@ -158,7 +163,7 @@
 
     # ---- the list ----
 
-    def list_told(self, news: News) -> None:
+    def list_told(self, news: ListChange) -> None:
         # The module first: what stood at a host that was replaced is then bound anew by the newer list.
         self.exchange.list_told(news)
         self.hosts.list_told(news)
@@ -193,15 +198,15 @@
     def _look(self) -> None:
         """Looks at all there is by asking the system: after a standstill no event tells of it yet."""
         came, half = self.owners.take_all_in()
-        seen = Seen(
+        seen = ShutdownObservation(
             unanswered=bool(self.exchange.open),
             unhandled=came or half or self.owners.unsent,
             undelivered=bool(self.owners.owed) or self.hosts.cutting,
         )
         state = self.draining.look(self.loop.now(), seen)
-        if state is not State.DRAINING:
+        if state is not ShutdownState.DRAINING:
             self.owners.close()
-        if state is State.CLOSED:
+        if state is ShutdownState.CLOSED:
             self.loop.stop()
         else:
             self.loop.call_in(LOOK_MS, self._look)
@@ -252,14 +257,14 @@
 
 def main() -> int:
     signals = Signals()
-    log = Log(os.environ.get("ROUTER_NAME", "node"))
+    log = RateLimitedLog(os.environ.get("ROUTER_NAME", "node"))
     path = os.environ.get("ROUTER_CONFIG")
     if path is None:
         print("glencleat node: ROUTER_CONFIG is not set; expected the path of a file", file=sys.stderr)
         return 2
     try:
         config = load(path)
-        process = Process(config, Loop(), log, path)
+        process = PlatformProcess(config, Loop(), log, path)
     except (BadConfig, PeerError, ValueError) as error:
         print(f"glencleat node: {error}", file=sys.stderr)
         return 2
--- a/glencleat/platform_server/rate_limited_log.py
+++ b/glencleat/platform_server/rate_limited_log.py
@@ -11,7 +11,7 @@
 MOST, WIDTH = 20, 400  # lines a second, the rest are counted; characters of a line
 
 
-class Log:
+class RateLimitedLog:
     def __init__(self, name: str, fd: int = 2, most: int = MOST, width: int = WIDTH) -> None:
         self.name, self.fd, self.most, self.width = name, fd, most, width
         self.second, self.lines, self.dropped = 0, 0, 0
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -9,11 +9,11 @@
 from typing import TYPE_CHECKING
 
 from glencleat import interface as api
-from glencleat.allocator.contract import Module
+from glencleat.allocator.contract import DecisionModule
 from glencleat.platform_protocol import messages as m
 
 if TYPE_CHECKING:
-    from glencleat.platform_protocol.exchange import Call
+    from glencleat.platform_protocol.exchange import SetupCall
 
 DULL = (
     api.TimerFired,
@@ -25,7 +25,9 @@
 class Trace:
     """A module around the real one, which it asks; `message` is for what passes on the sockets."""
 
-    def __init__(self, module: Module, calls: dict[int, Call], line: Callable[[str], None]) -> None:
+    def __init__(
+        self, module: DecisionModule, calls: dict[int, SetupCall], line: Callable[[str], None]
+    ) -> None:
         self.module, self.calls, self.line = module, calls, line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
@@ -38,5 +40,5 @@
         self.line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
         return actions
 
-    def message(self, where: str, message: m.Message) -> None:
+    def message(self, where: str, message: m.PlatformMessage) -> None:
         self.line(f"{where} pair {message.task:016x}: {message.kind} {message.parameters}")
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Callable
 
-from glencleat.flow_control.backoff import Asking
-from glencleat.platform_protocol.command_channel import Channel, News
+from glencleat.flow_control.backoff import Backoff
+from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.event_loop import Loop, Pause, Stream, StreamClosed, connect
+from glencleat.event_loop import Loop, Pause, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 
 CONNECT_MS = 500.0
@@ -18,14 +18,14 @@
 PROGRESS = 65_536  # bytes of a line that is not whole count as a word: a long list may take its time
 
 
-class Feed:
+class WatchClient:
     def __init__(
         self,
         loop: Loop,
-        channel: Channel,
-        asking: Asking,
+        channel: CommandChannel,
+        asking: Backoff,
         place: tuple[str, int],
-        told: Callable[[News], None],
+        told: Callable[[ListChange], None],
         log: Callable[[str], None],
     ) -> None:
         self.loop, self.channel, self.asking, self.place = loop, channel, asking, place
@@ -51,7 +51,7 @@
         while True:
             try:
                 yield from self._follow()
-            except (StreamClosed, PeerError) as error:
+            except (StreamClosedError, PeerError) as error:
                 self.breaks += 1
                 self.log(f"command channel: {error}; asking again from {self.channel.cursor}")
             if self.stream is not None:
@@ -66,14 +66,14 @@
         stream: Stream = yield from connect(self.loop, place, CONNECT_MS)
         self.stream = stream
         if place != self.place:
-            raise StreamClosed("the command channel moved")
+            raise StreamClosedError("the command channel moved")
         self.heard, self.half = self.loop.now(), 0
         self._watch(stream)
         stream.send(self.channel.resume())
         while True:
             data = yield from stream.read()
             if not data:
-                raise StreamClosed("it ended")
+                raise StreamClosedError("it ended")
             now = self.loop.now()
             self.half = 0 if b"\n" in data else self.half + len(data)
             if not self.half or self.half >= PROGRESS:
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -14,7 +14,7 @@
 from itertools import chain, count, islice
 from typing import Any
 
-from glencleat.index.rendezvous import Columns, Members, Order, hashed
+from glencleat.index.rendezvous import Columns, RendezvousIndex, RendezvousOrder, hashed
 from glencleat.interface import (
     AttemptAccepted,
     Action,
@@ -123,13 +123,13 @@
         return self.known[share, first]
 
 
-class Profile:
+class UsageProfile:
     """Peaks as shares of the ask, and lives, of the ended tasks of a service (or of a class, pooled)."""
 
     def __init__(self) -> None:
         self.cores, self.memory, self.life = Histogram(0.05), Histogram(0.05), Histogram(1_000.0)
 
-    def add(self, task: Task, life: float | None) -> None:
+    def add(self, task: TrackedTask, life: float | None) -> None:
         if task.peak[0] and task.peak[1]:
             self.cores.add(task.peak[0] / task.ask[0])
             self.memory.add(task.peak[1] / task.ask[1])
@@ -141,7 +141,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Task:
+class TrackedTask:
     """A task of ours from its arrival to its end."""
 
     call: int
@@ -153,7 +153,7 @@
     deadline: float
     number: int = field(default_factory=count(1).__next__)  # in the order of arrival
     attempts: int = 0
-    node: Node | None = None  # where an attempt is out or the task runs
+    node: MachineState | None = None  # where an attempt is out or the task runs
     sent: float = 0.0
     placed: bool = False
     warmth: int = 2
@@ -161,21 +161,23 @@
     runs_since: float | None = None
     lived: bool = True  # here from its start, so that its life can be learned
     answered: bool = False
-    maybe: tuple[float, Node] | None = None  # send time and machine of the first attempt that may have run
+    maybe: tuple[float, MachineState] | None = (
+        None  # send time and machine of the first attempt that may have run
+    )
     refused: dict[str, float] = field(default_factory=dict)
-    erred: list[Node] = field(default_factory=list)  # machines that answered it with an error
+    erred: list[MachineState] = field(default_factory=list)  # machines that answered it with an error
     use: Pair = (0.0, 0.0)
     peak: Pair = (0.0, 0.0)
 
 
-class Node:
+class MachineState:
     """A machine as this scheduler knows it: what the list and its answers told, and our own tasks there."""
 
     def __init__(self, told: Machine, size: MachineSize | None) -> None:
         self.name, self.told, self.known = told.name, told, size is not None
         self.size: Pair = (size.cores, size.memory) if size else (1.0, 1.0)
-        self.tasks: dict[int, Task] = {}
-        self.due: dict[int, Task] = {}  # those not yet running
+        self.tasks: dict[int, TrackedTask] = {}
+        self.due: dict[int, TrackedTask] = {}  # those not yet running
         self.hash = hashed(told.name)
         self.turned: dict[tuple[str, str | None], Pair] = {}  # class and tenant -> until when, for how long
         self.probing = float("inf")  # since when a probe is out
@@ -209,16 +211,16 @@
             settings.allocator_count / settings.memory_overcommit,
         )
         self.classes = {c.name: c for c in settings.classes}
-        self.tasks: dict[int, Task] = {}
-        self.held: dict[int, Task] = {}
-        self.services: dict[str, dict[int, Task]] = {}
-        self.nodes: dict[str, Node] = {}
-        self.profiles: dict[str, Profile] = {}
+        self.tasks: dict[int, TrackedTask] = {}
+        self.held: dict[int, TrackedTask] = {}
+        self.services: dict[str, dict[int, TrackedTask]] = {}
+        self.nodes: dict[str, MachineState] = {}
+        self.profiles: dict[str, UsageProfile] = {}
         self.kept: dict[str, dict[str, float]] = {}  # service -> machine -> last time a task of ours held it
         self.ratio = (0.6, 0.7)  # use over ask, in the mean, until our own running tasks tell
         self.seen = Columns(4)  # use and ask of the tasks whose use is seen
         self.starts: dict[tuple[str, int], float] = {}
-        self.serving = Members[Node](ORDERED, KNOWN)  # and each service's hash order of them
+        self.serving = RendezvousIndex[MachineState](ORDERED, KNOWN)  # and each service's hash order of them
         self.emptied: dict[str, None] = {}  # machines that may be gone and without tasks of ours
         self.fill = (0.0, 0.0)  # shares of machines that others' tasks use, in the mean of those told
         self.timer_at = self.wake_at = float("inf")
@@ -247,14 +249,14 @@
             self.out.append(SetTimer(max(0.0, due - now_ms), 0))
         return self.out
 
-    def profile(self, task: Task, part: str) -> Profile:
+    def profile(self, task: TrackedTask, part: str) -> UsageProfile:
         """The service's profile once enough tasks have ended; till then its class's, pooled."""
         own, key = self.profiles.get(task.service), "class " + task.cls.name
         if own and getattr(own, part).total >= ENOUGH:
             return own
-        return self.profiles.get(key) or self.profiles.setdefault(key, Profile())
+        return self.profiles.get(key) or self.profiles.setdefault(key, UsageProfile())
 
-    def need(self, task: Task) -> Pair:
+    def need(self, task: TrackedTask) -> Pair:
         """Predicted peak, never under the use seen now: histograms lag behind a service that climbs."""
         seen, (cores, memory), (now_cores, now_memory) = self.profile(task, "cores"), task.ask, task.use
         if seen.cores.total >= ENOUGH:
@@ -262,7 +264,7 @@
             memory *= seen.memory.percentile(NEED_SHARE)
         return cores if cores > now_cores else now_cores, memory if memory > now_memory else now_memory
 
-    def life_left(self, task: Task) -> float:
+    def life_left(self, task: TrackedTask) -> float:
         """Predicted life beyond the task's age, from the lives that grew as old."""
         age = 0.0 if task.runs_since is None else self.now - task.runs_since
         histogram = self.profile(task, "life").life
@@ -270,7 +272,7 @@
             return 5_000.0 if task.node is None else 2_500.0
         return max(0.0, histogram.percentile(LIFE_SHARE, age) - age)
 
-    def sums(self, node: Node) -> Node:
+    def sums(self, node: MachineState) -> MachineState:
         """Brings the node's sums up to date: own asks and needs, and what others are thought to use there."""
         if self.now - node.sums_at < SUMS_MS:
             return node
@@ -298,7 +300,7 @@
             self.fill = fill[0] + FILL * (cores - fill[0]), fill[1] + FILL * (memory - fill[1])
         return node
 
-    def left(self, node: Node) -> Pair | None:
+    def left(self, node: MachineState) -> Pair | None:
         """Cores and memory that nobody has asked for, by list or report, whichever tells it."""
         report = node.report
         told = (
@@ -313,12 +315,12 @@
         node.left_at = node.told_at - VIEW_LAG_MS
         return (node.told.free_cores, node.told.free_memory) if self.set.list_has_free_capacity else None
 
-    def use(self, task: Task) -> Pair:
+    def use(self, task: TrackedTask) -> Pair:
         """What a task uses now, or where it has not been seen, what tasks use of their asks in the mean."""
         mean = times(task.ask, self.ratio)
         return task.use[0] or mean[0], max(task.use[1], mean[1])
 
-    def load(self, node: Node, task: Task, more: Pair) -> Pair:
+    def load(self, node: MachineState, task: TrackedTask, more: Pair) -> Pair:
         """Shares in use and `more`: mean use, as peaks don't fall together; reported busy cores if higher."""
         used, size = plus(self.sums(node).uses, node.others), node.size
         cores = used[0] / size[0]
@@ -329,7 +331,7 @@
             cores *= 1.0 - (1.0 - LOWER) * lower / node.uses[0]
         return cores + more[0] / size[0], (used[1] + more[1]) / size[1]
 
-    def bears(self, node: Node, task: Task, load: Pair) -> bool:
+    def bears(self, node: MachineState, task: TrackedTask, load: Pair) -> bool:
         """Whether it would be served there, asking less the longer it waits; signs of pressure bar first."""
         waited, (cores, memory) = (
             min(1.0, (self.now - task.came) / max(1.0, task.cls.latency_objective_ms)),
@@ -339,11 +341,11 @@
         well = cores <= calm and memory <= FULL + (FULLEST - FULL) * waited
         return well and (self.now >= node.void_until or waited >= 1.0)
 
-    def thin(self, node: Node, ask: Pair) -> bool:
+    def thin(self, node: MachineState, ask: Pair) -> bool:
         """Whether an even part of the machine, at what it accepts, is less than this one ask."""
         return not least(node.size, times(ask, self.shares))
 
-    def slice_left(self, node: Node, ask: Pair, multiple: bool = False) -> Pair:
+    def slice_left(self, node: MachineState, ask: Pair, multiple: bool = False) -> Pair:
         """What our even share of the machine has beyond our asks, at size or at what it accepts.
 
         A departure: where that is less than one ask (many schedulers), nothing would ever fit. The slice
@@ -360,7 +362,7 @@
 
     # ---- harvested room ----
 
-    def coverage(self, node: Node, task: Task, need: Pair) -> float:
+    def coverage(self, node: MachineState, task: TrackedTask, need: Pair) -> float:
         """Demand coverage D: the share of the excess, over the predicted life, that harvested room covers.
 
         The excess is the need beyond what the slice still holds of the ask. A donor's room lapses at its
@@ -393,11 +395,11 @@
 
     # ---- choice ----
 
-    def order(self, service: str) -> Order[Node]:
+    def order(self, service: str) -> RendezvousOrder[MachineState]:
         """Rendezvous hash: all schedulers order a service's machines alike, so all warm the same ones."""
         return self.serving.order(service)
 
-    def walk(self, task: Task) -> Iterable[Node]:
+    def walk(self, task: TrackedTask) -> Iterable[MachineState]:
         """The machines to look at: first those where tasks of ours hold or kept the program, then by hash.
 
         Of many, the first and a sample of the others: drawn at once, looked up as the caller gets there."""
@@ -413,7 +415,7 @@
         drawn, first = self.random.sample(range(half - len(warm), most - len(warm)), half), [*warm.values()]
         return chain(islice(nodes, half), (rest[i] if i >= 0 else first[i] for i in drawn))
 
-    def warmth(self, node: Node, service: str) -> int:
+    def warmth(self, node: MachineState, service: str) -> int:
         """0: a task of ours holds the program there or did lately; 1: peers may, by hash; 2: unlikely."""
         kept = self.kept.get(service, {}).get(node.name, -1e18)
         since = max(self.now - KEPT_MS, node.up_since())  # a restart loses its programs
@@ -421,12 +423,12 @@
             return 0
         return 1 if node in self.order(service)[:HASHED] else 2
 
-    def cold(self, node: Node) -> float:
+    def cold(self, node: MachineState) -> float:
         """How cold a machine is that came up lately, from 1 to 0: few starts at a time, no programs."""
         left = node.up_since() + self.set.warm_up_ms - self.now
         return min(1.0, left / max(1.0, self.set.warm_up_ms)) if left > 0.0 else 0.0
 
-    def may_start(self, node: Node) -> bool:
+    def may_start(self, node: MachineState) -> bool:
         """Whether the told offers that a cold machine bears leave one for us now: a bound on the joint sum.
 
         Each peer keeps to its part of them in a window. Where there are more peers than offers, half of
@@ -444,7 +446,7 @@
             part = int((self.set.allocator_index + node.hash - turn * half) % self.set.allocator_count < half)
         return len(node.fresh_sends) < part
 
-    def allowed(self, node: Node, task: Task, taken: list[object]) -> bool:
+    def allowed(self, node: MachineState, task: TrackedTask, taken: list[object]) -> bool:
         """Filters that no room outweighs: kind, drain, spread, key's group, health, a cold machine's part."""
         grouped = (
             task.maybe
@@ -471,14 +473,14 @@
             and (not self.cold(node) or self.may_start(node))
         )
 
-    def eta(self, node: Node, task: Task, warmth: int) -> float:
+    def eta(self, node: MachineState, task: TrackedTask, warmth: int) -> float:
         """Time to the start there: own starts due, in a few lanes, then its own, slower while it is cold."""
         own, starts = self.starts.get((task.cls.name, warmth), START_MS[warmth]), node.due.values()
         known = ((self.starts.get((t.cls.name, t.warmth), START_MS[t.warmth]), t.sent) for t in starts)
         due = sum(max(0.0, ms - (self.now - sent)) for ms, sent in known) if starts else 0.0
         return (TWO_LANES * due + own) * (1.0 + (COLD_SLOWER - 1.0) * self.cold(node))
 
-    def room(self, node: Node) -> Pair:
+    def room(self, node: MachineState) -> Pair:
         """Asks that the machine would still take, as far as it is told, newer own binds taken off."""
         left, size, fresh = self.left(node) or node.size, node.size, self.sums(node).fresh
         cores, memory = (
@@ -487,12 +489,12 @@
         )
         return left[0] + cores - fresh[0], left[1] + memory - fresh[1]
 
-    def accepts(self, node: Node, task: Task) -> Pair | None:
+    def accepts(self, node: MachineState, task: TrackedTask) -> Pair | None:
         """The room, if it would take the ask: few offers of ours wait in its short line, and room shows."""
         full = self.now < node.full_until or (node.due and node.pending() >= LINE)
         return None if full or not least(room := self.room(node), task.ask) else room
 
-    def choose(self, task: Task) -> Node | None:
+    def choose(self, task: TrackedTask) -> MachineState | None:
         """Hash, coverage, borrowing; first among machines where the task would start in time.
 
         A departure: a start without the program takes many times the work, and one in time is worth seconds
@@ -529,11 +531,11 @@
                 self.out.append(Probe(node.name))
         return self.by_hash(task, need, ring) or self.by_coverage(task, need, ring) or next(iter(ring), None)
 
-    def by_hash(self, task: Task, need: Pair, nodes: list[Node]) -> Node | None:
+    def by_hash(self, task: TrackedTask, need: Pair, nodes: list[MachineState]) -> MachineState | None:
         fit = (n for n in nodes if not self.cold(n) and least(self.slice_left(n, task.ask), task.ask))
         return next(fit, None) if least(task.ask, need) else None
 
-    def by_coverage(self, task: Task, need: Pair, nodes: list[Node]) -> Node | None:
+    def by_coverage(self, task: TrackedTask, need: Pair, nodes: list[MachineState]) -> MachineState | None:
         fit = (n for n in nodes if least(self.slice_left(n, task.ask, True), task.ask))
         scores = [(self.coverage(n, task, need), n) for n in islice(fit, SAMPLE) if self.now >= n.void_until]
         best = max([LEAST_COVER, *(score for score, _ in scores)])
@@ -544,12 +546,12 @@
     def on_asked(self, event: PlacementRequested) -> None:
         cls = self.classes[event.task_class]
         ask = max(event.cores, 1e-6), max(event.memory, 1e-6)
-        task = Task(
+        task = TrackedTask(
             event.call_id, cls, event.service, event.tenant, ask, self.now, self.now + event.remaining_ms
         )
         self.tasks[task.call] = task
         if event.machine is not None:
-            unlisted = Node(Machine(event.machine, "", "", 0, MachinePhase.REMOVED), None)
+            unlisted = MachineState(Machine(event.machine, "", "", 0, MachinePhase.REMOVED), None)
             # It ran before: what the list tells free is without it already, and is not lessened by it again.
             task.attempts, task.placed, task.sent = 1, True, -1e18
             self.take_room(task, self.nodes.setdefault(event.machine, unlisted))
@@ -561,14 +563,14 @@
         else:
             self.next_try(task)
 
-    def take_room(self, task: Task, node: Node) -> None:
+    def take_room(self, task: TrackedTask, node: MachineState) -> None:
         task.node = node
         node.tasks[task.call] = node.due[task.call] = task
         self.services.setdefault(task.service, {})[task.call] = task
         node.sums_at = -1e18
         self.see(task)
 
-    def release(self, task: Task) -> None:
+    def release(self, task: TrackedTask) -> None:
         """Gives an attempt's room back, once, whatever ended it."""
         node, task.node = task.node, None
         if node is not None:
@@ -582,7 +584,7 @@
         if not self.services.get(task.service):
             self.services.pop(task.service, None)
 
-    def next_try(self, task: Task) -> bool:
+    def next_try(self, task: TrackedTask) -> bool:
         """Sends the task if a machine is found; else holds it, or answers where holding can't help."""
         if self.spent(task):
             self.answer(task)
@@ -607,12 +609,12 @@
         self.out.append(Bind(task.call, node.name, round(min(timeout, left), 3)))
         return True
 
-    def keep(self, task: Task, node: Node) -> None:
+    def keep(self, task: TrackedTask, node: MachineState) -> None:
         self.kept.setdefault(task.service, {})[node.name] = self.now
         if len(self.kept) > KNOWN:
             self.kept = {s: at for s, at in self.kept.items() if self.now - max(at.values()) < KEPT_MS}
 
-    def spent(self, task: Task) -> bool:
+    def spent(self, task: TrackedTask) -> bool:
         """No further attempt is allowed: attempts used up, time up, or a second run might do harm."""
         if task.attempts >= self.set.max_attempts or self.now >= task.deadline - 2.0 * PULSE_MS:
             return True
@@ -621,7 +623,7 @@
         left = task.maybe[0] + task.cls.deduplication_window_ms - 2.0 * self.set.tick_ms - self.now
         return task.cls.idempotency is Idempotency.NON_IDEMPOTENT or left < 0.0
 
-    def answer(self, task: Task) -> None:
+    def answer(self, task: TrackedTask) -> None:
         """The final answer: a refusal promises that nothing ran or that it did no harm, a failure nothing."""
         dropped = (
             task.cls.idempotency is Idempotency.IDEMPOTENCY_KEY and task.cls.deduplication_scope == "all"
@@ -630,7 +632,7 @@
         self.out.append(Reject(task.call) if harmless else Fail(task.call))
         self.forget(task)
 
-    def forget(self, task: Task) -> None:
+    def forget(self, task: TrackedTask) -> None:
         self.release(task)
         self.held.pop(task.call, None)
         self.tasks.pop(task.call, None)
@@ -647,7 +649,7 @@
             if self.set.acceptance_means_running:
                 self.runs(task)
 
-    def runs(self, task: Task) -> None:
+    def runs(self, task: TrackedTask) -> None:
         """The start is over; starts that had no other of ours before them tell how long one takes."""
         if task.runs_since is None and task.alone:
             key, spent = (task.cls.name, task.warmth), self.now - task.sent
@@ -675,11 +677,11 @@
             task.maybe = task.maybe or (task.sent, there)
         self.next_try(task)
 
-    def learn(self, task: Task, outcome: Outcome) -> None:
+    def learn(self, task: TrackedTask, outcome: Outcome) -> None:
         self.measure()
         since = None if not task.lived or outcome is not Outcome.COMPLETED else task.runs_since
         for key in (task.service, "class " + task.cls.name):
-            profile = self.profiles[key] = self.profiles.pop(key, None) or Profile()
+            profile = self.profiles[key] = self.profiles.pop(key, None) or UsageProfile()
             profile.add(task, None if since is None else self.now - since)
         while len(self.profiles) > KNOWN:
             del self.profiles[next(iter(self.profiles))]
@@ -711,7 +713,7 @@
             elif failures < TRIES_A_PULSE:
                 failures += not self.next_try(task)
 
-    def see(self, task: Task) -> None:
+    def see(self, task: TrackedTask) -> None:
         seen = task.node is not None and task.use[0] and task.use[1]
         self.seen.put(task.number, (*task.use, *task.ask) if seen else None)
 
@@ -721,13 +723,13 @@
             cores, memory, cores_asked, memory_asked = self.seen.sums()
             self.ratio = cores / cores_asked, memory / memory_asked
 
-    def turn(self, task: Task) -> tuple[float, bool, float, int]:
+    def turn(self, task: TrackedTask) -> tuple[float, bool, float, int]:
         """Whose turn it is when room is short: by worth, then those still in time, then in order."""
         return (-task.cls.weight, self.now - task.came > task.cls.latency_objective_ms, task.came, task.call)
 
     # ---- health ----
 
-    def answered_by(self, node: Node, spent: float | None) -> None:
+    def answered_by(self, node: MachineState, spent: float | None) -> None:
         if spent is not None:
             off = spent - self.answer_ms
             self.answer_ms += 0.05 * off
@@ -739,7 +741,7 @@
             self.log("back", f"machine {node.name} answers again")
         node.silent = node.bars = 0
 
-    def hear_outcome(self, node: Node, event: AttemptEnded) -> None:
+    def hear_outcome(self, node: MachineState, event: AttemptEnded) -> None:
         task = self.tasks.get(event.call_id)
         if event.report:
             self.hear_report(node, event.report)
@@ -776,7 +778,7 @@
         elif event.outcome is Outcome.LOST and event.reason is OutcomeReason.EVICTED:
             self.void(node, VOID_EVICTED_MS, "eviction")
 
-    def suspect(self, node: Node, steps: int) -> None:
+    def suspect(self, node: MachineState, steps: int) -> None:
         """Silent attempts make a machine suspect: barred, ever longer, then let back one task at a time."""
         node.silent += steps
         if node.silent >= SILENT:
@@ -784,7 +786,7 @@
             node.barred_until, node.bars = self.now + bar, node.bars + 1
             self.log("suspect", f"machine {node.name} does not answer, barred for {bar:.0f} ms")
 
-    def void(self, node: Node, for_ms: float, cause: str) -> None:
+    def void(self, node: MachineState, for_ms: float, cause: str) -> None:
         if self.now >= node.void_until:
             self.log("void", f"harvested room of {node.name} void: {cause}")
         node.void_until = max(node.void_until, self.now + for_ms)
@@ -821,7 +823,7 @@
         for told in names.values():
             node = self.nodes.get(told.name)
             if node is None or not node.known:
-                old, node = node, Node(told, self.set.machine_sizes.get(told.kind))
+                old, node = node, MachineState(told, self.set.machine_sizes.get(told.kind))
                 node.tasks = old.tasks if old else {}
                 for task in node.tasks.values():
                     task.node = node
@@ -833,13 +835,13 @@
                 del self.nodes[name]
         self.emptied = {}
 
-    def list_as(self, node: Node, told: Machine) -> None:
+    def list_as(self, node: MachineState, told: Machine) -> None:
         node.told = told
         self.serving.put(node, node.known and told.phase is MachinePhase.SERVING)
         if told.phase is MachinePhase.REMOVED:
             self.emptied[node.name] = None
 
-    def hear_report(self, node: Node, report: LoadReport) -> None:
+    def hear_report(self, node: MachineState, report: LoadReport) -> None:
         node.report, node.report_at, node.sums_at = report, self.now, -1e18
         if report.busy_share is not None and report.busy_share >= BUSY:
             self.void(node, VOID_MS, "cores busy")
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -14,16 +14,16 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.allocator.call_table import Call, Given
-from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, Answer, Retry
-from glencleat.allocator.pending_reasons import Record
+from glencleat.allocator.call_table import Call, FinalAnswer
+from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, StatusAnswer, RetryAdvice
+from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.rest.schema import JobSpec, JobStatus
 
 PAUSE_MS, PAUSE_MOST_MS = 250.0, 4_000.0  # after the first refused round; doubled up to
 LAST_MS = 500.0  # a round is worth asking for when so much time is left
 
 
-class Step(Enum):
+class JobStep(Enum):
     QUEUED = "queued"  # waits for its turn
     ASKED = "asked"  # a call of it is open
     PAUSED = "paused"  # refused, asked again after a pause
@@ -35,16 +35,16 @@
 class Slot:
     """One task of a job."""
 
-    job: Job
+    job: JobState
     number: int
     until: float  # its owner waits till then
-    step: Step = Step.QUEUED
+    step: JobStep = JobStep.QUEUED
     rounds: int = 0
     call: Call | None = None
-    record: Record = field(default_factory=Record)  # of all its rounds
+    record: PendingReasons = field(default_factory=PendingReasons)  # of all its rounds
     cancelled: bool = False
     finished: bool = False
-    given: Given | None = None  # its final answer to its owner, and not a round's
+    given: FinalAnswer | None = None  # its final answer to its owner, and not a round's
     placed_once: bool = False
 
     def name(self) -> str:
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class JobState:
     tenant: str
     name: str
     uid: str
@@ -69,7 +69,7 @@
         return self.spec.wait_ms if self.spec.wait_ms is not None else self.cls.deadline_ms
 
     def over(self) -> bool:
-        return all(slot.step is Step.OVER for slot in self.slots)
+        return all(slot.step is JobStep.OVER for slot in self.slots)
 
     def status(self) -> JobStatus:
         """Sums of its tasks, each counted once."""
@@ -86,13 +86,13 @@
 
 
 def standing(slot: Slot) -> str:
-    if slot.step is Step.PLACED:
+    if slot.step is JobStep.PLACED:
         return "placed"
-    if slot.step is not Step.OVER:
+    if slot.step is not JobStep.OVER:
         return "waiting"
     if slot.placed_once:
         return "finished" if slot.finished else "ended"
-    return "failed" if slot.given is Given.FAILED else "refused"
+    return "failed" if slot.given is FinalAnswer.FAILED else "refused"
 
 
 # ---- what follows ----
@@ -102,44 +102,44 @@
 class Next:
     """What becomes of a task: its step, and for a pause how long it is."""
 
-    step: Step
+    step: JobStep
     pause_ms: float = 0.0
 
 
-def may_ask_again(answer: Answer, effect: api.Idempotency) -> bool:
+def may_ask_again(answer: StatusAnswer, effect: api.Idempotency) -> bool:
     """After a refused round. A task that must not start twice goes again only if nothing of it ran, which
     only TASK_DROPPED promises."""
-    return answer.retry is Retry.HARMLESS and (
+    return answer.retry is RetryAdvice.HARMLESS and (
         effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == DROPPED
     )
 
 
-def after_round(slot: Slot, given: Given, answer: Answer, now: float, random: Random) -> Next:
+def after_round(slot: Slot, given: FinalAnswer, answer: StatusAnswer, now: float, random: Random) -> Next:
     """What follows the final answer of a round."""
-    if given is Given.SERVED:
-        return Next(Step.PLACED)
-    if given is Given.FAILED or slot.cancelled or not may_ask_again(answer, slot.job.cls.idempotency):
-        return Next(Step.OVER)
+    if given is FinalAnswer.SERVED:
+        return Next(JobStep.PLACED)
+    if given is FinalAnswer.FAILED or slot.cancelled or not may_ask_again(answer, slot.job.cls.idempotency):
+        return Next(JobStep.OVER)
     left = slot.until - now
     if left < 2.0 * LAST_MS:
-        return Next(Step.OVER)
+        return Next(JobStep.OVER)
     pause = min(PAUSE_MOST_MS, PAUSE_MS * 2.0 ** min(8, slot.rounds - 1)) * random.uniform(0.75, 1.25)
-    return Next(Step.PAUSED, min(pause, left - LAST_MS))
+    return Next(JobStep.PAUSED, min(pause, left - LAST_MS))
 
 
-def after_end(slot: Slot, answer: Answer) -> Next:
+def after_end(slot: Slot, answer: StatusAnswer) -> Next:
     """What follows the end of a placed task. One that may run on out of sight is not over, unless a second
     does no harm and is wanted: should the first come back, the core stops it."""
     again = (
         slot.job.spec.when_lost == "again"
         and answer.state != FINISHED
-        and answer.retry is Retry.HARMLESS
+        and answer.retry is RetryAdvice.HARMLESS
         and slot.job.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
         and not slot.cancelled
     )
     if again:
-        return Next(Step.PAUSED, PAUSE_MS * 2.0)
-    return Next(Step.PLACED if answer.state == UNREACHABLE else Step.OVER)
+        return Next(JobStep.PAUSED, PAUSE_MS * 2.0)
+    return Next(JobStep.PLACED if answer.state == UNREACHABLE else JobStep.OVER)
 
 
 def round_ms(slot: Slot, now: float, margin_ms: float) -> float:
@@ -170,7 +170,7 @@
         self.tokens -= cost
 
 
-class Turns:
+class RoundRobin:
     """The tasks that wait for a round: first ones and returns, tenant by tenant in turn.
 
     A tenant that asks for thousands delays its own tasks and not others'. Returns of a tenant are bounded by
@@ -185,18 +185,18 @@
         self.queued = 0
 
     def queue(self, slot: Slot) -> None:
-        slot.step = Step.QUEUED
+        slot.step = JobStep.QUEUED
         self.queues.setdefault(slot.job.tenant, deque()).append(slot)
         self.queued += 1
 
     def pause(self, slot: Slot, until: float) -> None:
-        slot.step = Step.PAUSED
+        slot.step = JobStep.PAUSED
         self.order += 1
         heapq.heappush(self.paused, (until, self.order, slot))
 
     def due(self) -> float | None:
         """When the next pause ends."""
-        while self.paused and self.paused[0][2].step is not Step.PAUSED:
+        while self.paused and self.paused[0][2].step is not JobStep.PAUSED:
             heapq.heappop(self.paused)
         return self.paused[0][0] if self.paused else None
 
@@ -223,7 +223,7 @@
             self.queued -= 1
             if not queue:
                 del self.queues[tenant]
-            if slot.step is Step.QUEUED:
+            if slot.step is JobStep.QUEUED:
                 return slot
         return None
 
@@ -241,9 +241,9 @@
 
     def __init__(self, most: int = 50_000, keep_ms: float = 600_000.0) -> None:
         self.most, self.keep_ms = most, keep_ms
-        self.known: OrderedDict[tuple[str, str], tuple[int, Job, float]] = OrderedDict()
+        self.known: OrderedDict[tuple[str, str], tuple[int, JobState, float]] = OrderedDict()
 
-    def find(self, tenant: str, key: str) -> tuple[int, Job] | None:
+    def find(self, tenant: str, key: str) -> tuple[int, JobState] | None:
         """Fingerprint of the first body and the job that it made."""
         found = self.known.get((tenant, key))
         return None if found is None else found[:2]
@@ -257,5 +257,5 @@
                     self.known.move_to_end(name)
         return len(self.known) < self.most
 
-    def note(self, tenant: str, key: str, fingerprint: int, job: Job, now: float) -> None:
+    def note(self, tenant: str, key: str, fingerprint: int, job: JobState, now: float) -> None:
         self.known[tenant, key] = fingerprint, job, now
--- a/glencleat/rest/overload.py
+++ b/glencleat/rest/overload.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class OverloadLimits:
     """Rates are a second; a list costs a token more for each 50,000 bytes that it gives."""
 
     connection_rate: float = 500.0
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class OverloadRejection:
     """A request that is not taken; `retry_ms` is when it might be."""
 
     status: int
@@ -45,7 +45,7 @@
     retry_ms: float
 
 
-class Pace:
+class AdmissionPace:
     """How much time creations may take in one turn of the loop, and what they got done in it.
 
     Ends and acknowledgements come in by the same loop: when it runs late, creations take less of it, down to
@@ -134,7 +134,7 @@
         super().__init__(share, burst_ms, cost_ms=0.03, least_ms=0.001)
 
 
-class Intake(Share):
+class OverloadIntake(Share):
     """How many requests of this front may be read now.
 
     Agents' and owners' calls come in by the same loop and are read as they come; what they leave is known
@@ -153,7 +153,7 @@
 class Gate:
     """Admission of requests; one Bucket for each connection (kept by the front) and for each tenant."""
 
-    def __init__(self, limits: Limits, pace: Pace) -> None:
+    def __init__(self, limits: OverloadLimits, pace: AdmissionPace) -> None:
         self.limits, self.pace = limits, pace
         self.tenants: OrderedDict[str, Bucket] = OrderedDict()
         self.counts: dict[str, int] = {}  # requests turned away, by reason
@@ -161,7 +161,7 @@
     def connection(self, now: float) -> Bucket:
         return Bucket(self.limits.connection_rate, self.limits.connection_burst, now)
 
-    def request(self, bucket: Bucket, cost: float, now: float) -> Turned | None:
+    def request(self, bucket: Bucket, cost: float, now: float) -> OverloadRejection | None:
         """Any request of a connection."""
         wait = bucket.wait(cost, now)
         if wait > 0.0:
@@ -173,7 +173,7 @@
 
     def create(
         self, tenant: str, tasks: int, waiting_here: int, waiting: int, jobs: int, queued: int, now: float
-    ) -> Turned | None:
+    ) -> OverloadRejection | None:
         """A job of so many tasks; `queued` wait for a round now, `waiting` for their place."""
         limits = self.limits
         if waiting_here + tasks > limits.waiting_each:
@@ -207,9 +207,9 @@
         self.tenants[tenant] = bucket
         return bucket
 
-    def _turned(self, reason: str, status: int, text: str, retry_ms: float) -> Turned:
+    def _turned(self, reason: str, status: int, text: str, retry_ms: float) -> OverloadRejection:
         self.counts[reason] = self.counts.get(reason, 0) + 1
-        return Turned(status, text, max(50.0, retry_ms))
+        return OverloadRejection(status, text, max(50.0, retry_ms))
 
     def pause_ms(self, refused_in_a_row: int, retry_ms: float) -> float:
         """How long a connection is not read after a refusal: not at all, unless it ignores refusals."""
--- a/glencleat/rest/reasons.py
+++ b/glencleat/rest/reasons.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from glencleat import interface as api
-from glencleat.allocator.pending_reasons import CAUSES, SAID, Reason, Record
+from glencleat.allocator.pending_reasons import CAUSES, SAID, PendingReason, PendingReasons
 from glencleat.rest.schema import Cause, Why
 
 Shape = tuple[str, str, float, float]  # class, service, cores, memory
@@ -159,12 +159,12 @@
 }
 
 
-def said(record: Record, wall_of: Callable[[float], float]) -> list[Cause]:
+def said(record: PendingReasons, wall_of: Callable[[float], float]) -> list[Cause]:
     """What machines last said of the task, the newest first."""
     return [_said(reason, wall_of) for reason in reversed(record.reasons.values())]
 
 
-def _said(reason: Reason, wall_of: Callable[[float], float]) -> Cause:
+def _said(reason: PendingReason, wall_of: Callable[[float], float]) -> Cause:
     kind = KINDS.get(reason.outcome, reason.outcome.value)
     if reason.why in CAUSES:
         kind = f"{kind}-{reason.why.value.replace(' ', '-')}"
@@ -178,7 +178,9 @@
 WEIGHTY = ("no-machine", "opening", "spread")
 
 
-def why(stage: Cause | None, record: Record, common: list[Cause], wall_of: Callable[[float], float]) -> Why:
+def why(
+    stage: Cause | None, record: PendingReasons, common: list[Cause], wall_of: Callable[[float], float]
+) -> Why:
     """The record: where the task stands, what machines said of it, what holds for all like it.
 
     `stage`: what it waits for just now (opening, queue, pause, out), None while the module holds it. The
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -12,26 +12,26 @@
 
 from glencleat import interface as api
 from glencleat.allocator.call_table import Call
-from glencleat.allocator.ports import Middle
-from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.startup_gate import StartupGate
 from glencleat.allocator.domain_events import (
-    AgentSeen,
-    Answered,
-    Back,
-    Forgotten,
+    AgentStateChanged,
+    CallAnswered,
+    AttemptConcluded,
+    CallForgotten,
     Happened,
-    MachinesTold,
-    Sent,
-    Taken,
-    Told,
+    MachineListChanged,
+    AttemptSent,
+    CallTaken,
+    TaskStatusReported,
 )
-from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, Answer
-from glencleat.allocator.pending_reasons import Record
+from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, StatusAnswer
+from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.rest import reasons
 from glencleat.rest import schema as s
-from glencleat.rest.watches import Channels
-from glencleat.rest.jobs import Job, Slot, Step
-from glencleat.rest.version_store import Event, Key, Versions
+from glencleat.rest.watches import WatchChannels
+from glencleat.rest.jobs import JobState, Slot, JobStep
+from glencleat.rest.version_store import VersionEvent, Key, Versions
 
 LIVE = (STAGING, STARTING, RUNNING, UNREACHABLE)
 NO_TENANT = "*"  # Mesos' default role
@@ -55,7 +55,7 @@
     counted: tuple[str, str, str] | None = None  # service, "waiting" or the hall, machine
     shape: reasons.Shape | None = None  # while it waits
 
-    def tell(self, answer: Answer, text: str | None, machine: str | None) -> None:
+    def tell(self, answer: StatusAnswer, text: str | None, machine: str | None) -> None:
         self.state, self.retry, self.reason = answer.state, answer.retry.value, answer.reason
         self.message, self.machine = text, machine
 
@@ -76,10 +76,10 @@
 class Mirror:
     def __init__(
         self,
-        core: Middle,
-        opening: Callable[[], Opening],
+        core: CorePort,
+        opening: Callable[[], StartupGate],
         versions: Versions,
-        channels: Channels,
+        channels: WatchChannels,
         wall: Callable[[], float],
         ended_most: int = 10_000,
     ) -> None:
@@ -95,7 +95,7 @@
         self.shapes: dict[reasons.Shape, dict[Key, None]] = {}  # waiting tasks
         self.common: dict[reasons.Shape, list[s.Cause]] = {}  # their causes, as of the last sweep
         self.dirty_tasks: dict[Key, None] = {}
-        self.dirty_jobs: dict[Job, None] = {}
+        self.dirty_jobs: dict[JobState, None] = {}
         self.dirty_services: dict[tuple[str, str], None] = {}
         self.dirty_machines: dict[str, None] = {}
         self.stir: Callable[[], None] = lambda: None  # something is dirty: flush soon
@@ -104,25 +104,25 @@
 
     def hear(self, what: Happened) -> None:
         """What happened to tasks of frameworks, and to machines; a job's tasks are the plane's matter."""
-        if isinstance(what, Told):
+        if isinstance(what, TaskStatusReported):
             self.told(what.call, what.answer, what.text)
-        elif isinstance(what, Sent):
+        elif isinstance(what, AttemptSent):
             self.touch_call(what.attempt.call)
-        elif isinstance(what, Back):
+        elif isinstance(what, AttemptConcluded):
             self._back(what)
-        elif isinstance(what, Answered):
+        elif isinstance(what, CallAnswered):
             seen = self.of(what.call)
             if seen is not None and seen.call is what.call and seen.slot is None:
                 seen.answer = what.given.value
-        elif isinstance(what, Taken):
+        elif isinstance(what, CallTaken):
             self.taken(what.call)
-        elif isinstance(what, Forgotten):
+        elif isinstance(what, CallForgotten):
             seen = self.of(what.call)
             if seen is not None and seen.call is what.call and seen.slot is None:
                 self.drop(seen.key)
-        elif isinstance(what, MachinesTold):
+        elif isinstance(what, MachineListChanged):
             self._machines(what.news)
-        elif isinstance(what, AgentSeen):
+        elif isinstance(what, AgentStateChanged):
             self.agents[what.agent] = what.state
             self.silent.pop(what.agent, None)
             self.touch_machine(what.agent)
@@ -148,7 +148,7 @@
         self.touch(key)
         return seen
 
-    def told(self, call: Call, answer: Answer, text: str | None) -> None:
+    def told(self, call: Call, answer: StatusAnswer, text: str | None) -> None:
         seen = self.of(call)
         if seen is None or seen.call is not call:
             return
@@ -162,7 +162,7 @@
                 self.drop(next(iter(self.ended)))
         self.touch(seen.key)
 
-    def _back(self, what: Back) -> None:
+    def _back(self, what: AttemptConcluded) -> None:
         machine = what.attempt.machine
         if what.outcome is api.Outcome.TIMED_OUT:
             self.silent[machine] = self.silent.get(machine, 0) + 1
@@ -194,7 +194,7 @@
         if seen is not None and seen.call is call:
             self.touch(seen.key)
 
-    def touch_job(self, job: Job) -> None:
+    def touch_job(self, job: JobState) -> None:
         self.dirty_jobs[job] = None
         self.stir()
 
@@ -241,7 +241,7 @@
             del self.dirty_tasks[key]
             self._flush_task(self.tasks[key])
 
-    def _publish(self, event: Event | None) -> None:
+    def _publish(self, event: VersionEvent | None) -> None:
         if event is not None:
             self.channels.publish(event, self.core.now())
             if self.channels.awake:
@@ -294,7 +294,7 @@
             self.dirty_jobs[slot.job] = None
         self._publish(self.versions.put("tasks", seen.key, task, task_fields(task)))
 
-    def flush_job(self, job: Job) -> None:
+    def flush_job(self, job: JobState) -> None:
         """Publishes one job now."""
         self.dirty_jobs.pop(job, None)
         if job.gone:
@@ -394,8 +394,8 @@
         slot, call = seen.slot, seen.call
         if not self.opening().done:
             return reasons.OPENING
-        if slot is not None and slot.step is not Step.ASKED:
-            return reasons.PAUSE if slot.step is Step.PAUSED else reasons.QUEUE
+        if slot is not None and slot.step is not JobStep.ASKED:
+            return reasons.PAUSE if slot.step is JobStep.PAUSED else reasons.QUEUE
         last = call.out() if call is not None else None
         return reasons.out(last.machine, last.number) if last is not None else None
 
@@ -403,7 +403,7 @@
         if seen.slot is not None:
             record = seen.slot.record
         else:
-            record = seen.call.why if seen.call is not None else Record()
+            record = seen.call.why if seen.call is not None else PendingReasons()
         common = self.common.get(seen.shape, []) if seen.shape is not None else []
         return reasons.why(self.stage(seen), record, common, self.wall_of)
 
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -18,17 +18,17 @@
 
 from glencleat import interface as api
 from glencleat.allocator.core import Core
-from glencleat.allocator.call_table import Ask, Attempt, Call, Given
+from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer
 from glencleat.allocator.domain_events import (
-    Answered,
-    Back,
-    Forgotten,
+    CallAnswered,
+    AttemptConcluded,
+    CallForgotten,
     Happened,
-    Opened,
-    Sent,
-    Taken,
-    Told,
-    Verdict,
+    PlacementOpened,
+    AttemptSent,
+    CallTaken,
+    TaskStatusReported,
+    AdmissionDecision,
 )
 from glencleat.allocator.status_mapping import (
     DROPPED,
@@ -36,17 +36,27 @@
     KILLED,
     RUNNING,
     STARTING,
-    Answer,
-    Retry,
+    StatusAnswer,
+    RetryAdvice,
     refusal,
 )
-from glencleat.allocator.status_mapping import Step as AttemptStep
+from glencleat.allocator.status_mapping import AttemptStep as AttemptStep
 from glencleat.mesos import messages as m
 from glencleat.rest import overload
 from glencleat.rest import schema as s
-from glencleat.rest.watches import Channels
-from glencleat.rest.watches import Limits as WatchLimits
-from glencleat.rest.jobs import Job, Keys, Next, Slot, Step, Turns, after_end, after_round, round_ms
+from glencleat.rest.watches import WatchChannels
+from glencleat.rest.watches import WatchLimits as WatchLimits
+from glencleat.rest.jobs import (
+    JobState,
+    Keys,
+    Next,
+    Slot,
+    JobStep,
+    RoundRobin,
+    after_end,
+    after_round,
+    round_ms,
+)
 from glencleat.rest.resource_mirror import Mirror, Seen
 from glencleat.rest.version_store import Versions
 
@@ -59,8 +69,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    gate: overload.Limits = overload.Limits()
+class RestLimits:
+    gate: overload.OverloadLimits = overload.OverloadLimits()
     watch: WatchLimits = WatchLimits()
     events: int = 20_000  # of each kind, kept to resume watches and finish lists
     ended: int = 10_000  # tasks of frameworks shown after their end
@@ -78,32 +88,32 @@
 
 
 class TooMuch(Exception):
-    def __init__(self, turned: overload.Turned) -> None:
+    def __init__(self, turned: overload.OverloadRejection) -> None:
         super().__init__(turned.text)
         self.turned = turned
 
 
-class Plane:
+class RestService:
     prefix = PREFIX
 
-    def __init__(self, core: Core, limits: Limits, seed: int) -> None:
+    def __init__(self, core: Core, limits: RestLimits, seed: int) -> None:
         self.core, self.limits, self.random = core, limits, Random(seed)
         kinds = dict.fromkeys(s.KINDS, limits.events)
         self.versions = Versions(core.incarnation, kinds)
-        self.channels = Channels(limits.watch, self.versions.told)
+        self.channels = WatchChannels(limits.watch, self.versions.told)
         self.mirror = Mirror(
             core, lambda: core.opening, self.versions, self.channels, core.timing.clock.wall, limits.ended
         )
         self.mirror.stir = self._stir
-        self.pace = overload.Pace()
-        self.share, self.intake = overload.Fan(), overload.Intake()
+        self.pace = overload.AdmissionPace()
+        self.share, self.intake = overload.Fan(), overload.OverloadIntake()
         self.gate = overload.Gate(limits.gate, self.pace)
-        self.turns = Turns()
+        self.turns = RoundRobin()
         self.keys = Keys(limits.keys, limits.over_ms)
-        self.jobs: dict[tuple[str, str], Job] = {}
+        self.jobs: dict[tuple[str, str], JobState] = {}
         self.waiting: Counter[str] = Counter()  # slots that wait, by tenant
         self.jobs_of: Counter[str] = Counter()
-        self.over: dict[Job, None] = {}  # in the order in which they ended
+        self.over: dict[JobState, None] = {}  # in the order in which they ended
         self.out: dict[str, float] = {}  # attempts of jobs' tasks without an answer -> when they were sent
         self.flushing = self.pumping = False
         self.pump_due = 0.0
@@ -113,7 +123,7 @@
         core.hear(self.hear)
         core.timing.call_in(limits.sweep_ms, self._sweep)
 
-    def retune(self, limits: Limits) -> None:
+    def retune(self, limits: RestLimits) -> None:
         """Other bounds from here on; what is over a lower one goes as news comes."""
         self.limits, self.gate.limits, self.channels.limits = limits, limits.gate, limits.watch
         self.keys.most, self.keys.keep_ms, self.mirror.ended_most = limits.keys, limits.over_ms, limits.ended
@@ -122,7 +132,7 @@
 
     # ---- what clients ask ----
 
-    def create(self, tenant: str, new: s.NewJob, key: str | None, body: bytes) -> tuple[Job, bool]:
+    def create(self, tenant: str, new: s.NewJob, key: str | None, body: bytes) -> tuple[JobState, bool]:
         """The job, and whether it is a new one; raises Conflict or TooMuch, and then nothing has changed."""
         now, fingerprint = self.core.now(), xxhash.xxh3_64_intdigest(body)
         if key is not None:
@@ -145,9 +155,11 @@
         if new.name is not None and (tenant, new.name) in self.jobs:
             raise Conflict(409, f"job {new.name} of {tenant} is there already")
         if self.core.ending:
-            raise TooMuch(overload.Turned(503, "the allocator is shutting down", 5_000.0))
+            raise TooMuch(overload.OverloadRejection(503, "the allocator is shutting down", 5_000.0))
         if key is not None and not self.keys.room(now):
-            raise TooMuch(overload.Turned(503, f"{self.limits.keys} idempotency keys are kept", 5_000.0))
+            raise TooMuch(
+                overload.OverloadRejection(503, f"{self.limits.keys} idempotency keys are kept", 5_000.0)
+            )
         here, waiting = self.waiting[tenant], self.waiting.total()
         tasks, queued = new.spec.tasks, self.turns.queued
         turned = self.gate.create(tenant, tasks, here, waiting, len(self.jobs), queued, now)
@@ -158,11 +170,11 @@
             self.keys.note(tenant, key, fingerprint, job, now)
         return job, True
 
-    def _made(self, tenant: str, new: s.NewJob, cls: api.TaskClass, now: float) -> Job:
+    def _made(self, tenant: str, new: s.NewJob, cls: api.TaskClass, now: float) -> JobState:
         uid = base64.b32encode(self.random.randbytes(10)).decode().lower()
         name = new.name or f"{new.spec.service[:40]}-{uid[:8]}".lower()
         wall = round(self.core.timing.clock.wall())
-        job = Job(tenant, name, uid, new.spec, cls, dict(new.labels), wall)
+        job = JobState(tenant, name, uid, new.spec, cls, dict(new.labels), wall)
         self.jobs[tenant, name] = job
         self.jobs_of[tenant] += 1
         until = now + job.wait_ms()
@@ -194,7 +206,7 @@
     def seen(self, slot: Slot) -> Seen:
         return self.mirror.tasks[slot.job.tenant, owner_id(slot.job.tenant), slot.name()]
 
-    def cancel_job(self, job: Job) -> None:
+    def cancel_job(self, job: JobState) -> None:
         """Stops all its tasks; once they are over, which may be at once, the job is gone."""
         job.cancelled = True
         for slot in job.slots:
@@ -204,13 +216,13 @@
             self._remove(job)
 
     def cancel_slot(self, slot: Slot) -> None:
-        if slot.step is Step.OVER:
+        if slot.step is JobStep.OVER:
             return
         slot.cancelled = True
-        if slot.step in (Step.QUEUED, Step.PAUSED):
-            self._refuse(slot, Answer(KILLED, Retry.HARMLESS), "cancelled by its owner")
+        if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
+            self._refuse(slot, StatusAnswer(KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
         elif slot.call is not None and slot.call.over:  # out of sight; stopped should it come back
-            self._step(slot, Step.OVER)
+            self._step(slot, JobStep.OVER)
             self._settled(slot.job)
         elif slot.call is not None:
             self.core.owners.withdraw(slot.call)  # its answer, or its end, follows
@@ -222,7 +234,7 @@
             self.core.owners.withdraw(seen.call)
         self.mirror.flush_task(seen.key)
 
-    def patch(self, job: Job, labels: dict[str, str | None]) -> None:
+    def patch(self, job: JobState, labels: dict[str, str | None]) -> None:
         """Merges labels into the job's and its tasks'; raises Conflict."""
         merged = {k: v for k, v in (job.labels | labels).items() if v is not None}
         if len(merged) > s.LABELS_MOST:
@@ -283,7 +295,7 @@
             return
         spec, name = job.spec, slot.name()
         key = f"{spec.key}.{slot.number}" if spec.key is not None else f"{name}.{job.uid}"
-        ask = Ask(
+        ask = TaskRequest(
             job.cls.name, spec.service, key, spec.cores, spec.memory, left, spec.life_ms, slot.rounds > 0,
             spec.key is not None,
         )  # fmt: skip
@@ -293,10 +305,10 @@
             resources=m.resources(spec.cores, spec.memory),
             data=spec.data,
         )
-        slot.step, slot.rounds = Step.ASKED, slot.rounds + 1
+        slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
         taken = core.owners.take_inside(owner_id(job.tenant), job.tenant, info, ask, slot.record)
-        if isinstance(taken, Verdict):
-            given = Given.REFUSED if taken.answer.retry is Retry.HARMLESS else Given.FAILED
+        if isinstance(taken, AdmissionDecision):
+            given = FinalAnswer.REFUSED if taken.answer.retry is RetryAdvice.HARMLESS else FinalAnswer.FAILED
             self._after(
                 slot, after_round(slot, given, taken.answer, core.now(), self.random), taken.answer, given
             )
@@ -307,42 +319,44 @@
     def _join(self, slot: Slot, call: Call) -> None:
         """The task is there already: adopted from a former incarnation."""
         slot.call = self.seen(slot).call = call
-        if call.given is Given.SERVED:
-            self._step(slot, Step.PLACED)
-            slot.placed_once, slot.given = True, Given.SERVED
+        if call.given is FinalAnswer.SERVED:
+            self._step(slot, JobStep.PLACED)
+            slot.placed_once, slot.given = True, FinalAnswer.SERVED
             last = call.last()
             starting = last is None or last.step is AttemptStep.ACCEPTED
-            answer = Answer(STARTING if starting else RUNNING, Retry.NEVER)
-            self.seen(slot).answer = Given.SERVED.value
+            answer = StatusAnswer(STARTING if starting else RUNNING, RetryAdvice.NEVER)
+            self.seen(slot).answer = FinalAnswer.SERVED.value
             self.seen(slot).tell(answer, None, last.machine if last is not None else None)
         self.mirror.touch(self.seen(slot).key)
 
-    def _step(self, slot: Slot, step: Step) -> None:
+    def _step(self, slot: Slot, step: JobStep) -> None:
         was, now = slot.step in WAITS, step in WAITS
         if was != now:
             self.waiting[slot.job.tenant] += now - was
         slot.step = step
 
-    def _refuse(self, slot: Slot, answer: Answer, text: str | None = None) -> None:
+    def _refuse(self, slot: Slot, answer: StatusAnswer, text: str | None = None) -> None:
         """The final answer of a task that has no round out."""
         if text is None:
             text = slot.record.text(len(self.core.listed or ()))
-        self._after(slot, Next(Step.OVER), answer, Given.REFUSED, text)
+        self._after(slot, Next(JobStep.OVER), answer, FinalAnswer.REFUSED, text)
 
-    def _after(self, slot: Slot, then: Next, answer: Answer, given: Given, text: str | None = None) -> None:
+    def _after(
+        self, slot: Slot, then: Next, answer: StatusAnswer, given: FinalAnswer, text: str | None = None
+    ) -> None:
         seen, now = self.seen(slot), self.core.now()
         self.mirror.touch(seen.key)
-        if then.step is Step.PAUSED:
+        if then.step is JobStep.PAUSED:
             seen.wait()
-            self._step(slot, Step.PAUSED)
+            self._step(slot, JobStep.PAUSED)
             self.turns.pause(slot, now + then.pause_ms)
             self._pump_at(now + then.pause_ms)
             return
         self._step(slot, then.step)
         slot.given, seen.answer = given, given.value
-        last = slot.call.last() if slot.call is not None and then.step is Step.PLACED else None
+        last = slot.call.last() if slot.call is not None and then.step is JobStep.PLACED else None
         seen.tell(answer, text, last.machine if last is not None else None)
-        if then.step is Step.OVER:
+        if then.step is JobStep.OVER:
             self._settled(slot.job)
 
     # ---- hearing the core ----
@@ -354,14 +368,14 @@
     def hear(self, what: Happened) -> None:
         if not self._ours(what):
             self.mirror.hear(what)
-        if isinstance(what, Sent):
+        if isinstance(what, AttemptSent):
             if what.attempt.call.framework.startswith(PREFIX + ":"):
                 self.out[what.attempt.id] = what.attempt.sent_at
-        elif isinstance(what, Back):
+        elif isinstance(what, AttemptConcluded):
             self._heard(what.attempt, what.outcome is api.Outcome.REJECTED)
-        elif isinstance(what, Answered) and what.given is Given.SERVED:
+        elif isinstance(what, CallAnswered) and what.given is FinalAnswer.SERVED:
             self._heard(what.call.last(), True)
-        elif isinstance(what, Opened):
+        elif isinstance(what, PlacementOpened):
             self._pump_soon()
 
     def _heard(self, attempt: Attempt | None, answered: bool) -> None:
@@ -372,44 +386,44 @@
 
     def _ours(self, what: Happened) -> bool:
         """Whether it is about a job's task; then it is handled here."""
-        if not isinstance(what, Told | Taken | Answered | Forgotten):
+        if not isinstance(what, TaskStatusReported | CallTaken | CallAnswered | CallForgotten):
             return False
         seen = self.mirror.of(what.call)
         if seen is None or seen.slot is None:
             return False
-        if isinstance(what, Taken):
+        if isinstance(what, CallTaken):
             seen.call = seen.slot.call = what.call
-        elif isinstance(what, Told) and what.call is seen.slot.call:
+        elif isinstance(what, TaskStatusReported) and what.call is seen.slot.call:
             self._told(seen.slot, seen, what)
         self.mirror.touch(seen.key)
         return True
 
-    def _told(self, slot: Slot, seen: Seen, what: Told) -> None:
+    def _told(self, slot: Slot, seen: Seen, what: TaskStatusReported) -> None:
         answer, given = what.answer, what.call.given
-        if slot.step is Step.ASKED and given is not None:
+        if slot.step is JobStep.ASKED and given is not None:
             then = after_round(slot, given, answer, self.core.now(), self.random)
-            slot.placed_once |= then.step is Step.PLACED
+            slot.placed_once |= then.step is JobStep.PLACED
             self._after(slot, then, answer, given, what.text)
         elif answer.state in (STARTING, RUNNING):
             # Also one that was told as failed, or that was to be placed anew, and is found to run: it is
             # placed from here on, and nothing more is asked for it.
             self.mirror.told(what.call, answer, what.text)
             slot.placed_once = True
-            if slot.step is not Step.PLACED:
-                self._step(slot, Step.PLACED)
-                slot.given = slot.given or Given.SERVED
+            if slot.step is not JobStep.PLACED:
+                self._step(slot, JobStep.PLACED)
+                slot.given = slot.given or FinalAnswer.SERVED
                 seen.answer = slot.given.value
                 self.over.pop(slot.job, None)
                 slot.job.over_at = None
-        elif slot.step is Step.PLACED:
+        elif slot.step is JobStep.PLACED:
             then = after_end(slot, answer)
-            if then.step is Step.PAUSED:
+            if then.step is JobStep.PAUSED:
                 self._again(slot, then)
                 return
             self.mirror.told(what.call, answer, what.text)
             slot.finished = answer.state == FINISHED
             self._step(slot, then.step)
-            if then.step is Step.OVER:
+            if then.step is JobStep.OVER:
                 self._settled(slot.job)
         else:
             self.mirror.told(what.call, answer, what.text)  # what has become known of a failed one
@@ -418,7 +432,7 @@
         """A task that was placed and lost is asked for anew, with its whole time before it."""
         now = self.core.now()
         slot.until, slot.rounds, slot.given = now + then.pause_ms + slot.job.wait_ms(), 0, None
-        self._after(slot, then, Answer(DROPPED, Retry.HARMLESS), Given.REFUSED)
+        self._after(slot, then, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
         self._expire_later([slot])
 
     # ---- time ----
@@ -428,13 +442,13 @@
 
         def expire() -> None:
             for slot in slots:
-                if slot.step in (Step.QUEUED, Step.PAUSED) and slot.until <= until:
+                if slot.step in (JobStep.QUEUED, JobStep.PAUSED) and slot.until <= until:
                     self._refuse(slot, refusal(False))
 
         margin = self.core.options.answer_margin_ms
         self.core.timing.call_in(max(0.0, until - margin - self.core.now()), expire)
 
-    def _settled(self, job: Job) -> None:
+    def _settled(self, job: JobState) -> None:
         """Looks whether the job is over; a cancelled one is then gone at once."""
         self.mirror.touch_job(job)
         if not job.over():
@@ -444,7 +458,7 @@
         if job.cancelled:
             self.core.timing.call_in(0.0, lambda: self._remove(job))
 
-    def _remove(self, job: Job) -> None:
+    def _remove(self, job: JobState) -> None:
         if job.gone or not job.over():
             return
         job.gone = True
@@ -503,11 +517,13 @@
         """SIGTERM: what has no round out is answered; what has one gets the core's answer."""
         for job in list(self.jobs.values()):
             for slot in job.slots:
-                if slot.step in (Step.QUEUED, Step.PAUSED):
-                    self._refuse(slot, Answer(DROPPED, Retry.HARMLESS), "the allocator is shutting down")
+                if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
+                    self._refuse(
+                        slot, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), "the allocator is shutting down"
+                    )
 
 
-WAITS = (Step.QUEUED, Step.ASKED, Step.PAUSED)
+WAITS = (JobStep.QUEUED, JobStep.ASKED, JobStep.PAUSED)
 
 
 def owner_id(tenant: str) -> str:
--- a/glencleat/rest/version_store.py
+++ b/glencleat/rest/version_store.py
@@ -24,7 +24,7 @@
     """The version is older than what the log holds, or is another process's; list again (410)."""
 
 
-class Record(msgspec.Struct, eq=False, gc=False):
+class ResourceRecord(msgspec.Struct, eq=False, gc=False):
     """One resource from `version` on; `value` None: deleted. `labels`: what selectors see.
 
     Records and Events form chains and no cycles, and are too many for the garbage collector to go through."""
@@ -33,15 +33,15 @@
     version: int
     value: Any
     labels: Mapping[str, str]
-    before: Record | None = None
+    before: ResourceRecord | None = None
     encoded: bytes | None = None  # filled by whoever writes it first
 
 
-class Event(msgspec.Struct, eq=False, gc=False):
+class VersionEvent(msgspec.Struct, eq=False, gc=False):
     kind: str
     version: int
-    record: Record
-    before: Record | None
+    record: ResourceRecord
+    before: ResourceRecord | None
     lines: dict[str, bytes] | None = None  # its line of a watch, by type; filled by whoever writes it first
 
     def type_for(self, selector: Selector) -> str | None:
@@ -54,20 +54,20 @@
         return "DELETED" if before else None
 
 
-class Kind:
+class ResourceKind:
     """One kind's resources and log."""
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.records: SortedDict[Key, Record] = SortedDict()
-        self.log: list[Event] = []
+        self.records: SortedDict[Key, ResourceRecord] = SortedDict()
+        self.log: list[VersionEvent] = []
         self.first = 0  # of the log's list; what lies before it is out
         self.compacted = 0  # the newest version that can't be resumed before
         self.live = 0
         # (label, value) -> keys of which a Record that can still be read has it, and how many do
         self.by_label: dict[tuple[str, str], dict[Key, int]] = {}
 
-    def index(self, record: Record, change: int) -> None:
+    def index(self, record: ResourceRecord, change: int) -> None:
         """Counts a Record in (1) or out (-1) of what its labels find."""
         if record.value is None:
             return
@@ -94,7 +94,7 @@
         high = (tenant + "\0",) if tenant is not None else None
         return self.records.irange(low, high, inclusive=(after is None, False))
 
-    def append(self, event: Event) -> None:
+    def append(self, event: VersionEvent) -> None:
         self.log.append(event)
         while len(self.log) - self.first > self.most:
             self._compact(self.log[self.first])
@@ -103,7 +103,7 @@
             del self.log[: self.first]
             self.first = 0
 
-    def _compact(self, event: Event) -> None:
+    def _compact(self, event: VersionEvent) -> None:
         self.compacted = event.version
         if event.before is not None:
             self.index(event.before, -1)
@@ -111,7 +111,7 @@
         if event.record.value is None and self.records.get(event.record.key) is event.record:
             del self.records[event.record.key]
 
-    def since(self, version: int) -> list[Event]:
+    def since(self, version: int) -> list[VersionEvent]:
         at = bisect_right(self.log, version, lo=self.first, key=lambda event: event.version)
         return self.log[at:]
 
@@ -121,7 +121,7 @@
 
     def __init__(self, epoch: str, kinds: Mapping[str, int]) -> None:
         self.epoch, self.number = epoch, 0
-        self.kinds = {name: Kind(most) for name, most in kinds.items()}
+        self.kinds = {name: ResourceKind(most) for name, most in kinds.items()}
 
     def told(self, number: int | None = None) -> str:
         return f"{self.epoch}-{self.number if number is None else number}"
@@ -138,36 +138,40 @@
             raise ValueError(f"resourceVersion {text[:40]!r} is yet to come")
         return int(number)
 
-    def put(self, kind: str, key: Key, value: Any, labels: Mapping[str, str]) -> Event | None:
+    def put(self, kind: str, key: Key, value: Any, labels: Mapping[str, str]) -> VersionEvent | None:
         """A new state of a resource; None where nothing changed. Values compare by their fields."""
         store = self.kinds[kind]
         before = store.records.get(key)
         if before is not None and before.value == value and before.labels == labels:
             return None
         store.live += before is None or before.value is None
-        return self._change(store, kind, Record(key, self.number + 1, value, labels, before), before)
+        return self._change(store, kind, ResourceRecord(key, self.number + 1, value, labels, before), before)
 
-    def delete(self, kind: str, key: Key) -> Event | None:
+    def delete(self, kind: str, key: Key) -> VersionEvent | None:
         store = self.kinds[kind]
         before = store.records.get(key)
         if before is None or before.value is None:
             return None
         store.live -= 1
-        return self._change(store, kind, Record(key, self.number + 1, None, before.labels, before), before)
+        return self._change(
+            store, kind, ResourceRecord(key, self.number + 1, None, before.labels, before), before
+        )
 
-    def _change(self, store: Kind, kind: str, record: Record, before: Record | None) -> Event:
+    def _change(
+        self, store: ResourceKind, kind: str, record: ResourceRecord, before: ResourceRecord | None
+    ) -> VersionEvent:
         self.number = record.version
         store.records[record.key] = record
         store.index(record, 1)
-        event = Event(kind, record.version, record, before)
+        event = VersionEvent(kind, record.version, record, before)
         store.append(event)
         return event
 
-    def get(self, kind: str, key: Key) -> Record | None:
+    def get(self, kind: str, key: Key) -> ResourceRecord | None:
         record = self.kinds[kind].records.get(key)
         return record if record is not None and record.value is not None else None
 
-    def since(self, kind: str, version: int) -> list[Event]:
+    def since(self, kind: str, version: int) -> list[VersionEvent]:
         """What happened after a version; raises Gone."""
         store = self.kinds[kind]
         if version < store.compacted:
@@ -182,20 +186,20 @@
         limit: int,
         after: Key | None = None,
         tenant: str | None = None,
-    ) -> tuple[list[Record], Key | None]:
+    ) -> tuple[list[ResourceRecord], Key | None]:
         """Resources as they were at the version, in order of their keys, and the key to go on after.
 
         A page ends early, with a key to go on after, when many in a row don't match. Raises Gone."""
         store = self.kinds[kind]
         if version < store.compacted:
             raise Gone("the list took too long: its resourceVersion is too old; list again")
-        found = list[Record]()
+        found = list[ResourceRecord]()
         scanned = 0
         for key in store.candidates(selector, after, tenant):
             if len(found) == limit or scanned == SCANNED:
                 return found, after
             after, scanned = key, scanned + 1
-            record: Record | None = store.records[key]
+            record: ResourceRecord | None = store.records[key]
             while record is not None and record.version > version:
                 record = record.before
             if record is not None and record.value is not None and matches(selector, record.labels):
--- a/glencleat/rest/watches.py
+++ b/glencleat/rest/watches.py
@@ -14,13 +14,13 @@
 
 from glencleat.rest.schema import Problem, encode, stamped
 from glencleat.rest.selector import Selector, anchors
-from glencleat.rest.version_store import Event, Gone
+from glencleat.rest.version_store import VersionEvent, Gone
 
 Where = tuple[str, str | None, Selector]  # kind, tenant or all, selector
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class WatchLimits:
     watchers: int = 5_000
     each: int = 1_000  # of one tenant, or of all tenants at once
     lines: int = 20_000  # that a channel keeps for its watchers
@@ -28,13 +28,13 @@
     stall_ms: float = 5_000.0  # so long may a watcher take nothing while there is news
 
 
-class Refused(Exception):
+class WatchLimitError(Exception):
     """No more watchers are taken; the text says which limit."""
 
 
 @dataclass(slots=True, eq=False)
 class Watcher:
-    channel: Channel
+    channel: WatchChannel
     cursor: int  # lines of the channel taken, counted from its beginning
     early: Iterator[bytes] | None  # pieces from before it joined: what it resumed, or all that was there
     progress_at: float
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Channel:
+class WatchChannel:
     where: Where
     watchers: dict[Watcher, None] = field(default_factory=dict)
     idle: dict[Watcher, None] = field(default_factory=dict)  # those that have taken all
@@ -76,7 +76,7 @@
             self.base = base
 
 
-def line(event: Event, kind: str, told: Callable[[int], str]) -> bytes:
+def line(event: VersionEvent, kind: str, told: Callable[[int], str]) -> bytes:
     """The event's line for a watch, made once for all who get it."""
     if event.lines is None:
         event.lines = {}
@@ -95,12 +95,12 @@
     return b'{"type":"%b","object":%b}\n' % (kind.encode(), body)
 
 
-class Channels:
-    def __init__(self, limits: Limits, told: Callable[[int], str]) -> None:
+class WatchChannels:
+    def __init__(self, limits: WatchLimits, told: Callable[[int], str]) -> None:
         self.limits, self.told = limits, told
-        self.channels: dict[Where, Channel] = {}
-        self.by_label: dict[tuple[str, str, str], dict[Channel, None]] = {}  # kind, label, value
-        self.unanchored: dict[str, dict[Channel, None]] = {}  # by kind
+        self.channels: dict[Where, WatchChannel] = {}
+        self.by_label: dict[tuple[str, str, str], dict[WatchChannel, None]] = {}  # kind, label, value
+        self.unanchored: dict[str, dict[WatchChannel, None]] = {}  # by kind
         self.count = 0
         self.by_tenant: dict[str | None, int] = {}
         self.awake: dict[Watcher, None] = {}  # those with news to take, in the order in which it came
@@ -111,9 +111,11 @@
     def check(self, tenant: str | None) -> None:
         """Raises Refused where one more can't be taken."""
         if self.count >= self.limits.watchers:
-            raise Refused(f"{self.count} watches are open; expected no more")
+            raise WatchLimitError(f"{self.count} watches are open; expected no more")
         if self.by_tenant.get(tenant, 0) >= self.limits.each:
-            raise Refused(f"{self.limits.each} watches of {tenant or 'all tenants'} are open; no more")
+            raise WatchLimitError(
+                f"{self.limits.each} watches of {tenant or 'all tenants'} are open; no more"
+            )
 
     def join(self, where: Where, early: Iterator[bytes] | None, now: float) -> Watcher:
         """A watcher of all that is published from now on, after the pieces of `early`.
@@ -122,7 +124,7 @@
         self.check(where[1])
         channel = self.channels.get(where)
         if channel is None:
-            channel = self.channels[where] = Channel(where)
+            channel = self.channels[where] = WatchChannel(where)
             self._bucket(channel)[channel] = None
         watcher = Watcher(channel, channel.end(), early, now, told_at=now)
         channel.watchers[watcher] = None
@@ -146,7 +148,7 @@
             bucket = self._bucket(channel)
             del bucket[channel]
 
-    def _bucket(self, channel: Channel) -> dict[Channel, None]:
+    def _bucket(self, channel: WatchChannel) -> dict[WatchChannel, None]:
         kind, _, selector = channel.where
         terms = anchors(selector)
         if not terms:
@@ -155,7 +157,7 @@
 
     # ---- events ----
 
-    def concerned(self, event: Event) -> Iterable[Channel]:
+    def concerned(self, event: VersionEvent) -> Iterable[WatchChannel]:
         """Channels whose anchor the event has now or had before, each once; their selectors decide."""
         found = dict(self.unanchored.get(event.kind, {}))
         sides = [event.record] if event.before is None else [event.record, event.before]
@@ -166,7 +168,7 @@
                     found |= bucket
         return found
 
-    def publish(self, event: Event, now: float) -> None:
+    def publish(self, event: VersionEvent, now: float) -> None:
         for channel in self.concerned(event):
             _, tenant, selector = channel.where
             if tenant is not None and event.record.key[0] != tenant:
