--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -11,12 +11,12 @@
 import contextlib
 from random import Random
 
-from glencleat.flow_control.connection_limiter import Connecting, look_ms
+from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
-from glencleat.scale.message_counters import Tally
+from glencleat.scale.message_counters import MessageCounters
 
 # As docs/live.md states them of the real one.
 SWEEP_MS, QUIET_MS, HEAR_MS, SURPLUS_MS, IDLE_MS = 200.0, 1_000.0, 3_000.0, 4_000.0, 24_000.0
@@ -53,11 +53,11 @@
     """Its number tells hosts whose connections are its own: it dials 127.0.number.1."""
 
     def __init__(
-        self, loop: Loop, number: int, ports: list[tuple[str, int]], seed: int, limits: Limits
+        self, loop: Loop, number: int, ports: list[tuple[str, int]], seed: int, limits: HollowLimits
     ) -> None:
         self.loop, self.number, self.ports, self.random = loop, number, ports, Random(seed)
         self.most, self.look_ms, self.reuse = limits.links, max(QUIET_MS, limits.look_ms), limits.reuse
-        self.tally, self.connecting = Tally(), Connecting()
+        self.tally, self.connecting = MessageCounters(), ConnectionLimiter()
         self.contacts: dict[str, Contact] = {}
         self.filed: dict[HollowLink, None] = {}  # longest unused first
         self.drawn: list[HollowLink] = []  # of these, a while ago, to draw from
@@ -163,7 +163,7 @@
         contact = link.contact
         try:
             stream: Stream = yield from connect(self.loop, contact.address, CONNECT_MS)
-        except ConnectFailed:
+        except ConnectError:
             self.connecting.ended(contact.address)
             contact.again_at = self.loop.now() + AGAIN_MS
             self.tally.count(self.number, "not sent", len(link.waiting))
@@ -175,12 +175,12 @@
         waiting, link.waiting = link.waiting, []
         for task in waiting:
             self._send(link, task)
-        with contextlib.suppress(StreamClosed, m.PeerError):
+        with contextlib.suppress(StreamClosedError, m.PeerError):
             yield from self._read(link, stream)
         self.end(link)
 
     def _read(self, link: HollowLink, stream: Stream) -> Coroutine:
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         while data := (yield from stream.read()):
             link.contact.heard = link.used = self.loop.now()
             if self.filed.pop(link, 0) is None:
@@ -190,7 +190,7 @@
                 self.tally.got(self.number, message)
                 self._message(link, message)
 
-    def _message(self, link: HollowLink, message: m.Message) -> None:
+    def _message(self, link: HollowLink, message: m.PlatformMessage) -> None:
         if message.kind == m.ANSWER and message.task in link.out:
             link.out.discard(message.task)
             link.contact.tasks.add(message.task)
@@ -242,7 +242,7 @@
                 self._again(contact, now)
 
 
-class Limits:
+class HollowLimits:
     """Of one allocator: links; how long a host may be quiet before it is looked at; which part of its set-ups
     goes to a host that it has a link to, as a real one's do that prefers hosts where its programs are."""
 
@@ -257,8 +257,10 @@
         self, loop: Loop, numbers: list[int], channel: tuple[str, int], ports: list[tuple[str, int]],
         seed: int, limits: tuple[int, int], reuse: float,
     ) -> None:  # fmt: skip
-        self.loop, self.channel, self.tally = loop, channel, Tally()
-        self.all = {k: HollowAllocator(loop, k, ports, seed + k, Limits(*limits, reuse)) for k in numbers}
+        self.loop, self.channel, self.tally = loop, channel, MessageCounters()
+        self.all = {
+            k: HollowAllocator(loop, k, ports, seed + k, HollowLimits(*limits, reuse)) for k in numbers
+        }
         for number in numbers:
             loop.spawn(self._follow(number), "hollow list")
 
@@ -270,7 +272,7 @@
                 stream.send(b"resume 1\n")
                 while data := (yield from stream.read()):
                     self.tally.count(number, "channel bytes", len(data))
-            except StreamClosed:
+            except StreamClosedError:
                 pass
             yield from self.loop.sleep(AGAIN_MS)
 
--- a/glencleat/scale/compare.py
+++ b/glencleat/scale/compare.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from glencleat.scale.measure import Phase
+from glencleat.scale.measure import MeasuredPhase
 from glencleat.scale.report import rates, table
 
 FEW = 800  # messages counted in all: below, chance alone may make 10% of difference
@@ -21,7 +21,7 @@
     return f"{part:.3f}", "yes" if abs(part - 1.0) <= WITHIN else "no"
 
 
-def against(phases: list[Phase]) -> list[str]:
+def against(phases: list[MeasuredPhase]) -> list[str]:
     """Messages and bytes at the hosts, a second and allocator: real ones, hollow ones, hollow of real."""
     rows = []
     for phase in (phase for phase in phases if phase.hollow and phase.name != "whole run"):
@@ -37,7 +37,7 @@
     return table(head, rows) if rows else []
 
 
-def _figures(phases: list[Phase]) -> dict[str, float]:
+def _figures(phases: list[MeasuredPhase]) -> dict[str, float]:
     """Of phases of one name, the mean over allocators."""
     costs = [cost for phase in phases for cost in phase.allocators]
     waits = [cost.waits_ms for cost in costs if cost.waits_ms]
@@ -64,7 +64,7 @@
     return found
 
 
-def beside(one: list[Phase], other: list[Phase], names: tuple[str, str]) -> list[str]:
+def beside(one: list[MeasuredPhase], other: list[MeasuredPhase], names: tuple[str, str]) -> list[str]:
     """Phase by phase, what both runs have; of several allocators the mean, of extremes the largest."""
     rows = []
     keys = dict.fromkeys((phase.hosts, phase.name) for phase in one)
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import Loop, Stream, StreamClosed
+from glencleat.event_loop import Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import READ, Coroutine
-from glencleat.scale.message_counters import Tally
+from glencleat.scale.message_counters import MessageCounters
 from glencleat.emulators.proxy import reset
 
 BACKLOG = 512
@@ -79,7 +79,7 @@
             self.loop.spawn(self._serve(stream, allocator), "hollow host")
 
     def _serve(self, stream: Stream, allocator: int) -> Coroutine:
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         try:
             for task in [task for task, whose in self.owed.items() if whose == allocator]:
                 self._say(stream, allocator, m.caused(m.RELEASE, task, m.ENDED))
@@ -90,7 +90,7 @@
                 for message in decoder.messages():
                     self.group.tally.got(allocator, message)
                     self._message(stream, allocator, message)
-        except (StreamClosed, m.PeerError):
+        except (StreamClosedError, m.PeerError):
             pass
         finally:
             self._gone(stream, allocator)
@@ -111,7 +111,7 @@
         self.group.tally.sent(allocator, data)
         return True
 
-    def _message(self, stream: Stream, allocator: int, message: m.Message) -> None:
+    def _message(self, stream: Stream, allocator: int, message: m.PlatformMessage) -> None:
         task = message.task
         if message.kind == m.SETUP:
             self.held[task] = Held(allocator, stream, stands=False)
@@ -239,7 +239,7 @@
     """The hosts of one process. Lives and notes are drawn from `seed`."""
 
     def __init__(self, loop: Loop, names: list[str], seed: int, shape: dict[str, float]) -> None:
-        self.loop, self.random, self.tally = loop, Random(seed), Tally()
+        self.loop, self.random, self.tally = loop, Random(seed), MessageCounters()
         self.life_ms, self.note_ms = 1e3 * shape["life_s"], 1e3 * shape["note_s"]
         self.decide_ms, self.drawn = shape["decide_ms"], bool(shape["drawn"])
         self.hosts = {name: HollowHost(self, name) for name in names}
--- a/glencleat/scale/measure.py
+++ b/glencleat/scale/measure.py
@@ -37,7 +37,7 @@
         return 100.0 * self.cpu_s / self.seconds
 
 
-class Phase(msgspec.Struct):
+class MeasuredPhase(msgspec.Struct):
     name: str
     hosts: int
     allocators: list[Cost]
--- a/glencleat/scale/message_counters.py
+++ b/glencleat/scale/message_counters.py
@@ -23,7 +23,7 @@
 Counts = dict[str, int]
 
 
-def wire_size(message: m.Message) -> int:
+def wire_size(message: m.PlatformMessage) -> int:
     """Bytes of a message on the wire.
 
     >>> wire_size(m.Message(m.TESTED, 7, {m.CAUSE: b"x"}))
@@ -32,7 +32,7 @@
     return m.HEAD.size + sum(m.PARAMETER.size + len(raw) for raw in message.parameters.values())
 
 
-class Tally:
+class MessageCounters:
     """Counts by allocator: `3 in release` are messages of allocator 3, `3 in release bytes` their bytes.
 
     >>> tally = Tally()
@@ -50,7 +50,7 @@
         self.counts[name] += 1
         self.counts[name + " bytes"] += len(data)
 
-    def got(self, allocator: int, message: m.Message) -> None:
+    def got(self, allocator: int, message: m.PlatformMessage) -> None:
         name = f"{allocator} in {NAMES[message.kind]}"
         self.counts[name] += 1
         self.counts[name + " bytes"] += wire_size(message)
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -10,10 +10,10 @@
 from random import Random
 
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import ConnectFailed, Loop, Stream, StreamClosed, connect
+from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.scale.arrivals import Arrivals
-from glencleat.scale.message_counters import Tally
+from glencleat.scale.message_counters import MessageCounters
 
 AGAIN_MS, WAIT_MS, LATE_MS = 500.0, 8_000.0, 1_000.0
 UNREAD_MS = 50.0  # to read what has come
@@ -22,7 +22,7 @@
 HARMLESS = (m.FULL, m.CONGESTED, m.MOOT)  # causes that promise that trying again does no harm
 
 
-class Ledger:
+class AnswerCheck:
     """What became of each request to one allocator; everything that may not be is counted by name.
 
     >>> ledger = Ledger()
@@ -87,7 +87,7 @@
 
     def __init__(self, loop: Loop, allocator: int, address: tuple[str, int], seed: int) -> None:
         self.loop, self.allocator, self.address, self.random = loop, allocator, address, Random(seed)
-        self.ledger, self.tally = Ledger(), Tally()
+        self.ledger, self.tally = AnswerCheck(), MessageCounters()
         self.number, self.turn = allocator << 40, 0
         self.arrivals = Arrivals(loop, self.random, self._ask)
         self.streams: list[Stream] = []
@@ -104,12 +104,12 @@
                     yield from self._read(stream)
                 finally:
                     self.streams.remove(stream)
-            except (ConnectFailed, StreamClosed, m.PeerError):
+            except (ConnectError, StreamClosedError, m.PeerError):
                 self.tally.count(self.allocator, "connections broken")
             yield from self.loop.sleep(AGAIN_MS)
 
     def _read(self, stream: Stream) -> Coroutine:
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         while data := (yield from stream.read()):
             decoder.feed(data)
             for message in decoder.messages():
--- a/glencleat/scale/real.py
+++ b/glencleat/scale/real.py
@@ -12,19 +12,19 @@
 import msgspec
 import psutil
 
-from glencleat.emulators.allocator_processes import SETTINGS, Nodes
+from glencleat.emulators.allocator_processes import SETTINGS, AllocatorProcesses
 
 COLD = {"warm-within-ms": 16_000.0, "overload-for-ms": 1_000.0, "stop-sending-within-ms": 500.0}
 
 
-class Allocators(Nodes):
+class RealAllocators(AllocatorProcesses):
     """`peers`: how many allocators the settings tell of."""
 
     def __init__(self, folder: Path, count: int, seed: int, sockets: int, tree: Path, peers: int) -> None:
         super().__init__(folder, count, seed, sockets, tree)
         self.peers = peers
 
-    def __enter__(self) -> Allocators:
+    def __enter__(self) -> RealAllocators:
         return self
 
     def write(self, number: int, zone: str, channel: tuple[str, int], known: Mapping[str, Any]) -> None:
--- a/glencleat/scale/report.py
+++ b/glencleat/scale/report.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from glencleat.scale.measure import Cost, Phase
-from glencleat.scale.run_size import Size
+from glencleat.scale.measure import Cost, MeasuredPhase
+from glencleat.scale.run_size import RunSize
 
 VERSION = 1
 WRONG = ("no answer", "second answer", "answer to nothing", "second release", "release of nothing")
@@ -35,8 +35,8 @@
     partial: str
     machine: str
     program: str  # the tree's commit
-    size: Size
-    phases: list[Phase]
+    size: RunSize
+    phases: list[MeasuredPhase]
 
 
 class Fit(msgspec.Struct):
@@ -66,7 +66,7 @@
     return sum(counts.get(f"owner {name}", 0) for name in WRONG)
 
 
-def row(phase: Phase, cost: Cost) -> list[str]:
+def row(phase: MeasuredPhase, cost: Cost) -> list[str]:
     to_hosts, from_hosts = rates(cost, "host", "in"), rates(cost, "host", "out")
     counts, waits, notes = cost.counts, cost.waits_ms, phase.notes
 
@@ -93,26 +93,26 @@
     return lines + ["| " + " | ".join(cells) + " |" for cells in rows]
 
 
-def phases_table(phases: list[Phase]) -> list[str]:
+def phases_table(phases: list[MeasuredPhase]) -> list[str]:
     return table(HEAD, [row(phase, cost) for phase in phases for cost in phase.allocators])
 
 
 # ---- lines over the number of hosts ----
 
 
-def _idle(phases: list[Phase], hosts: int) -> float:
+def _idle(phases: list[MeasuredPhase], hosts: int) -> float:
     """CPU seconds a second with nothing to do, in the mean."""
     costs = [c for p in phases if p.hosts == hosts and p.name == "idle" for c in p.allocators]
     return sum(c.cpu_s for c in costs) / max(1e-9, sum(c.seconds for c in costs))
 
 
-def figures(phases: list[Phase]) -> dict[tuple[str, str], list[tuple[float, float]]]:
+def figures(phases: list[MeasuredPhase]) -> dict[tuple[str, str], list[tuple[float, float]]]:
     """The points of each line: (what, unit) to (hosts, figure)."""
 
-    def event_ms(phase: Phase, cost: Cost) -> float:
+    def event_ms(phase: MeasuredPhase, cost: Cost) -> float:
         return 1e3 * (cost.cpu_s - _idle(phases, phase.hosts) * cost.seconds) / phase.notes["events"]
 
-    wanted: list[tuple[str, str, str, Callable[[Phase, Cost], float]]] = [
+    wanted: list[tuple[str, str, str, Callable[[MeasuredPhase, Cost], float]]] = [
         ("idle", "idle CPU", "% of a core", lambda phase, cost: cost.cpu_percent),
         ("list event of one host", "CPU of one host's list event", "ms", event_ms),
         ("whole list", "CPU of the whole list", "ms", event_ms),
@@ -125,7 +125,7 @@
     return found
 
 
-def fits(phases: list[Phase]) -> list[Fit]:
+def fits(phases: list[MeasuredPhase]) -> list[Fit]:
     """Of every figure with points at three numbers of hosts or more; loaded phases give none."""
     wide = {
         name: points
@@ -189,7 +189,7 @@
 
 
 def write(
-    folder: Path, name: str, results: Results, more: list[str], earlier: dict[str, list[Phase]]
+    folder: Path, name: str, results: Results, more: list[str], earlier: dict[str, list[MeasuredPhase]]
 ) -> list[str]:
     """The files of a run, also of one that was broken off; gives the page's lines.
 
--- a/glencleat/scale/run_size.py
+++ b/glencleat/scale/run_size.py
@@ -29,7 +29,7 @@
     """The size can't be used, or not on this machine; the text says why."""
 
 
-class Event(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RunEvent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Something that happens while the load goes on; what is lost comes back after `seconds`.
 
     `told_s`: after so long the list calls the hosts deleted; 0: it never does. `power`: their tasks are cut,
@@ -43,7 +43,7 @@
     power: bool = True
 
 
-class Size(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RunSize(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One run for each number of `hosts`; tasks and starts are of one real allocator."""
 
     hosts: list[Annotated[int, msgspec.Meta(ge=1, le=20_000)]]
@@ -66,7 +66,7 @@
     standing_s: Seconds = 20.0
     load_s: Seconds = 30.0
     settle_s: Seconds = 5.0
-    events: list[Event] = []
+    events: list[RunEvent] = []
     seed: Count = 1
     groups: Some = 4  # processes of hosts
     hollow_groups: Some = 4  # processes of hollow allocators, where there are any
@@ -89,11 +89,11 @@
         )
 
 
-def read(path: Path) -> Size:
+def read(path: Path) -> RunSize:
     """BadSize says what is wrong with it, by name."""
     try:
         raw = tomllib.loads(path.read_text())
-        size = msgspec.convert(raw, Size)
+        size = msgspec.convert(raw, RunSize)
     except OSError as error:
         raise BadSize(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
@@ -112,7 +112,7 @@
     return size
 
 
-def needs(size: Size, hosts: int) -> Needs:
+def needs(size: RunSize, hosts: int) -> Needs:
     """Links: at most as many as allocators may hold, spread over the processes of hosts."""
     links = (size.real + size.hollow) * min(size.sockets, 2 * hosts)
     parts = size.groups + 2 + min(size.hollow, size.hollow_groups)
@@ -128,7 +128,7 @@
     )
 
 
-def check(size: Size) -> None:
+def check(size: RunSize) -> None:
     """Before anything is started: BadSize if the machine has no room for the largest."""
     need = needs(size, max(size.hosts))
     descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/glencleat/scale/runs.py
+++ b/glencleat/scale/runs.py
@@ -18,11 +18,11 @@
 from glencleat.scale.channel import Channels
 from glencleat.scale.message_counters import Counts, of_allocator
 from glencleat.scale.hosts import HostGroup
-from glencleat.scale.measure import Cost, Meter, Phase, difference, percentiles, snapshot_names, total
+from glencleat.scale.measure import Cost, Meter, MeasuredPhase, difference, percentiles, snapshot_names, total
 from glencleat.scale.owners import HollowOwners
 from glencleat.scale.worker_processes import Parts
-from glencleat.scale.real import Allocators
-from glencleat.scale.run_size import Event, Size
+from glencleat.scale.real import RealAllocators
+from glencleat.scale.run_size import RunEvent, RunSize
 from glencleat.scale.emulated_hosts import StandInGroup
 
 GROUPS = {"hollow": HostGroup, "stand-in": StandInGroup}
@@ -43,11 +43,11 @@
 
     def __init__(
         self,
-        size: Size,
+        size: RunSize,
         count: int,
         tree: Path,
         ends_at: float,
-        found: list[Phase],
+        found: list[MeasuredPhase],
         say: Callable[[str], None],
     ) -> None:
         self.size, self.count, self.tree, self.found, self.say = size, count, tree, found, say
@@ -66,7 +66,7 @@
             self._start_hosts(parts)
             peers = self.size.peers or self.size.real + self.size.hollow
             args = self.size.real, self.size.seed, self.size.sockets, self.tree, peers
-            with Allocators(Path(folder), *args) as self.nodes:
+            with RealAllocators(Path(folder), *args) as self.nodes:
                 self._start_allocators(parts)
                 self._phases()
 
@@ -154,7 +154,7 @@
             whole.state = self._state(k)
             costs.append(whole)
         hollow = {k: of_allocator(counts, k) for k in self.others}
-        self.found.append(Phase("whole run", self.count, costs, hollow))
+        self.found.append(MeasuredPhase("whole run", self.count, costs, hollow))
 
     def phase(self, name: str, seconds: float, begin: Begin = lambda: None) -> None:
         """Measures so many seconds, from just before `begin`, which may tell figures of its own."""
@@ -179,7 +179,7 @@
         notes["busiest hollow process, CPU %"] = max(cost.cpu_percent for cost in busy)
         notes["all hollow processes, CPU %"] = sum(cost.cpu_percent for cost in busy)
         notes["machine, CPU %"] = psutil.cpu_percent()
-        self.found.append(Phase(name, self.count, costs, hollow, notes=notes))
+        self.found.append(MeasuredPhase(name, self.count, costs, hollow, notes=notes))
         cpu = ", ".join(f"{cost.cpu_percent:.2f}%" for cost in costs)
         self.say(f"{self.count} hosts, {name}: CPU {cpu}, {max(c.rss_mb for c in costs):.1f} MB")
 
@@ -218,7 +218,7 @@
 
     # ---- events ----
 
-    def _event(self, event: Event) -> None:
+    def _event(self, event: RunEvent) -> None:
         if event.kind == "one-host":
             every = 1e3 * event.seconds / event.count
             names = self.random.sample(self.names, min(event.count, self.count))
@@ -238,14 +238,14 @@
         else:
             self._lose(event)
 
-    def _lost_names(self, event: Event) -> list[str]:
+    def _lost_names(self, event: RunEvent) -> list[str]:
         """A rack: a block of hosts; a zone: all of the second (the first allocator's own is the first)."""
         if event.kind == "rack-lost":
             return self.names[: self.size.rack_hosts]
         zone = self.zone(0 if self.size.zones == 1 else self.count // self.size.zones + 1)
         return [name for i, name in enumerate(self.names) if self.zone(i) == zone]
 
-    def _lose(self, event: Event) -> None:
+    def _lose(self, event: RunEvent) -> None:
         names, what = self._lost_names(event), event.kind.partition("-")[0]
 
         def lose() -> dict[str, float]:
--- a/glencleat/scale/worker_processes.py
+++ b/glencleat/scale/worker_processes.py
@@ -53,7 +53,7 @@
     part.close()
 
 
-class Part:
+class WorkerProcess:
     """One of these processes, from outside. `begun`: what it told of itself."""
 
     def __init__(self, make: Callable[..., Any], *arguments: Any) -> None:
@@ -103,7 +103,7 @@
     """All that a run has started, ended in any case."""
 
     def __init__(self) -> None:
-        self.all: list[Part] = []
+        self.all: list[WorkerProcess] = []
 
     def __enter__(self) -> Parts:
         return self
@@ -114,7 +114,7 @@
         for part in self.all:
             part.end()
 
-    def start(self, make: Callable[..., Any], *arguments: Any) -> Part:
-        part = Part(make, *arguments)
+    def start(self, make: Callable[..., Any], *arguments: Any) -> WorkerProcess:
+        part = WorkerProcess(make, *arguments)
         self.all.append(part)
         return part
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from glencleat import interface as api
-from glencleat.allocator.endpoint_list import Listing
-from glencleat.flow_control.backoff import Asking
-from glencleat.event_loop import Loop, Stream, StreamClosed, Task
+from glencleat.allocator.endpoint_list import MachineListing
+from glencleat.flow_control.backoff import Backoff
+from glencleat.event_loop import Loop, Stream, StreamClosedError, LoopTask
 from glencleat.event_loop.loop import Coroutine
 from glencleat.event_loop.streams import connect
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
-from glencleat.mesos.recordio import Decoder, RecordError
+from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 TARGET = "/api/v1"
 CONNECT_MS = 1_000.0
@@ -36,7 +36,7 @@
         loop: Loop,
         address: tuple[str, int],
         tell: Callable[[api.MachineListUpdated], None],
-        asking: Asking,
+        asking: Backoff,
         silence_ms: float = 45_000.0,
         record_most: int = 16 << 20,
         log: Callable[..., None] = lambda event, **more: None,
@@ -49,8 +49,8 @@
         self.tries = 0
         self.asked = False  # a Watch is not answered yet
         self.silence_ms, self.record_most = silence_ms, record_most
-        self.listing = Listing()
-        self.task: Task | None = None
+        self.listing = MachineListing()
+        self.task: LoopTask | None = None
 
     def watch(self) -> None:
         """Subscribes, and holds the subscription from then on; one ListTold answers, WHOLE or FAILED.
@@ -75,7 +75,7 @@
             stream = yield from connect(self.loop, self.address, CONNECT_MS)
             yield from self._subscribed(stream)
             why = "the directory ended the stream"
-        except (StreamClosed, HttpError, RecordError, m.BadMessage) as error:
+        except (StreamClosedError, HttpError, RecordError, m.MessageError) as error:
             why = str(error)
         finally:
             if stream is not None:
@@ -93,7 +93,7 @@
         self.tell(event)
 
     def _subscribed(self, stream: Stream) -> Coroutine:
-        http, decoder = ClientConnection(), Decoder(self.record_most)
+        http, decoder = ClientConnection(), RecordDecoder(self.record_most)
         headers = {"content-type": "application/json", "accept": "application/json"}
         body = m.encode(m.OperatorCall("SUBSCRIBE"))
         stream.send(http.request("POST", TARGET, "directory", headers, body))
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -12,7 +12,7 @@
 from typing import BinaryIO
 
 from glencleat import interface as api
-from glencleat.allocator.endpoint_list import Listing
+from glencleat.allocator.endpoint_list import MachineListing
 from glencleat import endpoint_snapshot
 from glencleat.event_loop import Loop
 
@@ -20,14 +20,14 @@
 MOST = 64 << 20  # bytes of a file that is read
 
 
-class KeptList:
+class EndpointSnapshotFile:
     def __init__(
         self,
         loop: Loop,
         path: Path,
         pool: str,
         most_age_ms: float,
-        listing: Listing,
+        listing: MachineListing,
         log: Callable[..., None],
     ) -> None:
         self.loop, self.path, self.pool, self.most_age_ms = loop, path, pool, most_age_ms
@@ -49,7 +49,7 @@
             return ()
         except OSError as error:
             why, told = str(error.strerror), ()
-        except endpoint_snapshot.BadList as error:
+        except endpoint_snapshot.EndpointSnapshotError as error:
             why, told = str(error), ()
         if why is not None:
             self.log("kept list not used", file=str(self.path), why=why)
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from glencleat.allocator.agent_sessions import NotSubscribed
+from glencleat.allocator.agent_sessions import NotSubscribedError
 from glencleat.allocator.core import Core
-from glencleat.allocator.agent_membership import Refused
+from glencleat.allocator.agent_membership import AgentLimitError
 from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need, unreadable
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
@@ -32,9 +32,9 @@
             if call.type == "SUBSCRIBE":
                 return self._subscribe(call)
             self._call(call)
-        except m.BadMessage as error:
+        except m.MessageError as error:
             raise unreadable(error) from None
-        except NotSubscribed as error:
+        except NotSubscribedError as error:
             raise HttpError(403, f"Executor is not subscribed: {error}") from None
         return Response(202)
 
@@ -42,7 +42,7 @@
         def begin(link: RecordLink) -> Callable[[str], None]:
             try:
                 agent = self.core.agents.subscribe(call, link)
-            except (Refused, m.BadMessage, NotSubscribed) as error:
+            except (AgentLimitError, m.MessageError, NotSubscribedError) as error:
                 link.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(str(error)))))
                 link.close(str(error))
                 return lambda why: None
--- a/glencleat/servers/http_server.py
+++ b/glencleat/servers/http_server.py
@@ -12,8 +12,8 @@
 from itertools import islice
 from typing import Protocol
 
-from glencleat.event_loop import Listener, Loop, Stream, StreamClosed
-from glencleat.event_loop.loop import Coroutine, Task
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
+from glencleat.event_loop.loop import Coroutine, LoopTask
 from glencleat.event_loop.timers import Timer
 from glencleat.mesos import messages as m
 from glencleat.mesos import recordio
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ServerLimits:
     connections: int = 10_000
     body: int = 1 << 20  # bytes
     unsent: int = 1 << 20  # bytes that a slow reader may leave
@@ -45,7 +45,7 @@
         if self.stream.closed is not None:
             return begin, begin + 1
         framed = self.connection.chunk(recordio.encode(record))
-        with contextlib.suppress(StreamClosed):  # its on_close tells whom it concerns
+        with contextlib.suppress(StreamClosedError):  # its on_close tells whom it concerns
             self.stream.send(framed)
         return begin, begin + len(framed) - 2  # the chunk's own line end comes after the record's last byte
 
@@ -57,7 +57,7 @@
         if self.stream.closed is None:
             try:
                 self.stream.send(self.connection.end_stream())
-            except StreamClosed:
+            except StreamClosedError:
                 return
             self.stream.close(why)
 
@@ -119,7 +119,7 @@
     return Response(error.status, (error.text + "\n").encode())
 
 
-class Intake(Protocol):
+class RequestIntake(Protocol):
     """Decides how many requests there is time for; `rest.overload` has one."""
 
     def count(self, now: float, idle_ms: float) -> int: ...
@@ -127,12 +127,12 @@
     def crowded(self, waiting: int) -> bool: ...
 
 
-class Turnstile:
+class RequestThrottle:
     """Lets requests be read in the order in which their bytes came, when there is time for them."""
 
-    def __init__(self, loop: Loop, intake: Intake) -> None:
+    def __init__(self, loop: Loop, intake: RequestIntake) -> None:
         self.loop, self.intake = loop, intake
-        self.waiting: dict[Task, None] = {}
+        self.waiting: dict[LoopTask, None] = {}
         self.looking = False
 
     def count(self) -> int:
@@ -145,7 +145,7 @@
         if self.intake.crowded(len(self.waiting)):
             return False
 
-        def arm(task: Task) -> Callable[[], None]:
+        def arm(task: LoopTask) -> Callable[[], None]:
             self.waiting[task] = None
             self._look_soon()
 
@@ -185,12 +185,12 @@
         loop: Loop,
         address: tuple[str, int],
         handler: Handler,
-        limits: Limits,
+        limits: ServerLimits,
         log: Callable[..., None] = lambda event, **more: None,
         problem: Callable[[HttpError], Response] = plain,
-        intake: Intake | None = None,
+        intake: RequestIntake | None = None,
     ) -> None:
-        self.turnstile = Turnstile(loop, intake) if intake is not None else None
+        self.turnstile = RequestThrottle(loop, intake) if intake is not None else None
         self.loop, self.handler, self.limits, self.log, self.problem = loop, handler, limits, log, problem
         self.refused = 0
         self.unproven: dict[Stream, None] = {}  # connections that have not made a whole request, oldest first
@@ -258,7 +258,7 @@
         except HttpError as error:
             self._complain(connection, stream, error)
             yield from self._linger(stream)
-        except StreamClosed:
+        except StreamClosedError:
             pass
         finally:
             clock.stop()
@@ -275,14 +275,14 @@
             while left > 0 and stream.closed is None:
                 data = yield from stream.read()
                 left -= len(data) or left
-        except StreamClosed:
+        except StreamClosedError:
             pass
         finally:
             timer.cancel()
 
     def _complain(self, connection: ServerConnection, stream: Stream, error: HttpError) -> None:
         self.log("bad request", status=error.status, why=error.text[:200])
-        with contextlib.suppress(StreamClosed):
+        with contextlib.suppress(StreamClosedError):
             stream.send(connection.refuse(error, self.problem(error)))
 
     def _answer(
@@ -312,7 +312,7 @@
             clock.stop()
             try:
                 stream.send(connection.open_stream({}, told.content_type))
-            except (HttpError, StreamClosed):
+            except (HttpError, StreamClosedError):
                 told.undo()
                 raise
             self.loop.spawn(self._hold(stream), "watch", self.loop.current)
@@ -351,7 +351,7 @@
                 if data == b"":
                     stream.close("peer closed")
                     return
-        except StreamClosed:
+        except StreamClosedError:
             return
 
     def close(self) -> None:
@@ -364,7 +364,7 @@
 
     Dripping a byte now and then does not help a slow sender: the limit runs from the request's first byte."""
 
-    def __init__(self, loop: Loop, stream: Stream, limits: Limits) -> None:
+    def __init__(self, loop: Loop, stream: Stream, limits: ServerLimits) -> None:
         self.loop, self.stream, self.limits = loop, stream, limits
         self.busy, self.since = False, loop.now()
         self.timer: Timer | None = None
@@ -396,7 +396,7 @@
             self.timer.cancel()
 
 
-def unreadable(error: m.BadMessage) -> HttpError:
+def unreadable(error: m.MessageError) -> HttpError:
     return HttpError(400, f"Failed to parse body into Call: {error}")
 
 
@@ -414,7 +414,7 @@
         raise HttpError(406, f"Accept is {accept[:40]!r}; expected application/json")
     try:
         return m.decode(kind, request.body)
-    except m.BadMessage as error:
+    except m.MessageError as error:
         raise unreadable(error) from None
 
 
--- a/glencleat/servers/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -13,11 +13,11 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 from glencleat.allocator.core import Core
-from glencleat.allocator.call_table import Given
-from glencleat.allocator.agent_membership import State
+from glencleat.allocator.call_table import FinalAnswer
+from glencleat.allocator.agent_membership import AgentState
 from glencleat.servers.rest_api import RestApi
 from glencleat.mesos.http import HttpError, Request, Response
-from glencleat.rest.service import Plane
+from glencleat.rest.service import RestService
 
 
 RETRY_AFTER = "1"  # seconds; nothing that it waits for comes in steps longer than this
@@ -35,7 +35,7 @@
         yield taken
         given = CounterMetricFamily("glencleat_tasks_answered", "Final answers", labels=["class", "answer"])
         for name in sorted(figures.taken):
-            for answer in Given:
+            for answer in FinalAnswer:
                 given.add_metric([name, answer.value], figures.given[name, answer.value])
         yield given
         still = GaugeMetricFamily("glencleat_tasks_open", "Tasks without an answer yet", labels=["class"])
@@ -59,7 +59,7 @@
             events.add_metric([name], value)
         yield events
         agents = GaugeMetricFamily("glencleat_agents", "Agents by state", labels=["state"])
-        for state in State:
+        for state in AgentState:
             members = core.members.members.values()
             agents.add_metric([state.value], sum(member.state is state for member in members))
         yield agents
@@ -78,7 +78,7 @@
 class RestCollector:
     """The REST front's: what it holds, what it turned away, who watches."""
 
-    def __init__(self, plane: Plane, api: RestApi) -> None:
+    def __init__(self, plane: RestService, api: RestApi) -> None:
         self.plane, self.api = plane, api
 
     def collect(self) -> Iterator[Metric]:
@@ -113,7 +113,7 @@
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(Collector(core))
 
-    def add(self, plane: Plane, api: RestApi) -> None:
+    def add(self, plane: RestService, api: RestApi) -> None:
         self.registry.register(RestCollector(plane, api))
 
     def handle(self, request: Request) -> Response:
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -16,16 +16,16 @@
 import msgspec
 
 from glencleat.servers.http_server import Pour, Sink
-from glencleat.event_loop import StreamClosed
-from glencleat.event_loop.loop import Coroutine, Task
+from glencleat.event_loop import StreamClosedError
+from glencleat.event_loop.loop import Coroutine, LoopTask
 from glencleat.mesos.http import HttpError, Request, Response
 from glencleat.rest import watches, openapi, overload
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import Bucket
-from glencleat.rest.service import Conflict, Plane, TooMuch
+from glencleat.rest.service import Conflict, RestService, TooMuch
 from glencleat.rest.routes import ROUTES, Route
 from glencleat.rest.selector import BadSelector, Selector, parse
-from glencleat.rest.version_store import Event, Gone, Key, Record
+from glencleat.rest.version_store import VersionEvent, Gone, Key, ResourceRecord
 
 JSON, PROBLEM, LINES = "application/json", "application/problem+json", "application/x-ndjson"
 TARGET_MOST = 4_096  # characters
@@ -56,7 +56,7 @@
     return Response(error.status, s.encode(told), PROBLEM, error.headers)
 
 
-def turned(told: overload.Turned) -> Response:
+def turned(told: overload.OverloadRejection) -> Response:
     body = s.Problem(
         title=TITLES[told.status], status=told.status, detail=told.text, retry_after_ms=round(told.retry_ms)
     )
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RestRequest:
     """A request, matched to its route."""
 
     route: Route
@@ -83,7 +83,7 @@
 
 
 class RestApi:
-    def __init__(self, plane: Plane) -> None:
+    def __init__(self, plane: RestService) -> None:
         self.plane, self.core = plane, plane.core
         self.peers: dict[object, Peer] = {}
         self.watchers: dict[watches.Watcher, Sink] = {}
@@ -91,7 +91,7 @@
         self.document: bytes | None = None
         plane.cut = self._cut
         plane.channels.blocked = self._blocked
-        self.handlers: dict[str, Callable[[Asked], Response | Pour]] = {
+        self.handlers: dict[str, Callable[[RestRequest], Response | Pour]] = {
             "openapi": self._openapi,
             "list": self._list,
             "get": self._get,
@@ -148,7 +148,7 @@
             peer.bucket.pay(len(told.body) / 50_000.0)  # a long list costs more than a short one
         return told
 
-    def _route(self, request: Request) -> Asked:
+    def _route(self, request: Request) -> RestRequest:
         if len(request.target) > TARGET_MOST:
             raise HttpError(
                 414, f"a target of {len(request.target)} characters; expected at most {TARGET_MOST}"
@@ -163,7 +163,7 @@
         for route in ROUTES:
             found = route.match(path)
             if found is not None and route.method == method:
-                return Asked(route, request, found, parts.query)
+                return RestRequest(route, request, found, parts.query)
             if found is not None:
                 allowed.append(route.method)
         if allowed:
@@ -173,7 +173,7 @@
         raise HttpError(404, f"{request.target[:80]}: no such resource; /openapi.json tells what there is")
 
     @staticmethod
-    def _query(asked: Asked) -> s.Query:
+    def _query(asked: RestRequest) -> s.Query:
         try:
             pairs = parse_qsl(asked.query, keep_blank_values=True, errors="strict", max_num_fields=16)
             told = dict(pairs)
@@ -189,7 +189,7 @@
             raise HttpError(400, f"query: {error}") from None
 
     @staticmethod
-    def _body(asked: Asked, kind: type[Any], content_type: str) -> Any:
+    def _body(asked: RestRequest, kind: type[Any], content_type: str) -> Any:
         request = asked.request
         told = request.headers.get("content-type", "").split(";")[0].strip().lower()
         if told != content_type:
@@ -203,29 +203,29 @@
 
     # ---- reading ----
 
-    def _openapi(self, asked: Asked) -> Response:
+    def _openapi(self, asked: RestRequest) -> Response:
         if self.document is None:
             self.document = s.encode(openapi.document(ROUTES, self.core.classes))
         return Response(200, self.document, JSON)
 
-    def _one(self, record: Record, status: int = 200) -> Response:
+    def _one(self, record: ResourceRecord, status: int = 200) -> Response:
         return Response(status, self._bytes(record), JSON, {"etag": self._tag(record)})
 
-    def _tag(self, record: Record) -> str:
+    def _tag(self, record: ResourceRecord) -> str:
         return f'"{self.plane.versions.told(record.version)}"'
 
-    def _bytes(self, record: Record) -> bytes:
+    def _bytes(self, record: ResourceRecord) -> bytes:
         if record.encoded is None:
             record.encoded = s.stamped(record.value, self.plane.versions.told(record.version))
         return record.encoded
 
-    def _record(self, kind: str, key: Key) -> Record:
+    def _record(self, kind: str, key: Key) -> ResourceRecord:
         record = self.plane.versions.get(kind, key)
         if record is None:
             raise HttpError(404, f"{kind[:-1]} {'/'.join(key)[:200]} is not known here")
         return record
 
-    def _get(self, asked: Asked) -> Response:
+    def _get(self, asked: RestRequest) -> Response:
         self._query(asked)
         key = tuple(asked.path[name] for name in asked.route.key)
         record = self._record(asked.route.kind, key)
@@ -234,7 +234,7 @@
             return Response(304, headers=told.headers)
         return told
 
-    def _list(self, asked: Asked) -> Response | Pour:
+    def _list(self, asked: RestRequest) -> Response | Pour:
         query, kind, tenant = self._query(asked), asked.route.kind, asked.path.get("tenant")
         try:
             selector = parse(query.label_selector)
@@ -288,8 +288,8 @@
         plane = self.plane
         try:
             plane.channels.check(tenant)
-        except watches.Refused as error:
-            raise TooMuch(overload.Turned(503, str(error), 5_000.0)) from None
+        except watches.WatchLimitError as error:
+            raise TooMuch(overload.OverloadRejection(503, str(error), 5_000.0)) from None
         if query.resource_version:
             try:
                 version = plane.versions.read(query.resource_version)
@@ -300,7 +300,7 @@
             early = self._all(kind, tenant, selector, plane.versions.number)
         return plane.channels.join((kind, tenant, selector), early, self.core.now())
 
-    def _missed(self, events: list[Event], tenant: str | None, selector: Selector) -> Iterator[bytes]:
+    def _missed(self, events: list[VersionEvent], tenant: str | None, selector: Selector) -> Iterator[bytes]:
         """What happened since the version that a watch resumes at, in pieces."""
         lines, size = list[bytes](), 0
         for event in events:
@@ -363,7 +363,7 @@
             else:
                 last = watches.bookmark(plane.versions.told())
             yield from sink.last(last, watcher.cut or "watch timeout", LAST_MS)
-        except StreamClosed:
+        except StreamClosedError:
             pass
         finally:
             if watcher.cut is not None:
@@ -383,7 +383,7 @@
             plane.channels.remind(watcher)
             plane.fan()
 
-        def arm(task: Task) -> Callable[[], None]:
+        def arm(task: LoopTask) -> Callable[[], None]:
             timer = loop.call_in(max(0.0, wait_ms), late)
 
             def disarm() -> None:
@@ -399,7 +399,7 @@
 
         yield arm
         if sink.closed:
-            raise StreamClosed(sink.stream.closed or "")
+            raise StreamClosedError(sink.stream.closed or "")
 
     def _blocked(self, watcher: watches.Watcher) -> bool:
         """Whether it is the reader that does not take what lies ready, and not we that have not told it."""
@@ -415,7 +415,7 @@
 
     # ---- changing ----
 
-    def _create(self, asked: Asked) -> Response:
+    def _create(self, asked: RestRequest) -> Response:
         tenant, key = asked.path["tenant"], asked.request.headers.get("idempotency-key")
         self._no_query(asked)
         if not re.fullmatch(s.TENANT, tenant) or len(tenant) > 128:
@@ -432,11 +432,11 @@
         return told
 
     @staticmethod
-    def _no_query(asked: Asked) -> None:
+    def _no_query(asked: RestRequest) -> None:
         if asked.query:
             raise HttpError(400, f"query is {asked.query[:40]!r}; expected none")
 
-    def _matched(self, asked: Asked, kind: str, key: Key) -> Record:
+    def _matched(self, asked: RestRequest, kind: str, key: Key) -> ResourceRecord:
         """The resource, if If-Match lets it be changed."""
         record = self._record(kind, key)
         tag = self._tag(record)
@@ -445,7 +445,7 @@
             raise HttpError(412, f"the {kind[:-1]} is at {tag}; If-Match wants {wanted[:120]}")
         return record
 
-    def _delete_job(self, asked: Asked) -> Response:
+    def _delete_job(self, asked: RestRequest) -> Response:
         self._no_query(asked)
         key = asked.path["tenant"], asked.path["name"]
         self._matched(asked, "jobs", key)
@@ -453,7 +453,7 @@
         record = self.plane.versions.get("jobs", key)
         return Response(204) if record is None else self._one(record, 202)
 
-    def _patch_job(self, asked: Asked) -> Response:
+    def _patch_job(self, asked: RestRequest) -> Response:
         self._no_query(asked)
         key = asked.path["tenant"], asked.path["name"]
         patch = self._body(asked, s.LabelPatch, "application/merge-patch+json")
@@ -461,7 +461,7 @@
         self.plane.patch(self.plane.jobs[key], patch.labels)
         return self._one(self._record("jobs", key))
 
-    def _delete_task(self, asked: Asked) -> Response:
+    def _delete_task(self, asked: RestRequest) -> Response:
         self._no_query(asked)
         key = asked.path["tenant"], asked.path["framework"], asked.path["name"]
         self._matched(asked, "tasks", key)
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from glencleat.allocator.core import Core
-from glencleat.allocator.frameworks import Framework, Refused
+from glencleat.allocator.frameworks import Framework, FrameworkLimitError
 from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
@@ -70,7 +70,7 @@
             info.id = m.Value(named)
         try:
             self.core.frameworks.check_room(named)  # while a status can still tell it
-        except Refused as error:
+        except FrameworkLimitError as error:
             raise HttpError(503, str(error)) from None
         stream_id = f"{self.core.random.getrandbits(128):032x}"
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,14 +4,14 @@
 import pytest
 from hypothesis import settings
 
-from glencleat.index.due_queue import DueIndex
-from glencleat.index.rendezvous import Members
+from glencleat.index.due_queue import DueQueue
+from glencleat.index.rendezvous import RendezvousIndex
 from tests.sockets import World
 
 settings.register_profile("fixed", derandomize=True, deadline=None)
 settings.load_profile("fixed")
 # Every index answers from scratch as well, and `Hosts` looks at all it passes over.
-DueIndex.checked = Members.checked = True
+DueQueue.checked = RendezvousIndex.checked = True
 
 
 @pytest.fixture
--- a/tests/live.py
+++ b/tests/live.py
@@ -2,9 +2,9 @@
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import Host, News
+from glencleat.platform_protocol.command_channel import HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.platform_protocol.delivery import SendOutcome
+from glencleat.platform_protocol.delivery import DeliveryOutcome
 from tests.fakes import Timing
 
 SAFE = api.TaskClass("safe", api.Idempotency.IDEMPOTENT, 1000.0, 8000.0, 1.0)
@@ -42,7 +42,7 @@
 
 
 def read(data):
-    decoder = m.Decoder()
+    decoder = m.MessageDecoder()
     decoder.feed(data)
     found = list(decoder.messages())
     assert not decoder.partial
@@ -75,7 +75,12 @@
         super().__init__()
         self.module = module or Script()
         self.offers, self.cancelled_attempts, self.cuts, self.logs, self.tests = [], [], [], [], []
-        self.fact, self.testable, self.cancelled, self.lies_unread = SendOutcome.SILENT, True, set(), False
+        self.fact, self.testable, self.cancelled, self.lies_unread = (
+            DeliveryOutcome.SILENT,
+            True,
+            set(),
+            False,
+        )
         self.exchange = Exchange(settings, self.module, self, 250.0)
         self.owner = Owner()
 
@@ -145,4 +150,4 @@
 
 
 def news(*hosts, whole=True):
-    return News(whole, tuple(Host(h, ("127.0.0.1", 9), 0.0) for h in hosts))
+    return ListChange(whole, tuple(HostEntry(h, ("127.0.0.1", 9), 0.0) for h in hosts))
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -7,13 +7,13 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, Descriptors
+from glencleat.descriptor_budget import ASIDE, DescriptorBudget
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import Channel, Host, News
+from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.event_loop import ConnectFailed, Loop, StreamClosed
+from glencleat.event_loop import ConnectError, Loop, StreamClosedError
 from glencleat.platform_server import host_connections
-from glencleat.platform_server.connection_pool import Hosts
+from glencleat.platform_server.connection_pool import ConnectionPool
 from tests.live import SETTINGS, Owner, read, setup
 
 
@@ -65,7 +65,7 @@
         while not self.inbox and self.closed is None:
             yield self._arm
         if self.closed is not None:
-            raise StreamClosed(self.closed)
+            raise StreamClosedError(self.closed)
         return self.inbox.pop(0)
 
     def _arm(self, task):
@@ -161,13 +161,13 @@
         self.world.note("event", event)
         if isinstance(event, api.PlacementRequested):
             if event.machine is not None:
-                self.stands[event.call_id_id] = None
+                self.stands[event.call_id] = None
                 return []
-            return [api.Bind(event.call_id_id, self.world.target, 900.0)]
+            return [api.Bind(event.call_id, self.world.target, 900.0)]
         if isinstance(event, api.AttemptAccepted):
-            self.stands[event.call_id_id] = None
+            self.stands[event.call_id] = None
         elif isinstance(event, api.CallAbandoned):
-            self.stands.pop(event.call_id_id, None)
+            self.stands.pop(event.call_id, None)
         elif isinstance(event, api.AttemptEnded):
             return self._back(event)
         return []
@@ -187,12 +187,12 @@
 class World:
     """`kind`: the class of Hosts. The exchange's Ports as well; its owners are one connection that stays."""
 
-    def __init__(self, kind=Hosts, room=40, patch=None):
+    def __init__(self, kind=ConnectionPool, room=40, patch=None):
         self.clock, self.record, self.counts = Clock(), [], Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
-        self.descriptors = Descriptors(room + ASIDE)
+        self.descriptors = DescriptorBudget(room + ASIDE)
         self.descriptors.room = room
-        self.channel = Channel(1.7e12)
+        self.channel = CommandChannel(1.7e12)
         self.hosts = kind(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), lambda text: self.note("log", text)
         )  # fmt: skip
@@ -227,7 +227,7 @@
     def connect(self, address, timeout_ms):
         self.note("connect", address)
         if self.no_files:
-            raise ConnectFailed(address, errno.EMFILE)
+            raise ConnectError(address, errno.EMFILE)
         peer = self.peers.get(address)
         mode = peer.mode if peer is not None else "silent"
         yield from self.loop.sleep(2.0 if mode != "silent" else timeout_ms)
@@ -235,7 +235,7 @@
             stream = FakeStream(self, peer, self.counts["connect"])
             peer.up(stream)
             return stream
-        raise ConnectFailed(address, errno.ECONNREFUSED if mode == "refuses" else errno.ETIMEDOUT)
+        raise ConnectError(address, errno.ECONNREFUSED if mode == "refuses" else errno.ETIMEDOUT)
 
     # ---- Ports that are not the hosts' ----
 
@@ -267,10 +267,10 @@
     def told(self, *entries, whole=False):
         """Each of (name, port, phase, when it started in Unix milliseconds)."""
         found = [
-            Host(api.Machine(name, "std", "a", 0, phase), ("127.0.0.1", port), started)
+            HostEntry(api.Machine(name, "std", "a", 0, phase), ("127.0.0.1", port), started)
             for name, port, phase, started in entries
         ]
-        self.hosts.list_told(News(whole, tuple(found)))
+        self.hosts.list_told(ListChange(whole, tuple(found)))
 
     def ask(self, task, host, cls="safe", **more):
         self.target = host
--- a/tests/reference_order.py
+++ b/tests/reference_order.py
@@ -12,7 +12,7 @@
 from glencleat import interface as api
 from glencleat.policy import scheduler
 from glencleat.index.rendezvous import hashed, mixed
-from glencleat.policy.scheduler import EXAMINED, Node, Scheduler
+from glencleat.policy.scheduler import EXAMINED, MachineState, Scheduler
 
 
 class Plain(Scheduler):
@@ -58,7 +58,7 @@
         for told in names.values():
             node = self.nodes.get(told.name)
             if node is None or not node.known:
-                old, node = node, Node(told, self.set.machine_sizes.get(told.kind))
+                old, node = node, MachineState(told, self.set.machine_sizes.get(told.kind))
                 node.tasks = old.tasks if old else {}
                 for task in node.tasks.values():
                     task.node = node
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -4,11 +4,11 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, Descriptors
+from glencleat.descriptor_budget import ASIDE, DescriptorBudget
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import Channel, Host, News
+from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.event_loop import Listener, Loop, StreamClosed
+from glencleat.event_loop import Listener, Loop, StreamClosedError
 from glencleat.platform_server import connection_pool, client_connections
 from tests.live import SETTINGS, Script, setup
 
@@ -35,14 +35,14 @@
         self.loop.spawn(self.serve(stream), "peer")
 
     def serve(self, stream):
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         try:
             while data := (yield from stream.read()):
                 decoder.feed(data)
                 for message in decoder.messages():
                     self.got.append((stream, message))
                     self.script(stream, message)
-        except StreamClosed:
+        except StreamClosedError:
             pass
         stream.close()
 
@@ -58,12 +58,12 @@
 
     def __init__(self, room=40):
         self.loop, self.module, self.logs = Loop(), Script(), []
-        self.channel = Channel(self.loop.clock.wall() - self.loop.now())
-        self.descriptors = Descriptors(room + ASIDE)
-        self.hosts = connection_pool.Hosts(
+        self.channel = CommandChannel(self.loop.clock.wall() - self.loop.now())
+        self.descriptors = DescriptorBudget(room + ASIDE)
+        self.hosts = connection_pool.ConnectionPool(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), self.logs.append
         )
-        self.owners = client_connections.Owners(self.loop, self.descriptors, self.logs.append)
+        self.owners = client_connections.ClientConnections(self.loop, self.descriptors, self.logs.append)
         self.now, self.call_in, self.log = self.loop.now, self.loop.call_in, self.logs.append
         self.exchange = Exchange(SETTINGS, self.module, self, 250.0)
         self.hosts.exchange = self.owners.exchange = self.exchange
@@ -76,9 +76,10 @@
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
         made = [
-            Host(api.Machine(x[0], "std", "a", 0, phase), x[1], x[2] if len(x) > 2 else 0.0) for x in told
+            HostEntry(api.Machine(x[0], "std", "a", 0, phase), x[1], x[2] if len(x) > 2 else 0.0)
+            for x in told
         ]
-        self.hosts.list_told(News(whole, tuple(made)))
+        self.hosts.list_told(ListChange(whole, tuple(made)))
 
     def client(self):
         sock = socket.create_connection(self.address)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from glencleat.flow_control.backoff import CHANNEL, HOST, LIST, Asking, Pace
+from glencleat.flow_control.backoff import CHANNEL, HOST, LIST, Backoff, BackoffPolicy
 from glencleat.platform_server import watch_client
 
 
@@ -13,7 +13,7 @@
     """The times of all tries of `count` who all lost the party at 0 and are turned away while it is `down`."""
     tries, last = [], []
     for i in range(count):
-        asking, at = Asking(pace, Random(i)), 0.0
+        asking, at = Backoff(pace, Random(i)), 0.0
         while at < until_ms:
             at += asking.again(lasted)
             tries.append(at)
@@ -45,25 +45,25 @@
 def test_a_single_break_costs_less_than_the_page_allows():
     """The first two waits, with 0.1 s for each try, keep within the 2 s after which drains count as told."""
     for seed in range(500):
-        asking = Asking(LIST, Random(seed))
+        asking = Backoff(LIST, Random(seed))
         assert asking.again(60_000.0) + asking.again() + 200.0 <= 2_000.0
 
 
 def test_one_that_ends_at_once_does_not_count_as_success():
     """A service that takes connections and closes them would be asked as after a first break, without end."""
-    asking = Asking(LIST, Random(1))
+    asking = Backoff(LIST, Random(1))
     waits = [asking.again(lasted_ms=5.0) for _ in range(6)]
     assert all(wait >= 0.5 * LIST.most_ms for wait in waits[2:])
     assert asking.again(lasted_ms=LIST.steady_ms) <= LIST.first_ms
 
 
 def test_the_other_sides_word_is_kept_and_spread():
-    waits = [Asking(LIST, Random(seed)).again(told_ms=5_000.0) for seed in range(200)]
+    waits = [Backoff(LIST, Random(seed)).again(told_ms=5_000.0) for seed in range(200)]
     assert min(waits) >= 5_000.0 and max(waits) - min(waits) > 0.8 * LIST.first_ms
 
 
 def test_hosts_are_asked_as_often_as_before():
-    asking = Asking(HOST, Random(3))
+    asking = Backoff(HOST, Random(3))
     waits = [asking.again() for _ in range(20)]
     assert waits[0] <= 100.0 and all(500.0 <= wait <= 1_000.0 for wait in waits[5:])
     asking.well()
@@ -73,11 +73,11 @@
 @pytest.mark.parametrize("bad", [(0.0, 1.0, 1.0), (2.0, 1.0, 1.0), (1.0, 2.0, -1.0), (1.0, 2.0, 1.0, 0.5)])
 def test_a_pace_that_cannot_be_kept(bad):
     with pytest.raises(ValueError, match="pace"):
-        Pace(*bad)
+        BackoffPolicy(*bad)
 
 
 def test_a_list_that_is_well_again_is_had_within_the_shortest_grace():
     """What the channel tells counts as told at once: the longest wait, and a try that came just before."""
     assert CHANNEL.most_ms + watch_client.CONNECT_MS <= 2_000.0
-    waits = [Asking(CHANNEL, Random(seed)) for seed in range(200)]
+    waits = [Backoff(CHANNEL, Random(seed)) for seed in range(200)]
     assert max(asking.again() for asking in waits for _ in range(20)) <= CHANNEL.most_ms
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -10,14 +10,14 @@
 
 from glencleat.checker import slow_start_bounds
 from glencleat.checker.polling_bounds import judge, judge_play
-from glencleat.checker.chance_bounds import State, chance_limit, poisson_tail
-from glencleat.checker.trace import Entry, read
-from glencleat.flow_control.backoff import LIST, Asking
+from glencleat.checker.chance_bounds import BoundState, chance_limit, poisson_tail
+from glencleat.checker.trace import TraceEntry, read
+from glencleat.flow_control.backoff import LIST, Backoff
 from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.allocator_processes import MOST, Nodes, ProcessError
-from glencleat.emulators.proxy import Passed, Relay
-from glencleat.emulators.proxy_faults import Door, Fault, State as Wire, Weather
+from glencleat.emulators.allocator_processes import MOST, AllocatorProcesses, ProcessError
+from glencleat.emulators.proxy import Passed, Proxy
+from glencleat.emulators.proxy_faults import Door, ProxyFault, ProxyState as Wire, Weather
 from tests.sockets import run_until
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -28,7 +28,7 @@
     """A record of so many allocators that wait `step(asking, i)` after each try; back at their next one."""
     found = []
     for i in range(count):
-        asking, at = Asking(LIST, Random(i)), 0.0
+        asking, at = Backoff(LIST, Random(i)), 0.0
         while at < DOWN_MS:
             at += step(asking, i)
             kind = "refused" if at < DOWN_MS else "opened"
@@ -41,28 +41,28 @@
 
 
 def test_the_judge_tells_good_asking_from_bad():
-    assert set(states(made(lambda asking, i: asking.again())).values()) == {State.KEPT}
+    assert set(states(made(lambda asking, i: asking.again())).values()) == {BoundState.KEPT}
     fixed = states(made(lambda asking, i: 100.0))
-    assert fixed["rate"] is State.BROKEN and fixed["busiest"] is State.BROKEN
+    assert fixed["rate"] is BoundState.BROKEN and fixed["busiest"] is BoundState.BROKEN
     in_step = states(made(lambda asking, i: 1_500.0))
-    assert in_step["rate"] is State.KEPT and in_step["busiest"] is State.BROKEN
+    assert in_step["rate"] is BoundState.KEPT and in_step["busiest"] is BoundState.BROKEN
     late = states(made(lambda asking, i: 11_000.0 if i == 3 else asking.again()))
-    assert late["back"] is State.BROKEN
+    assert late["back"] is BoundState.BROKEN
 
 
 def test_a_bound_that_was_never_in_danger_is_not_tried():
     assert states([Passed(DOWN_MS + 5.0, "list", "opened", 1)]) == dict.fromkeys(
-        ("rate", "busiest", "back", "alike"), State.NOT_TRIED
+        ("rate", "busiest", "back", "alike"), BoundState.NOT_TRIED
     )
     short = states(made(lambda asking, i: asking.again())[:3], well=4_000.0)
-    assert short["rate"] is State.NOT_TRIED and short["busiest"] is State.NOT_TRIED
+    assert short["rate"] is BoundState.NOT_TRIED and short["busiest"] is BoundState.NOT_TRIED
 
 
 @pytest.mark.parametrize("count", [12, 16, 24, 40])
 def test_in_step_is_broken_however_few_there_are(count):
     """24 without jitter, 23 of them in one 100 ms, were called not tried: more than a quarter meet by chance."""
-    assert states(made(lambda asking, i: 1_500.0, count), count)["busiest"] is State.BROKEN
-    assert states(made(lambda asking, i: asking.again(), count), count)["busiest"] is State.KEPT
+    assert states(made(lambda asking, i: 1_500.0, count), count)["busiest"] is BoundState.BROKEN
+    assert states(made(lambda asking, i: asking.again(), count), count)["busiest"] is BoundState.KEPT
 
 
 def test_waits_that_are_not_drawn_are_told_also_of_those_that_start_apart():
@@ -75,12 +75,12 @@
         return 83.0 * i if first else grows[min(asking.tries - 2, 2)] + 20.0 * Random(asking.tries).random()
 
     told = states(made(apart, 24), 24)
-    assert told["busiest"] is State.KEPT and told["alike"] is State.BROKEN
+    assert told["busiest"] is BoundState.KEPT and told["alike"] is BoundState.BROKEN
     for seed in range(20):
         record = made(
             lambda asking, i: 40.0 * i if asking.tries == 0 and asking.again() else asking.again(), 24 + seed
         )
-        assert states(record, 24 + seed)["alike"] is State.KEPT
+        assert states(record, 24 + seed)["alike"] is BoundState.KEPT
 
 
 def test_chance_is_what_independent_tries_do():
@@ -101,45 +101,45 @@
     """The list is back at 6 s for `count` allocators, each with HELD tasks in hand, which it sends as `sends`.
 
     `sends(i)`: milliseconds after, of each LAUNCH; each is placed 20 ms later; `late`: one allocator was away."""
-    entries = [Entry(0.0, "up", who=f"h{i}") for i in range(HOSTS)]
+    entries = [TraceEntry(0.0, "up", who=f"h{i}") for i in range(HOSTS)]
     for i in range(count):
         name = f"a{i}"
-        entries += [Entry(0.0, "allocator", allocator=name, state="up"),
-                    Entry(1.0, "wire", who="list", allocator=name, state="begins", reason="turns away"),
-                    Entry(DOWN_MS, "wire", who="list", allocator=name, state="ends", reason="turns away")]  # fmt: skip
+        entries += [TraceEntry(0.0, "allocator", allocator=name, state="up"),
+                    TraceEntry(1.0, "wire", who="list", allocator=name, state="begins", reason="turns away"),
+                    TraceEntry(DOWN_MS, "wire", who="list", allocator=name, state="ends", reason="turns away")]  # fmt: skip
         for number in range(HELD):
             task, attempt = f"{name}/t{number}", f"{name}-1-{number}.0"
-            entries.append(Entry(4_000.0, "asked", allocator=name, task=task, left=8_000.0))
+            entries.append(TraceEntry(4_000.0, "asked", allocator=name, task=task, left=8_000.0))
             at = DOWN_MS + 10.0 + sends(number)
             told = {"allocator": name, "task": task, "attempt": attempt, "who": "h1", "within": 1_000.0}
             entries += [
-                Entry(at, "offered", **told),
-                Entry(at + 20.0, "said", attempt=attempt, state="TASK_STARTING"),
+                TraceEntry(at, "offered", **told),
+                TraceEntry(at + 20.0, "said", attempt=attempt, state="TASK_STARTING"),
             ]
     if late:
-        entries += [Entry(DOWN_MS + 1.0, "allocator", allocator="a0", state="killed")]
+        entries += [TraceEntry(DOWN_MS + 1.0, "allocator", allocator="a0", state="killed")]
     ordered = sorted(entries, key=lambda entry: entry.at)
     return slow_start_bounds.judge_play(ordered)[0]
 
 
 def test_the_judge_tells_slow_start_from_all_at_once():
-    assert start(lambda n: 25.0 * n).state is State.KEPT  # one a turn
+    assert start(lambda n: 25.0 * n).state is BoundState.KEPT  # one a turn
     grows = [0.0, 25.0, 25.0, 50.0, 50.0, 50.0, 50.0, 75.0]
-    assert start(grows.__getitem__).state is State.KEPT
-    assert start(lambda n: 0.0).state is State.BROKEN  # a window that never binds
-    assert start(lambda n: 5.0 * n).state is State.BROKEN  # spread over time, and no answer waited for
-    assert start(lambda n: 0.0, count=8).state is State.NOT_TRIED  # no crowd
-    assert start(lambda n: 0.0, late=1.0).state is State.BROKEN  # the others are judged all the same
+    assert start(grows.__getitem__).state is BoundState.KEPT
+    assert start(lambda n: 0.0).state is BoundState.BROKEN  # a window that never binds
+    assert start(lambda n: 5.0 * n).state is BoundState.BROKEN  # spread over time, and no answer waited for
+    assert start(lambda n: 0.0, count=8).state is BoundState.NOT_TRIED  # no crowd
+    assert start(lambda n: 0.0, late=1.0).state is BoundState.BROKEN  # the others are judged all the same
 
 
 def test_a_play_is_judged_only_while_all_were_turned_away():
     """From wires of their own, by the record's own times; one that was let in all along is no crowd."""
 
     def record(names, step):
-        entries = [Entry(0.0, "allocator", allocator=f"a{i}") for i in range(CROWD)]
+        entries = [TraceEntry(0.0, "allocator", allocator=f"a{i}") for i in range(CROWD)]
         for at, state in ((0.0, "begins"), (DOWN_MS, "ends")):
             told = {"state": state, "reason": "turns away"}
-            entries += [Entry(at, "wire", who="list", allocator=name, **told) for name in names]
+            entries += [TraceEntry(at, "wire", who="list", allocator=name, **told) for name in names]
         for i, passed in enumerate(made(step)):
             name = (
                 f"a{i % CROWD}"
@@ -147,35 +147,37 @@
                 else f"a{sum(e.state == 'opened' for e in entries)}"
             )
             entries.append(
-                Entry(passed.at_ms, "passed", who="list", allocator=name, state=passed.kind, number=i)
+                TraceEntry(passed.at_ms, "passed", who="list", allocator=name, state=passed.kind, number=i)
             )
         return judge_play(sorted(entries, key=lambda entry: entry.at))
 
     everybody = [f"a{i}" for i in range(CROWD)]
     asked = record(everybody, lambda asking, i: asking.again())
-    assert [verdict.state for verdict in asked] == [State.KEPT] * 4
-    assert record(everybody, lambda asking, i: 100.0)[0].state is State.BROKEN
+    assert [verdict.state for verdict in asked] == [BoundState.KEPT] * 4
+    assert record(everybody, lambda asking, i: 100.0)[0].state is BoundState.BROKEN
     assert record(everybody[1:], lambda asking, i: 100.0) == []
 
 
 @pytest.mark.parametrize(
     ("stopped", "resumed", "state"),
-    [(1.0, 2_000.0, State.BROKEN), (1.0, DOWN_MS + 500.0, State.KEPT), (DOWN_MS + 1.0, DOWN_MS + 2.0, State.KEPT),
-     (DOWN_MS + 9_000.0, DOWN_MS + 9_500.0, State.BROKEN)],
+    [(1.0, 2_000.0, BoundState.BROKEN), (1.0, DOWN_MS + 500.0, BoundState.KEPT), (DOWN_MS + 1.0, DOWN_MS + 2.0, BoundState.KEPT),
+     (DOWN_MS + 9_000.0, DOWN_MS + 9_500.0, BoundState.BROKEN)],
 )  # fmt: skip
 def test_one_that_stood_still_need_not_be_back(stopped, resumed, state):
-    entries = [Entry(0.0, "allocator", allocator=f"a{i}", state="up") for i in range(CROWD)]
-    entries += [Entry(stopped, "allocator", allocator="a0", state="stalled"),
-                Entry(resumed, "allocator", allocator="a0", state="resumed")]  # fmt: skip
+    entries = [TraceEntry(0.0, "allocator", allocator=f"a{i}", state="up") for i in range(CROWD)]
+    entries += [TraceEntry(stopped, "allocator", allocator="a0", state="stalled"),
+                TraceEntry(resumed, "allocator", allocator="a0", state="resumed")]  # fmt: skip
     for i in range(CROWD):
-        entries += [Entry(0.5, "wire", who="list", allocator=f"a{i}", state="begins", reason="turns away"),
-                    Entry(9.0, "passed", who="list", allocator=f"a{i}", state="refused", number=1),
-                    Entry(DOWN_MS, "wire", who="list", allocator=f"a{i}", state="ends", reason="turns away")]  # fmt: skip
+        entries += [TraceEntry(0.5, "wire", who="list", allocator=f"a{i}", state="begins", reason="turns away"),
+                    TraceEntry(9.0, "passed", who="list", allocator=f"a{i}", state="refused", number=1),
+                    TraceEntry(DOWN_MS, "wire", who="list", allocator=f"a{i}", state="ends", reason="turns away")]  # fmt: skip
         if i:
             entries.append(
-                Entry(DOWN_MS + 50.0, "passed", who="list", allocator=f"a{i}", state="opened", number=2)
+                TraceEntry(DOWN_MS + 50.0, "passed", who="list", allocator=f"a{i}", state="opened", number=2)
             )
-    entries.append(Entry(DOWN_MS + 9_000.0, "passed", who="list", allocator="a0", state="opened", number=2))
+    entries.append(
+        TraceEntry(DOWN_MS + 9_000.0, "passed", who="list", allocator="a0", state="opened", number=2)
+    )
     assert judge_play(sorted(entries, key=lambda entry: entry.at))[2].state is state
 
 
@@ -196,7 +198,7 @@
     assert told.returncode == 0, told.stdout + told.stderr
     entries = list(read(tmp_path / "record.jsonl"))
     rate, busiest, back, _ = (verdict.state for verdict in judge_play(entries))
-    assert State.BROKEN not in (rate, busiest) and back is State.KEPT
+    assert BoundState.BROKEN not in (rate, busiest) and back is BoundState.KEPT
     wires = {(e.who, e.allocator) for e in entries if e.kind == "passed"}
     assert wires == {("agents", "a1"), ("owners", "a2"), *(("list", f"a{i}") for i in range(12))}
     assert any(e.kind == "passed" and e.who == "owners" and e.state == "reset" for e in entries)
@@ -213,8 +215,8 @@
         self.loop, self.record = Loop(), []
         self.service = ChannelService(self.loop, [entry(f"h{i}") for i in range(20)])
         self.faults = Weather(Wire(), faults)
-        self.relay = Relay(self.loop, "list", self.service.address, self.faults, 1, self.record.append)
-        self.nodes = Nodes(folder, COUNT, seed=7)
+        self.relay = Proxy(self.loop, "list", self.service.address, self.faults, 1, self.record.append)
+        self.nodes = AllocatorProcesses(folder, COUNT, seed=7)
 
     def until(self, done, ms):
         run_until(self.loop, done, ms, lambda: [self.nodes.log(i).read_text()[-400:] for i in range(2)])
@@ -226,7 +228,7 @@
 
 @pytest.fixture
 def rig(tmp_path):
-    door = Fault(0.0, float("inf"), {"door": Door.CLOSES})
+    door = ProxyFault(0.0, float("inf"), {"door": Door.CLOSES})
     found = Rig(tmp_path, [door])
     with found.nodes:
         yield found
@@ -255,7 +257,9 @@
     rig.until(lambda: len(rig.service.streams) == COUNT, 4_500.0)
     rig.record.append(Passed(rig.relay.now(), "list", "piece"))
     verdicts = judge(rig.record, COUNT, began, well)
-    assert [v.state for v in verdicts] == [State.KEPT] * 3 + [State.NOT_TRIED], verdicts  # one relay
+    assert [v.state for v in verdicts] == [BoundState.KEPT] * 3 + [BoundState.NOT_TRIED], (
+        verdicts
+    )  # one relay
     tries = sorted(one.at_ms for one in rig.record if one.kind == "refused" and one.at_ms > began + 500.0)
     assert max(bisect_left(tries, at + 100.0) - i for i, at in enumerate(tries)) < COUNT / 2  # not in step
     assert rig.service.whole == 0 and {number for _, number in rig.service.asked} == {
@@ -266,4 +270,4 @@
 
 def test_processes_that_the_machine_cannot_hold_are_refused(tmp_path):
     with pytest.raises(ProcessError, match="at most"):
-        Nodes(tmp_path, MOST + 1, seed=1)
+        AllocatorProcesses(tmp_path, MOST + 1, seed=1)
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -7,13 +7,13 @@
 import pytest
 
 from glencleat.checker.chance_bounds import busiest
-from glencleat.flow_control.backoff import HOST, Asking
+from glencleat.flow_control.backoff import HOST, Backoff
 from glencleat.flow_control.connection_limiter import (
     AT_ONE,
     BURST_S,
     LEAST_COMING,
     LEAST_RATE,
-    Connecting,
+    ConnectionLimiter,
     look_ms,
 )
 
@@ -21,7 +21,7 @@
 
 
 def test_a_second_holds_no_more_than_the_rate_and_a_burst():
-    connecting, begun = Connecting(), []
+    connecting, begun = ConnectionLimiter(), []
     for at in range(0, 5_000, 2):
         while connecting.may(float(at), HOSTS):
             connecting.began((f"h{len(begun)}", 1), float(at))
@@ -33,7 +33,7 @@
 
 
 def test_looks_leave_half_to_set_ups():
-    connecting = Connecting()
+    connecting = ConnectionLimiter()
     for count in range(10_000):
         if not connecting.may(0.0, 10, look=True):
             break
@@ -43,7 +43,7 @@
 
 
 def test_more_hosts_allow_more_and_the_rest_of_the_tokens_goes():
-    few, many = Connecting(), Connecting()
+    few, many = ConnectionLimiter(), ConnectionLimiter()
 
     def count(one, hosts):
         begun = 0
@@ -63,7 +63,7 @@
 
 
 def test_one_address_is_shared_until_one_has_ended():
-    connecting, address = Connecting(), ("h", 1)
+    connecting, address = ConnectionLimiter(), ("h", 1)
     for _ in range(AT_ONE):
         assert not connecting.shared(address)
         connecting.began(address, 0.0)
@@ -77,7 +77,7 @@
     """By model: a host resets all of them at once. Before, all were back in the same instant each time."""
     tries = []
     for i in range(count):
-        asking, at = Asking(HOST, Random(i)), 0.0
+        asking, at = Backoff(HOST, Random(i)), 0.0
         while at < 5_000.0:
             at += asking.again()
             tries.append(at)
@@ -89,7 +89,7 @@
 def test_a_host_that_takes_ten_connections_a_second_is_up_for_all_as_soon_as_it_can():
     """300 allocators have something there at one moment; who is not let in hears nothing for a connect's time."""
     count, rate, connect_ms = 300, 10, 250.0
-    asking = [Asking(HOST, Random(i)) for i in range(count)]
+    asking = [Backoff(HOST, Random(i)) for i in range(count)]
     tries = [(0.0, i) for i in range(count)]
     heapify(tries)
     asked, let_in = [], []
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,8 +6,8 @@
 
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
-from glencleat.allocator.agent_sessions import NotSubscribed
-from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.agent_sessions import NotSubscribedError
+from glencleat.allocator.startup_gate import StartupGate
 from glencleat.mesos import messages as m
 from tests.fakes import Agent, Cluster, Owner
 
@@ -202,7 +202,7 @@
     assert cluster.core.members.session(agent.name) is twin.link
     assert not twin.launches() and owner.states("t1") == ["TASK_LOST"]
     other_run = Agent(cluster, agent.name, "r9").subscribe()
-    with pytest.raises(NotSubscribed):
+    with pytest.raises(NotSubscribedError):
         twin.beat()
     other_run.beat()
     cluster.check()
@@ -456,7 +456,7 @@
 
 def test_the_agents_id_unknown_and_reconcile_of_the_unknown():
     cluster, owner, _, _ = begin()
-    with pytest.raises(NotSubscribed):
+    with pytest.raises(NotSubscribedError):
         Agent(cluster, "stranger").beat()
     assert owner.reconcile("nothing").state == "TASK_UNKNOWN"
     assert owner.reconcile("t1").state == "TASK_STAGING"
@@ -553,7 +553,7 @@
 def test_asks_wait_for_the_agents_of_a_restarted_allocator():
     """What its former incarnation placed is told by the agents, and must count before the first send."""
     cluster = Cluster(0)
-    cluster.core.opening = Opening(cluster.timing.now(), 0.0, 60_000.0)
+    cluster.core.opening = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
     cluster.list(["h0", "h1"])
     owner = Owner(cluster).subscribe()
     owner.launch("t1")
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 
 from glencleat import interface as api
-from glencleat.allocator.agent_sessions import NotSubscribed
-from glencleat.flow_control.backoff import Asking
+from glencleat.allocator.agent_sessions import NotSubscribedError
+from glencleat.flow_control.backoff import Backoff
 from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.scheduler_api import SchedulerApi
@@ -242,7 +242,7 @@
         )
 
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: loop.spawn(serve(peer), "directory"))
-    client = DirectoryClient(loop, listener.address, told.append, Asking(PACE, Random(1)))
+    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
     client.watch()
     wait(loop, lambda: told)
     assert [event.kind for event in told] == [api.ListUpdateKind.FAILED]
@@ -252,7 +252,7 @@
 def test_a_directory_that_falls_silent_is_a_failed_list():
     loop, told = Loop(), []
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: None)
-    client = DirectoryClient(loop, listener.address, told.append, Asking(PACE, Random(1)), silence_ms=50.0)
+    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)), silence_ms=50.0)
     client.watch()
     wait(loop, lambda: told)
     assert [event.kind for event in told] == [api.ListUpdateKind.FAILED]
@@ -289,7 +289,7 @@
         peer.close()
 
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: loop.spawn(serve(peer), "directory"))
-    client = DirectoryClient(loop, listener.address, told.append, Asking(PACE, Random(1)))
+    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
     client.watch()
     wait(loop, lambda: told)
     assert least <= client.next_at - loop.now() <= most
@@ -514,7 +514,7 @@
 
 def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
     day = world(hosts=1)
-    with pytest.raises(NotSubscribed):
+    with pytest.raises(NotSubscribedError):
         day.core.agents.heartbeat("stranger.r")
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,13 +9,13 @@
 from glencleat.allocator import admission, delivery_status, status_mapping
 from glencleat.allocator.contract import Contract, ContractError
 from glencleat.allocator.frameworks import Frameworks
-from glencleat.allocator.frameworks import Refused as FrameworkRefused
-from glencleat.allocator.delivery_status import Do, Handed, Late
-from glencleat.allocator.call_table import Ask, Attempt, Call, Given, Ledger
-from glencleat.allocator.endpoint_list import Listing
-from glencleat.allocator.agent_membership import Members, Refused, State, split_id
-from glencleat.allocator.startup_gate import Opening
-from glencleat.allocator.status_mapping import Fate, Step
+from glencleat.allocator.frameworks import FrameworkLimitError as FrameworkRefused
+from glencleat.allocator.delivery_status import DeliveryAction, DeliveryStatus, LateAcceptance
+from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer, CallTable
+from glencleat.allocator.endpoint_list import MachineListing
+from glencleat.allocator.agent_membership import AgentMembership, AgentLimitError, AgentState, split_id
+from glencleat.allocator.startup_gate import StartupGate
+from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
 from glencleat.mesos import messages as m
 
 # ---- late ----
@@ -24,61 +24,61 @@
 @given(st.integers(0, 100), st.integers(0, 100), st.integers(1, 50))
 def test_a_record_is_whole_only_with_its_last_byte(written, begin, length):
     told = delivery_status.handed(written, begin, begin + length)
-    assert (told is Handed.WHOLE) == (written >= begin + length)
-    assert (told is Handed.NOTHING) == (written <= begin)
+    assert (told is DeliveryStatus.WHOLE) == (written >= begin + length)
+    assert (told is DeliveryStatus.NOTHING) == (written <= begin)
 
 
 @pytest.mark.parametrize("effect", api.Idempotency)
-@pytest.mark.parametrize("step", Step)
-@pytest.mark.parametrize("out", Handed)
+@pytest.mark.parametrize("step", AttemptStep)
+@pytest.mark.parametrize("out", DeliveryStatus)
 def test_a_lost_session_never_says_not_run_of_what_was_handed_over(step, out, effect):
     verdict = delivery_status.on_session_lost(step, out, effect)
-    if verdict.do is Do.RETURN and out is Handed.WHOLE:
+    if verdict.do is DeliveryAction.RETURN and out is DeliveryStatus.WHOLE:
         assert (
             verdict.may_have_run
             and verdict.outcome is api.Outcome.LOST
             and effect is api.Idempotency.IDEMPOTENT
         )
-    if step is Step.OUT and out is not Handed.WHOLE:
-        assert verdict.do is Do.RETURN and not verdict.may_have_run
-    if step is not Step.OUT:
-        assert verdict.do is Do.WAIT
+    if step is AttemptStep.OUT and out is not DeliveryStatus.WHOLE:
+        assert verdict.do is DeliveryAction.RETURN and not verdict.may_have_run
+    if step is not AttemptStep.OUT:
+        assert verdict.do is DeliveryAction.WAIT
 
 
-@pytest.mark.parametrize("step", Step)
-@pytest.mark.parametrize("out", Handed)
+@pytest.mark.parametrize("step", AttemptStep)
+@pytest.mark.parametrize("out", DeliveryStatus)
 def test_a_time_out_cuts_what_is_not_handed_over(step, out):
     verdict = delivery_status.on_timeout(step, out)
-    assert (verdict.do is Do.IGNORE) == (step is not Step.OUT)
-    if step is Step.OUT:
-        assert (verdict.do is Do.CUT) == (out is not Handed.WHOLE)
-        assert verdict.may_have_run == (out is Handed.WHOLE)
+    assert (verdict.do is DeliveryAction.IGNORE) == (step is not AttemptStep.OUT)
+    if step is AttemptStep.OUT:
+        assert (verdict.do is DeliveryAction.CUT) == (out is not DeliveryStatus.WHOLE)
+        assert verdict.may_have_run == (out is DeliveryStatus.WHOLE)
 
 
-@pytest.mark.parametrize("step", [Step.OUT, Step.ACCEPTED, Step.RUNS])
+@pytest.mark.parametrize("step", [AttemptStep.OUT, AttemptStep.ACCEPTED, AttemptStep.RUNS])
 @pytest.mark.parametrize("same", [True, False])
 def test_only_the_same_run_can_say_that_it_never_had_it(step, same):
     verdict = delivery_status.on_resubscribe(step, False, same)
-    assert verdict.may_have_run == (not (step is Step.OUT and same))
-    assert delivery_status.on_resubscribe(step, True, same).do is Do.IGNORE
+    assert verdict.may_have_run == (not (step is AttemptStep.OUT and same))
+    assert delivery_status.on_resubscribe(step, True, same).do is DeliveryAction.IGNORE
 
 
 def test_late_yeses():
-    assert delivery_status.on_late_yes("failed", False, False, False, False) is Late.ADOPT
-    assert delivery_status.on_late_yes("served", True, False, False, False) is Late.ADOPT
+    assert delivery_status.on_late_yes("failed", False, False, False, False) is LateAcceptance.ADOPT
+    assert delivery_status.on_late_yes("served", True, False, False, False) is LateAcceptance.ADOPT
     assert (
-        delivery_status.on_late_yes("served", False, False, False, False) is Late.KILL
+        delivery_status.on_late_yes("served", False, False, False, False) is LateAcceptance.KILL
     )  # a copy of what ended elsewhere
-    assert delivery_status.on_late_yes("refused", False, False, False, False) is Late.KILL
+    assert delivery_status.on_late_yes("refused", False, False, False, False) is LateAcceptance.KILL
     for others in ((True, False, False), (False, True, False), (False, False, True)):
-        assert delivery_status.on_late_yes("failed", True, *others) is Late.KILL
+        assert delivery_status.on_late_yes("failed", True, *others) is LateAcceptance.KILL
 
 
-@given(st.lists(st.sampled_from(Fate)))
+@given(st.lists(st.sampled_from(ExecutionStatus)))
 def test_a_task_never_ran_only_if_no_attempt_did(fates):
     told = delivery_status.merge(fates)
-    assert (told is Fate.NEVER_RAN) == all(f is Fate.NEVER_RAN for f in fates)
-    assert told is Fate.RUNS if Fate.RUNS in fates else True
+    assert (told is ExecutionStatus.NEVER_RAN) == all(f is ExecutionStatus.NEVER_RAN for f in fates)
+    assert told is ExecutionStatus.RUNS if ExecutionStatus.RUNS in fates else True
 
 
 # ---- tables ----
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("state", STATES)
 def test_only_two_states_say_that_nothing_ran(state):
     told = status_mapping.read_status(state, None, None)
-    if told is not None and told.step is Step.OVER:
+    if told is not None and told.step is AttemptStep.OVER:
         assert told.ran == (state not in ("TASK_DROPPED", "TASK_ERROR"))
         assert (told.outcome is api.Outcome.REJECTED) == (not told.ran)
     else:
@@ -118,18 +118,20 @@
         status_mapping.refusal(False).state == "TASK_DROPPED"
         and status_mapping.refusal(True).state == "TASK_LOST"
     )
-    assert status_mapping.failure().retry is status_mapping.Retry.RECONCILE
+    assert status_mapping.failure().retry is status_mapping.RetryAdvice.RECONCILE
     harmless = {
-        f for f in (*Fate, None) if status_mapping.reconciled(f).retry is status_mapping.Retry.HARMLESS
+        f
+        for f in (*ExecutionStatus, None)
+        if status_mapping.reconciled(f).retry is status_mapping.RetryAdvice.HARMLESS
     }
-    assert harmless == {Fate.NEVER_RAN}
+    assert harmless == {ExecutionStatus.NEVER_RAN}
 
 
 # ---- members ----
 
 
 def test_a_members_life():
-    members = Members(1_000.0, 3, 5_000.0)
+    members = AgentMembership(1_000.0, 3, 5_000.0)
     first, second = object(), object()
     assert not members.subscribe("h", "r1", first, 0.0).same_run
     assert members.heard("h", "r1", 900.0) and not members.heard("h", "r0", 900.0)
@@ -139,7 +141,7 @@
     assert members.lost(9_000.0) == [] and [x.id for x in members.lost(9_001.0)] == ["h"]
     assert members.lost(9_999.0) == []
     joined = members.subscribe("h", "r1", second, 10_000.0)
-    assert joined.same_run and joined.replaced is None and joined.member.state is State.SUBSCRIBED
+    assert joined.same_run and joined.replaced is None and joined.member.state is AgentState.SUBSCRIBED
     replaced = members.subscribe("h", "r2", first, 10_001.0)
     assert replaced.replaced is second and not replaced.same_run and replaced.member.runs == 2
     assert not members.closed("h", second, 10_002.0)  # the old session's end is not the new one's
@@ -147,17 +149,17 @@
 
 def test_an_unnamed_run_is_never_the_same():
     assert split_id("h07") == ("h07", "") and split_id("rack.1.r9") == ("rack.1", "r9")
-    members = Members(1_000.0, 3, 5_000.0)
+    members = AgentMembership(1_000.0, 3, 5_000.0)
     members.subscribe("h", "", object(), 0.0)
     assert not members.subscribe("h", "", object(), 1.0).same_run
 
 
 def test_members_are_bounded_and_the_lost_go_first():
-    members = Members(1_000.0, 3, 100.0, most=2)
+    members = AgentMembership(1_000.0, 3, 100.0, most=2)
     gone = object()
     members.subscribe("a", "r", gone, 0.0)
     members.subscribe("b", "r", object(), 0.0)
-    with pytest.raises(Refused, match="2 agents are known"):
+    with pytest.raises(AgentLimitError, match="2 agents are known"):
         members.subscribe("c", "r", object(), 0.0)
     members.closed("a", gone, 0.0)
     members.lost(200.0)
@@ -200,36 +202,36 @@
 
 
 def test_admission_names_the_limit():
-    limits = admission.Limits(open_most=10, open_each=5, placed_most=20)
-    free = admission.Load(0, 0, 0, False, False)
+    limits = admission.AdmissionLimits(open_most=10, open_each=5, placed_most=20)
+    free = admission.AdmissionLoad(0, 0, 0, False, False)
     assert admission.refuses(free, limits) is None
     for load, named in (
-        (admission.Load(10, 0, 0, False, False), "at most 10"),
-        (admission.Load(0, 5, 0, False, False), "at most 5"),
-        (admission.Load(0, 0, 20, False, False), "at most 20"),
-        (admission.Load(0, 0, 0, True, False), "unacknowledged"),
-        (admission.Load(0, 0, 0, False, True), "shutting down"),
+        (admission.AdmissionLoad(10, 0, 0, False, False), "at most 10"),
+        (admission.AdmissionLoad(0, 5, 0, False, False), "at most 5"),
+        (admission.AdmissionLoad(0, 0, 20, False, False), "at most 20"),
+        (admission.AdmissionLoad(0, 0, 0, True, False), "unacknowledged"),
+        (admission.AdmissionLoad(0, 0, 0, False, True), "shutting down"),
     ):
         assert named in admission.refuses(load, limits)
 
 
 def call(effect=api.Idempotency.NON_IDEMPOTENT, number=1):
-    ask = Ask("unsafe", "s", "k", 1.0, 1.0, 100.0)
+    ask = TaskRequest("unsafe", "s", "k", 1.0, 1.0, 100.0)
     return Call(number, "f", f"t{number}", m.TaskInfo("t", m.Value("t")), ask, effect, None, 0.0)
 
 
 @pytest.mark.parametrize(
     ("step", "ran", "told"),
     [
-        (Step.OVER, False, None),
-        (Step.OVER, None, "never"),
-        (Step.OUT, None, "never"),
-        (Step.RUNS, None, "never"),
+        (AttemptStep.OVER, False, None),
+        (AttemptStep.OVER, None, "never"),
+        (AttemptStep.OUT, None, "never"),
+        (AttemptStep.RUNS, None, "never"),
     ],
 )
 def test_an_unsafe_task_starts_again_only_if_it_never_ran(step, ran, told):
     before = call()
-    before.given, before.over = Given.FAILED, True
+    before.given, before.over = FinalAnswer.FAILED, True
     before.attempts.append(Attempt(before, 0, "h", "a", step=step, back=True, ran=ran))
     assert admission.repeats(before) == told
     before.effect = api.Idempotency.IDEMPOTENT
@@ -240,25 +242,25 @@
 
 
 def test_the_ledger_forgets_the_oldest_answered_calls_and_all_of_them():
-    ledger = Ledger(remembered=2)
+    ledger = CallTable(remembered=2)
     for number in range(1, 5):
         one = call(number=number)
         ledger.take(one)
         ledger.bind(Attempt(one, 0, f"h{number}", f"a{number}"))
-        ledger.give(one, Given.REFUSED)
+        ledger.give(one, FinalAnswer.REFUSED)
         ledger.close(one)
     assert ledger.open == 0 and not ledger.calls
     assert set(ledger.attempts) == {"a3", "a4"} and set(ledger.machines) == {"h3", "h4"}
     assert ledger.task("f", "t1") is None and ledger.task("f", "t4") is not None
     with pytest.raises(AssertionError, match="failed after refused"):
-        ledger.give(one, Given.FAILED)
+        ledger.give(one, FinalAnswer.FAILED)
 
 
 def test_the_opening_waits_for_all_or_for_its_grace():
-    assert not Opening(0.0, 100.0, 1_000.0).opens(50.0, ["a"], ["a"])
-    assert Opening(0.0, 100.0, 1_000.0).opens(100.0, ["a"], ["a", "b"])
-    assert not Opening(0.0, 100.0, 1_000.0).opens(100.0, [], [])
-    opening = Opening(0.0, 100.0, 1_000.0)
+    assert not StartupGate(0.0, 100.0, 1_000.0).opens(50.0, ["a"], ["a"])
+    assert StartupGate(0.0, 100.0, 1_000.0).opens(100.0, ["a"], ["a", "b"])
+    assert not StartupGate(0.0, 100.0, 1_000.0).opens(100.0, [], [])
+    opening = StartupGate(0.0, 100.0, 1_000.0)
     assert not opening.opens(999.0, ["a", "b"], ["a"]) and not opening.opens(999.0, None, [])
     assert opening.opens(1_000.0, None, []) and opening.opens(0.0, ["a"], [])
 
@@ -279,7 +281,7 @@
 
 
 def test_agents_become_machines():
-    listing = Listing()
+    listing = MachineListing()
     (told,) = listing.whole([agent(up_ns=int(50e6))], 1_000.0, 60.0).machines
     assert (told.name, told.kind, told.phase) == ("h", "std", api.MachinePhase.SERVING)
     assert told.free_cores == -2.0 and told.free_memory == 60.0 and told.ready_at_ms == 990.0
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -6,15 +6,18 @@
 
 
 def test_every_order_of_signals_and_looks_ends_in_order():
-    seen = [graceful_shutdown.Seen(*values) for values in itertools.product((False, True), repeat=3)]
+    seen = [
+        graceful_shutdown.ShutdownObservation(*values)
+        for values in itertools.product((False, True), repeat=3)
+    ]
     events = ["term", "wait", *seen]
-    order = list(graceful_shutdown.State)
+    order = list(graceful_shutdown.ShutdownState)
     for story in itertools.product(events, repeat=4):
-        made, now, windows = graceful_shutdown.Draining(), 0.0, None
+        made, now, windows = graceful_shutdown.GracefulShutdown(), 0.0, None
         for event in story:
             before = made.state
             if event == "term":
-                assert made.begin(now) is (before is graceful_shutdown.State.SERVING)
+                assert made.begin(now) is (before is graceful_shutdown.ShutdownState.SERVING)
                 windows = now + graceful_shutdown.WINDOW_MS if windows is None else windows
             elif event == "wait":
                 now += graceful_shutdown.WINDOW_MS
@@ -22,20 +25,20 @@
                 made.look(now, event)
             steps = order.index(made.state) - order.index(before)
             assert steps in (0, 1)  # never back, never past a state
-            if steps and made.state is graceful_shutdown.State.CLOSING:
+            if steps and made.state is graceful_shutdown.ShutdownState.CLOSING:
                 assert now >= windows  # nobody is turned away inside the window
-            if steps and made.state is graceful_shutdown.State.CLOSED:
+            if steps and made.state is graceful_shutdown.ShutdownState.CLOSED:
                 assert not event.unanswered  # never with a call open
                 assert not event.unhandled or now >= windows + graceful_shutdown.UNHANDLED_MS
                 assert not event.undelivered or now >= windows + graceful_shutdown.UNDELIVERED_MS
 
 
 def test_no_look_holds_the_end_up_for_ever():
-    made = graceful_shutdown.Draining()
+    made = graceful_shutdown.GracefulShutdown()
     made.begin(0.0)
-    busy = graceful_shutdown.Seen(False, True, True)
+    busy = graceful_shutdown.ShutdownObservation(False, True, True)
     looks = [
         made.look(at, busy)
         for at in (graceful_shutdown.WINDOW_MS, graceful_shutdown.WINDOW_MS + graceful_shutdown.UNHANDLED_MS)
     ]
-    assert looks == [graceful_shutdown.State.CLOSING, graceful_shutdown.State.CLOSED]
+    assert looks == [graceful_shutdown.ShutdownState.CLOSING, graceful_shutdown.ShutdownState.CLOSED]
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from glencleat.flow_control.backoff import Asking, Pace
+from glencleat.flow_control.backoff import Backoff, BackoffPolicy
 from glencleat.platform_server import watch_client
 from tests.test_node import Tower, list_event
 
 
 def follow(world, pace, script):
     tower, told = Tower(world.loop, script), []
-    made = watch_client.Feed(
+    made = watch_client.WatchClient(
         world.loop,
         world.channel,
-        Asking(pace, world.hosts.random),
+        Backoff(pace, world.hosts.random),
         tower.address,
         told.append,
         world.logs.append,
@@ -22,7 +22,9 @@
 
 def test_a_channel_that_drips_half_a_line_is_silent(world, monkeypatch):
     monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
-    tower, told, _ = follow(world, Pace(1.0, 1.0, 9e9), lambda n: list_event(1) if n == 1 else list_event(2))
+    tower, told, _ = follow(
+        world, BackoffPolicy(1.0, 1.0, 9e9), lambda n: list_event(1) if n == 1 else list_event(2)
+    )
     world.until(lambda: told)
 
     def drip():
@@ -37,7 +39,7 @@
 def test_a_long_list_that_comes_slowly_is_not_silent(world, monkeypatch):
     monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
     monkeypatch.setattr(watch_client, "PROGRESS", 100)
-    tower, told, made = follow(world, Pace(1.0, 1.0, 9e9), lambda n: b" " * 64)
+    tower, told, made = follow(world, BackoffPolicy(1.0, 1.0, 9e9), lambda n: b" " * 64)
 
     def more(left=40):
         if tower.streams[0].closed is None:
@@ -54,13 +56,13 @@
 @pytest.mark.parametrize("when", ["backs off", "connects"])
 def test_a_move_is_not_held_up_by_what_the_old_address_did(world, when):
     """Held: the wait before the next try would be ten minutes."""
-    pace = Pace(600_000.0, 600_000.0, 9e9)
+    pace = BackoffPolicy(600_000.0, 600_000.0, 9e9)
     tower, told, made = follow(world, pace, lambda n: list_event(1))
     world.until(lambda: told)
     new = Tower(world.loop, lambda n: list_event(2))
     tower.streams[0].close()
     world.until(lambda: made.pause.asleep)
-    made.asking.pace = Pace(1.0, 600_000.0, 9e9)  # what a move draws its wait from
+    made.asking.pace = BackoffPolicy(1.0, 600_000.0, 9e9)  # what a move draws its wait from
     if when == "connects":
         made.pause.end()  # the try at the old one has been begun by nobody yet
     made.move(new.address)
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -10,10 +10,10 @@
 
 from glencleat.checker.chance_bounds import busiest
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import Loop, StreamClosed, connect
+from glencleat.event_loop import Loop, StreamClosedError, connect
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import Nodes
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 from tests.live import setup
 from tests.sockets import run_until
 
@@ -46,14 +46,14 @@
         loop.spawn(self.run(address), "client")
 
     def run(self, address):
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         try:
             self.stream = yield from connect(self.loop, address, 5_000.0)
             while data := (yield from self.stream.read()):
                 decoder.feed(data)
                 for message in decoder.messages():
                     self.hear(message)
-        except StreamClosed:
+        except StreamClosedError:
             pass
 
     def hear(self, message):
@@ -70,7 +70,7 @@
         self.loop = Loop()
         self.hosts = [LiveHost(self.loop, f"h{i}", LIFE_MS) for i in range(hosts)]
         self.service = Service(self.loop, [entry(host.name, host.port) for host in self.hosts])
-        self.nodes = Nodes(folder, COUNT, seed=3)
+        self.nodes = AllocatorProcesses(folder, COUNT, seed=3)
         self.owners = []
 
     def start(self, count=COUNT, **settings):
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.index.due_queue import LEAST, DueIndex
-from glencleat.index.dirty_set import Turns
+from glencleat.index.due_queue import LEAST, DueQueue
+from glencleat.index.dirty_set import DirtySet
 
 NAMES = st.integers(0, 12)
 TIMES = st.integers(0, 40).map(float)
@@ -19,7 +19,7 @@
 
 @given(st.lists(VERBS, max_size=150))
 def test_what_is_due_comes_out_once_the_earliest_first(verbs):
-    index, plain, now = DueIndex(), {}, 0.0
+    index, plain, now = DueQueue(), {}, 0.0
     for verb, key, value in verbs:
         if verb == "put":
             index.put(key, value)
@@ -37,7 +37,7 @@
 
 
 def test_times_put_off_again_and_again_take_no_room():
-    index = DueIndex()
+    index = DueQueue()
     for i in range(20_000):
         index.put(i % 10, float(i))
     assert len(index) == 10 and len(index.heap) <= 2 * 10 + LEAST
@@ -47,7 +47,7 @@
 
 
 def test_a_check_finds_an_entry_that_was_lost():
-    index = DueIndex()
+    index = DueQueue()
     index.put("a", 1.0)
     index.heap.clear()
     with pytest.raises(AssertionError):
@@ -57,7 +57,7 @@
 @given(st.lists(VERBS, max_size=80), st.dictionaries(NAMES, st.lists(NAMES, max_size=3), max_size=8))
 def test_turns_are_those_of_one_who_goes_through_all(verbs, marks):
     """`marks`: on whom something happens as one has its turn, the first time in a tick."""
-    turns, dirty, due, now = Turns(order=lambda key: -key), set(), {}, 0.0
+    turns, dirty, due, now = DirtySet(order=lambda key: -key), set(), {}, 0.0
     for verb, key, value in verbs:
         if verb == "put":
             turns.put(key, value)
@@ -84,7 +84,7 @@
 
 
 def test_a_turn_that_raises_comes_again_with_those_after_it():
-    turns = Turns(order=lambda key: key)
+    turns = DirtySet(order=lambda key: key)
     for key in (1, 2, 3):
         turns.mark(key)
 
--- a/tests/test_isup_exchange.py
+++ b/tests/test_isup_exchange.py
@@ -5,8 +5,8 @@
 from glencleat import Scheduler
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.exchange import State
-from glencleat.platform_protocol.delivery import OUTCOMES, SendOutcome
+from glencleat.platform_protocol.exchange import SetupState
+from glencleat.platform_protocol.delivery import OUTCOMES, DeliveryOutcome
 from tests.live import SETTINGS, Owner, World, machine, news, read
 
 PROOFS = {api.Outcome.REJECTED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT}
@@ -52,13 +52,19 @@
     assert (outcome in PROOFS) == (cause in (34, 102))
 
 
-@pytest.mark.parametrize("fact", SendOutcome)
+@pytest.mark.parametrize("fact", DeliveryOutcome)
 def test_a_links_word(world, fact):
     world.asks(7, bind())
     world.exchange.failed(world.offers[0], fact)
     assert world.outcomes() == [OUTCOMES[fact]]
     assert (OUTCOMES[fact] in PROOFS) == (
-        fact in (SendOutcome.REFUSED, SendOutcome.NEVER_UP, SendOutcome.NEVER_SENT, SendOutcome.DISCONNECTED)
+        fact
+        in (
+            DeliveryOutcome.REFUSED,
+            DeliveryOutcome.NEVER_UP,
+            DeliveryOutcome.NEVER_SENT,
+            DeliveryOutcome.DISCONNECTED,
+        )
     )
     world.exchange.failed(world.offers[0], fact)  # a second word on it changes nothing
     assert len(world.outcomes()) == 1
@@ -70,7 +76,7 @@
     world.advance(499.0)
     assert world.cancelled_attempts == []
     order = []
-    world.cancel = lambda attempt: order.append("give-up") or SendOutcome.SILENT
+    world.cancel = lambda attempt: order.append("give-up") or DeliveryOutcome.SILENT
     world.offer = lambda attempt: order.append("offer")
     world.advance(1.0)
     assert order == ["give-up", "offer"] and world.outcomes() == [api.Outcome.TIMED_OUT]
@@ -78,7 +84,7 @@
 
 @pytest.mark.parametrize(
     ("fact", "outcome"),
-    [(SendOutcome.NEVER_SENT, api.Outcome.NOT_SENT), (SendOutcome.NEVER_UP, api.Outcome.UNREACHABLE)],
+    [(DeliveryOutcome.NEVER_SENT, api.Outcome.NOT_SENT), (DeliveryOutcome.NEVER_UP, api.Outcome.UNREACHABLE)],
 )
 def test_a_time_out_of_what_never_left(world, fact, outcome):
     world.fact = fact
@@ -269,7 +275,9 @@
     for _ in range(2):
         world.asks(7, extras="cores:1;memory:2;service:web;at:h9", wait=None)
     (told,) = world.told(api.PlacementRequested)
-    assert told.machine == "h9" and world.owner.got == [] and world.exchange.calls[1].state is State.STANDS
+    assert (
+        told.machine == "h9" and world.owner.got == [] and world.exchange.calls[1].state is SetupState.STANDS
+    )
     world.host(m.NOTE, 7, "h9", "a link", topic=b"cores", value=b"0.5")
     world.host(m.RELEASE, 7, "h9", "a link", cause=16)
     assert (
--- a/tests/test_isup_messages.py
+++ b/tests/test_isup_messages.py
@@ -9,8 +9,8 @@
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import TOLD_LATE_MS, Channel, when
-from glencleat.platform_protocol.setup_requests import BadSetup, Reader
+from glencleat.platform_protocol.command_channel import TOLD_LATE_MS, CommandChannel, when
+from glencleat.platform_protocol.setup_requests import SetupError, SetupReader
 from tests.live import SETTINGS, read, setup
 
 PARAMETERS = st.dictionaries(st.integers(0, 255), st.binary(max_size=40), max_size=6)
@@ -22,7 +22,7 @@
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(MESSAGES, st.lists(st.integers(1, 50), min_size=1, max_size=20))
 def test_messages_come_whole_in_any_cuts(told, cuts):
-    data, decoder, found = b"".join(m.encode(*one) for one in told), m.Decoder(), []
+    data, decoder, found = b"".join(m.encode(*one) for one in told), m.MessageDecoder(), []
     while data:
         cut = cuts[len(data) % len(cuts)]
         decoder.feed(data[:cut])
@@ -34,7 +34,7 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.binary(max_size=200))
 def test_noise_is_the_peers_error_and_nothing_else(data):
-    decoder = m.Decoder()
+    decoder = m.MessageDecoder()
     decoder.feed(data)
     try:
         for message in decoder.messages():
@@ -57,14 +57,14 @@
     ],
 )
 def test_what_is_no_message(data, why):
-    decoder = m.Decoder()
+    decoder = m.MessageDecoder()
     decoder.feed(data)
     with pytest.raises(m.PeerError, match=why):
         list(decoder.messages())
 
 
 def test_a_message_before_the_noise_is_given_first():
-    decoder = m.Decoder()
+    decoder = m.MessageDecoder()
     decoder.feed(m.encode(m.TEST, 5) + b"\xff\xff")
     found = decoder.messages()
     assert next(found).task == 5
@@ -91,23 +91,23 @@
 @pytest.mark.parametrize("fields", BAD, ids=str)
 def test_a_set_up_that_cannot_be_used(fields):
     (message,) = read(setup(**{"task": 7, **fields}))
-    with pytest.raises(BadSetup):
-        Reader(SETTINGS).read(message)
+    with pytest.raises(SetupError):
+        SetupReader(SETTINGS).read(message)
 
 
 def test_a_keyed_set_up_needs_its_key():
     (message,) = read(setup(7, "keyed"))
-    assert Reader(SETTINGS).read(message).key == b"k"
+    assert SetupReader(SETTINGS).read(message).key == b"k"
     del message.parameters[m.KEY]
-    with pytest.raises(BadSetup, match="no key"):
-        Reader(SETTINGS).read(message)
+    with pytest.raises(SetupError, match="no key"):
+        SetupReader(SETTINGS).read(message)
 
 
 def test_a_set_up_as_the_page_shows_it():
     extras = "cores:1;memory:2;service:00000000b4d65521"
     (message,) = read(setup(7, "safe", 1500, "7f3a9c21e0b4d655", extras, desc=b"\x00\xff", **{"109": None}))
     message.parameters[m.RETRY] = b"1"
-    found = Reader(SETTINGS).read(message)
+    found = SetupReader(SETTINGS).read(message)
     assert (found.wait_ms, found.again, found.service, found.cores) == (1500.0, True, "00000000b4d65521", 1.0)
     assert found.description == b"\x00\xff" and found.at is None
 
@@ -136,7 +136,7 @@
 
 @pytest.fixture
 def channel():
-    made = Channel(ahead_ms=1000.0)
+    made = CommandChannel(ahead_ms=1000.0)
     made.feed = partial(made.feed, now=NOW)
     made.begin({"cursor": 1, "cmds": [event(1, entry("h1"), entry("h2"), reset=True)]}, NOW)
     return made
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -3,9 +3,9 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.allocator.endpoint_list import Listing
+from glencleat.allocator.endpoint_list import MachineListing
 from glencleat import endpoint_snapshot
-from glencleat.servers.endpoint_snapshot_file import ANEW_MS, KeptList
+from glencleat.servers.endpoint_snapshot_file import ANEW_MS, EndpointSnapshotFile
 from tests.fakes import Timing
 from tests.world import World
 
@@ -46,7 +46,7 @@
     data, ends = b"".join(lines), [len(lines[0]), len(lines[0] + lines[1])]
     for length in range(len(data)):
         if length < ends[0]:
-            with pytest.raises(endpoint_snapshot.BadList, match="no whole line"):
+            with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="no whole line"):
                 endpoint_snapshot.read(data[:length])
         else:
             assert phases(data[:length])["a"] is (DRAINING if length >= ends[1] else SERVING)
@@ -57,26 +57,26 @@
     for place in range(len(data) - 1):
         wrong = bytearray(data)
         wrong[place] ^= 4
-        with pytest.raises(endpoint_snapshot.BadList):
+        with pytest.raises(endpoint_snapshot.EndpointSnapshotError):
             endpoint_snapshot.read(bytes(wrong))
 
 
 @pytest.mark.parametrize(
     "data",
     [b"", b"\n", b"garbage\n", b"%08x {}\n" % 0, written()[1], written()[0] * 2,
-     endpoint_snapshot._line(endpoint_snapshot.Whole(9, "p", WALL, []))],
+     endpoint_snapshot._line(endpoint_snapshot.SnapshotRecord(9, "p", WALL, []))],
     ids=["empty", "blank", "garbage", "no checksum", "change first", "twice", "format"],
 )  # fmt: skip
 def test_what_is_no_list_is_refused(data):
-    with pytest.raises(endpoint_snapshot.BadList):
+    with pytest.raises(endpoint_snapshot.EndpointSnapshotError):
         endpoint_snapshot.read(data)
 
 
 def test_a_phase_that_nobody_knows_is_refused():
     one = endpoint_snapshot.kept(machine("a"), 0.0, WALL)
     one.phase = "dancing"
-    with pytest.raises(endpoint_snapshot.BadList, match="dancing"):
-        endpoint_snapshot.machines(endpoint_snapshot.List("p", WALL, {"a": one}), 0.0, WALL)
+    with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="dancing"):
+        endpoint_snapshot.machines(endpoint_snapshot.EndpointSnapshot("p", WALL, {"a": one}), 0.0, WALL)
 
 
 @pytest.mark.parametrize(
@@ -85,16 +85,16 @@
      ("p", WALL - 900.0, None), ("p", WALL - 90_000.0, "90 s ahead")],
 )  # fmt: skip
 def test_when_it_may_be_used(pool, wall, why):
-    told = endpoint_snapshot.usable(endpoint_snapshot.List("p", WALL), pool, wall, 600_000.0)
+    told = endpoint_snapshot.usable(endpoint_snapshot.EndpointSnapshot("p", WALL), pool, wall, 600_000.0)
     assert told is None if why is None else why in told
 
 
-class Keeper(KeptList):
+class Keeper(EndpointSnapshotFile):
     """On a clock of its own, with a log."""
 
     def __init__(self, path):
         self.logs = []
-        listing = Listing()
+        listing = MachineListing()
         super().__init__(
             Timing(), path, "p", 600_000.0, listing, lambda event, **more: self.logs.append(event)
         )
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from glencleat.event_loop import (
-    Cancelled,
+    CancelledError,
     Listener,
     Loop,
-    Overflow,
+    StreamOverflowError,
     Pause,
     Stream,
-    StreamClosed,
+    StreamClosedError,
     TimerHeap,
     TimerWheel,
     connect,
@@ -83,7 +83,7 @@
     def child():
         try:
             yield from loop.sleep(10_000.0)
-        except Cancelled:
+        except CancelledError:
             seen.append("child")
             raise
 
@@ -151,11 +151,11 @@
     stream, _theirs = pair(loop)
     why = []
     stream.on_close.append(why.append)
-    with pytest.raises(Overflow):
+    with pytest.raises(StreamOverflowError):
         for _ in range(1_000):
             stream.send(b"x" * 10_000)
     assert why[0].startswith("slow reader") and stream.written < stream.queued
-    with pytest.raises(StreamClosed):
+    with pytest.raises(StreamClosedError):
         stream.send(b"more")
 
 
@@ -183,7 +183,7 @@
     loop.call_in(5.0, theirs.close)
     assert loop.run_until(loop.spawn(stream.read(), "r")) == b""
     stream.close("done")
-    with pytest.raises(StreamClosed, match="done"):
+    with pytest.raises(StreamClosedError, match="done"):
         loop.run_until(loop.spawn(stream.read(), "r"))
 
 
@@ -192,7 +192,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         address = taken.getsockname()
-        with pytest.raises(StreamClosed, match="can't connect to 127.0.0.1"):
+        with pytest.raises(StreamClosedError, match="can't connect to 127.0.0.1"):
             loop.run_until(loop.spawn(connect(loop, address, 500.0), "c"))
 
 
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.platform_server.failure_detector import NEVER, NEVER_UP_MS, Do, Life
+from glencleat.platform_server.failure_detector import NEVER, NEVER_UP_MS, DetectorAction, FailureDetector
 
 SWEEP_MS, STEP_MS, TRY_MS, CONNECT_MS, TOLD_MS = 200.0, 1_000.0, 1_000.0, 250.0, 8_000.0
 
@@ -31,7 +31,7 @@
     """One host's Life, driven as `hosts.py` drives it: a sweep each 200 ms, tries at most a second apart."""
 
     def __init__(self):
-        self.now, self.life, self.up, self.again_at = 0.0, Life(0.0), True, 0.0
+        self.now, self.life, self.up, self.again_at = 0.0, FailureDetector(0.0), True, 0.0
         self.word = 0.0  # last sign that its releases reach us: its own word, or a connection that came up
         self.pending = []  # a try under way: when it ends, and how
 
@@ -63,9 +63,13 @@
         do, why = self.life.look(self.now, True, self.up or bool(self.pending), 500.0)
         if self.up and phase.says == "tests":  # of the module's, as ours are no more
             self.life.hears(self.now)
-        if do is Do.LAST:
+        if do is DetectorAction.LAST:
             self.again_at = self.now
-        if do in (Do.LOOK, Do.LAST) and not self.pending and self.now >= self.again_at:
+        if (
+            do in (DetectorAction.LOOK, DetectorAction.LAST)
+            and not self.pending
+            and self.now >= self.again_at
+        ):
             takes = {"up": 1.0, "refused": 1.0, "nothing": CONNECT_MS}[phase.tries]
             self.pending.append((self.now + takes, phase.tries))
         return do, why
@@ -80,11 +84,11 @@
         for phase in before:
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                over = over or run.sweep(phase)[0] is Do.OVER
+                over = over or run.sweep(phase)[0] is DetectorAction.OVER
         if over:
             continue  # it was given up before
         run.begin(end)
-        while run.sweep(end)[0] is not Do.OVER:
+        while run.sweep(end)[0] is not DetectorAction.OVER:
             assert run.now - run.word < TOLD_MS, (before, run.life.__dict__)
 
 
@@ -97,10 +101,10 @@
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
                 do, why = run.sweep(phase)
-                over |= do is Do.OVER
+                over |= do is DetectorAction.OVER
                 heard = run.up and phase.says == "own" and phase.listed != "gone"
                 tried += heard
-                assert not (heard and do is Do.OVER), (before, why)
+                assert not (heard and do is DetectorAction.OVER), (before, why)
             if over:
                 break
     assert tried > 100_000
@@ -111,7 +115,7 @@
     run = Run()
     drains = Phase("refused", "tests", True, "draining")
     run.begin(drains)
-    while run.sweep(drains)[0] is not Do.OVER:
+    while run.sweep(drains)[0] is not DetectorAction.OVER:
         assert run.now < TOLD_MS
     assert run.now >= NEVER_UP_MS and run.life.heard > run.now - 4_000.0
 
@@ -122,31 +126,31 @@
     run, drains = Run(), Phase("refused", "nothing", True, "draining")
     run.begin(drains)
     for _ in range(10):
-        assert run.sweep(drains)[0] is not Do.OVER
+        assert run.sweep(drains)[0] is not DetectorAction.OVER
     ends = Phase("refused", "nothing", True, "gone" if gone else "draining")
     run.begin(ends)
     began = run.now
-    while run.sweep(ends)[0] is not Do.OVER:
+    while run.sweep(ends)[0] is not DetectorAction.OVER:
         assert run.now - began < ms
     assert gone == (run.now - began < 1_600.0)
 
 
 def test_what_the_list_says_waits_for_a_refusal_of_its_own():
-    life = Life(0.0)
+    life = FailureDetector(0.0)
     life.listed(draining=True)
     life.fails(1_000.0, refused=True, alone=False)
     life.leaves(1_100.0)
-    assert life.look(1_200.0, True, True, 500.0)[0] is not Do.OVER
+    assert life.look(1_200.0, True, True, 500.0)[0] is not DetectorAction.OVER
     life.fails(1_300.0, refused=True, alone=False)
-    assert life.look(1_400.0, True, True, 500.0)[0] is Do.OVER
+    assert life.look(1_400.0, True, True, 500.0)[0] is DetectorAction.OVER
 
 
 def test_a_quiet_host_that_takes_connections_is_not_over_at_its_first_refusal():
-    life = Life(0.0)
+    life = FailureDetector(0.0)
     for at in range(1_000, 20_000, 1_000):
         life.up(float(at))
     life.fails(20_000.0, refused=True, alone=False)
-    assert life.look(20_100.0, True, True, 500.0)[0] is Do.LOOK
+    assert life.look(20_100.0, True, True, 500.0)[0] is DetectorAction.LOOK
 
 
 def test_a_draining_host_whose_idle_link_ends_is_over_in_seconds_and_others_at_once():
@@ -155,12 +159,18 @@
         (True, False, 100.0, 400.0),
         (False, True, 100.0, 400.0),
     ):
-        life = Life(0.0)
+        life = FailureDetector(0.0)
         life.listed(draining=drains)
         life.breaks(0.0, idle=idle, alone=True)
-        assert life.look(1.0, True, False, 500.0)[0] is Do.LOOK  # a release may have been on its way
+        assert (
+            life.look(1.0, True, False, 500.0)[0] is DetectorAction.LOOK
+        )  # a release may have been on its way
         life.fails(10.0, refused=True, alone=True)
-        times = [at for at in range(0, 3_000, 50) if life.look(10.0 + at, True, False, 500.0)[0] is Do.OVER]
+        times = [
+            at
+            for at in range(0, 3_000, 50)
+            if life.look(10.0 + at, True, False, 500.0)[0] is DetectorAction.OVER
+        ]
         assert least < times[0] <= most
 
 
@@ -168,7 +178,7 @@
     """A connection may come up late, and a refusal beside a link that lives is a drain."""
     for refused, alone, heard, away in ((False, False, False, True), (False, False, True, False),
                                         (True, False, False, False), (True, True, False, True)):  # fmt: skip
-        life = Life(0.0)
+        life = FailureDetector(0.0)
         life.fails(1_000.0, refused, alone)
         assert not life.unreached(CONNECT_MS, alone)
         if heard:
@@ -186,11 +196,11 @@
     at = lambda when: life.look(when, addressed, linked, look_ms)[0]  # noqa: E731
     told = (now, now + 1.0, now + 199.0, (now + due) / 2.0, due - 1.0, math.nextafter(due, -NEVER))
     said = [(when, at(when)) for when in told if now <= when < due and when < NEVER]
-    assert all(do is Do.NOTHING for _, do in said), (said, due, vars(life))
+    assert all(do is DetectorAction.NOTHING for _, do in said), (said, due, vars(life))
     if due < NEVER:
-        assert at(max(due + 0.01, now)) is not Do.NOTHING, (due, vars(life))
+        assert at(max(due + 0.01, now)) is not DetectorAction.NOTHING, (due, vars(life))
     else:
-        assert at(now + 1e9) is Do.NOTHING, vars(life)
+        assert at(now + 1e9) is DetectorAction.NOTHING, vars(life)
 
 
 def test_before_it_is_due_a_look_would_have_said_nothing():
@@ -202,7 +212,7 @@
         for number, phase in enumerate(before):
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                if run.sweep(phase)[0] is Do.OVER:
+                if run.sweep(phase)[0] is DetectorAction.OVER:
                     break
                 life = run.life
                 state = (run.now, life.since, life.gone, life.draining, life.gone_at, life.spoke, life.refused,
@@ -228,7 +238,7 @@
     st.floats(0.0, 3_000.0),
 )
 def test_due_by_drawn_histories(seen, addressed, linked, look_ms):
-    now, life = 0.0, Life(0.0)
+    now, life = 0.0, FailureDetector(0.0)
     for ms, what in seen:
         now += ms
         match what.split():
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glencleat.emulators.machine import Machine, Nature, Offer
+from glencleat.emulators.machine import EmulatedMachine, Nature, TaskOffer
 from tests.fakes import Timing
 
 NATURE = Nature(
@@ -16,7 +16,7 @@
     def __init__(self, **size):
         self.timing, self.said, self.started, self.falls = Timing(), [], [], 0
         told = {"cores": 4.0, "memory": 1_000.0} | size
-        self.machine = Machine(
+        self.machine = EmulatedMachine(
             self.timing, Random(1), "h", "std", told["cores"], told["memory"], NATURE,
             lambda allocator, task, state, reason, cause: self.said.append((task, state, reason or cause)),
             lambda held: self.started.append((held.id, self.timing.at)), self.fell,
@@ -30,7 +30,7 @@
         self, task, cores=1.0, memory=100.0, key="", effect="safe", priority=0, within=1_000.0, life=500.0
     ):
         self.machine.offer(
-            Offer(
+            TaskOffer(
                 task, "a0", "svc", key or task, effect, priority, cores, memory, life, self.timing.at, within
             )
         )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,11 +9,11 @@
 
 from glencleat import interface as api
 from glencleat.flow_control import connection_limiter
-from glencleat.flow_control.backoff import Asking, Pace
-from glencleat.descriptor_budget import Side, Worth
+from glencleat.flow_control.backoff import Backoff, BackoffPolicy
+from glencleat.descriptor_budget import Side, EvictionPriority
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import News
-from glencleat.event_loop import ConnectFailed, StreamClosed, streams
+from glencleat.platform_protocol.command_channel import ListChange
+from glencleat.event_loop import ConnectError, StreamClosedError, streams
 from glencleat.platform_server import (
     watch_client,
     connection_pool,
@@ -104,7 +104,7 @@
     def connect(loop, address, timeout_ms):
         if cut[0]:
             yield from loop.sleep(10.0)
-            raise ConnectFailed(address, errno.ETIMEDOUT)
+            raise ConnectError(address, errno.ETIMEDOUT)
         return (yield from real(loop, address, timeout_ms))
 
     monkeypatch.setattr(host_connections, "connect", connect)
@@ -387,7 +387,7 @@
     peer.streams[0].send(m.encode(m.PROGRESS, 99))
     world.until(lambda: not link.doubtful)
     world.module.next.append([api.Bind(1, "h1", 2000.0)])
-    world.exchange.list_told(News(False, ()))
+    world.exchange.list_told(ListChange(False, ()))
     world.until(lambda: len(peer.got) == 3)
     assert [stream is peer.streams[0] for stream, _ in peer.got] == [True, True, False]
 
@@ -597,8 +597,8 @@
     (peer,), owner = standing(world, 1)
     (first,) = live(world)
     world.until(lambda: len(live(world)) == 2)
-    assert first.worth() is Worth.LISTENED or first.worth() is Worth.LISTENING
-    assert [link.worth() for link in live(world) if link is not first] == [Worth.SPARE]
+    assert first.worth() is EvictionPriority.LISTENED or first.worth() is EvictionPriority.LISTENING
+    assert [link.worth() for link in live(world) if link is not first] == [EvictionPriority.SPARE]
     world.descriptors.room = world.descriptors.held  # nothing is free: a visit makes way for the next one
     seen = len(peer.streams)
     world.until(lambda: len(peer.streams) >= seen + 2)
@@ -882,7 +882,7 @@
 
 
 def asking(first=5.0, most=20.0, steady=1_000.0):
-    return Asking(Pace(first, most, steady), Random(1))
+    return Backoff(BackoffPolicy(first, most, steady), Random(1))
 
 
 class Tower(Peer):
@@ -895,7 +895,7 @@
         try:
             while (yield from stream.read()):
                 pass
-        except StreamClosed:
+        except StreamClosedError:
             pass
 
 
@@ -904,7 +904,9 @@
     monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
     second = {"noise": b"{{\n"}.get(trouble, list_event(2)[:30])
     tower, told = Tower(world.loop, lambda n: list_event(1) + second if n == 1 else list_event(2)), []
-    watch_client.Feed(world.loop, world.channel, asking(), tower.address, told.append, world.logs.append)
+    watch_client.WatchClient(
+        world.loop, world.channel, asking(), tower.address, told.append, world.logs.append
+    )
     world.until(lambda: told)
     if trouble == "breaks":
         tower.streams[0].close()
@@ -918,7 +920,9 @@
 def test_the_feed_moves_and_the_numbers_go_on(world):
     old, new = (Tower(world.loop, lambda n, c=c: list_event(c)) for c in (1, 2))
     told = []
-    made = watch_client.Feed(world.loop, world.channel, asking(), old.address, told.append, world.logs.append)
+    made = watch_client.WatchClient(
+        world.loop, world.channel, asking(), old.address, told.append, world.logs.append
+    )
     world.until(lambda: told)
     made.move(new.address)
     world.until(lambda: len(told) == 2)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -16,7 +16,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop
 from glencleat.platform_server.graceful_shutdown import WINDOW_MS
-from glencleat.platform_server.process import READY_MS, Process, load
+from glencleat.platform_server.process import READY_MS, PlatformProcess, load
 from tests.live import setup
 
 SETTINGS = {
@@ -63,7 +63,7 @@
 
 class Reader:
     def __init__(self, sock):
-        self.sock, self.decoder, self.found = sock, m.Decoder(), []
+        self.sock, self.decoder, self.found = sock, m.MessageDecoder(), []
         sock.settimeout(20.0)
 
     def next(self):
@@ -315,7 +315,7 @@
         "known": known, "settings": SETTINGS,
     }))  # fmt: skip
     loop = Loop(Clock())
-    process = Process(load(str(tmp_path / "config.json")), loop, lambda text: None, "")
+    process = PlatformProcess(load(str(tmp_path / "config.json")), loop, lambda text: None, "")
     assert not process.owners.ready()
     loop.clock.at += READY_MS
     assert not process.owners.ready()
--- a/tests/test_order_index.py
+++ b/tests/test_order_index.py
@@ -8,7 +8,7 @@
 import glencleat.policy.scheduler
 from glencleat import interface as api
 from glencleat.index import rendezvous as index
-from glencleat.index.rendezvous import Members, hashed
+from glencleat.index.rendezvous import RendezvousIndex, hashed
 from glencleat.policy.scheduler import EXAMINED, Scheduler
 from tests.reference_order import CLASSES, KINDS, Plain, Stream, differ
 
@@ -40,7 +40,7 @@
     most=st.integers(1, 120),
 )
 def test_an_order_is_what_a_sort_gives_after_any_changes(changes, bits, remembered, most):
-    members = Members[Item](most, 2)
+    members = RendezvousIndex[Item](most, 2)
     members.changes = index.deque(maxlen=remembered)
     items = [Item(f"m{i}", bits) for i in range(41)]
     for number, what in changes:
@@ -58,7 +58,7 @@
 
 @given(st.integers(1, 60), st.data())
 def test_places_are_found_as_in_a_copy_without_those_left_out(count, data):
-    members = Members[Item](10_000, 10)
+    members = RendezvousIndex[Item](10_000, 10)
     bits = data.draw(st.sampled_from([3, 64]))
     for i in range(count):
         members.put(Item(f"m{i}", bits), True)
@@ -69,7 +69,7 @@
 
 
 def test_equal_hashes_are_ordered_by_name_also_one_by_one():
-    members, items = Members[Item](10_000, 10), [Item(f"m{i}", bits=1) for i in range(40)]
+    members, items = RendezvousIndex[Item](10_000, 10), [Item(f"m{i}", bits=1) for i in range(40)]
     for item in items[::-2] + items[::2]:
         members.put(item, True)
         assert list(members.order("a")) == plain(members, "a")
@@ -95,7 +95,7 @@
 def test_names_that_went_for_good_leave_no_numbers(short, monkeypatch):
     """Orders begin anew when numbers run out, or more than as many as there are members are of such names."""
     monkeypatch.setattr(index, "SHORT", short)
-    members = Members[Item](10_000, 10)
+    members = RendezvousIndex[Item](10_000, 10)
     for i in range(2_000):
         members.put(Item(f"m{i}"), True)
         if i >= 30:
@@ -107,7 +107,7 @@
 
 
 def test_the_longest_unused_orders_go():
-    members = Members[Item](100, 10)
+    members = RendezvousIndex[Item](100, 10)
     for i in range(30):
         members.put(Item(f"m{i}"), True)
     for key in ("a", "b", "c", "a", "d"):
@@ -122,7 +122,7 @@
 
 
 def test_the_check_sees_a_wrong_order_and_a_wrong_count():
-    members = Members[Item](100, 10)
+    members = RendezvousIndex[Item](100, 10)
     for i in range(9):
         members.put(Item(f"m{i}"), True)
     order = members.order("a")
@@ -138,8 +138,8 @@
 
 @pytest.mark.parametrize("size", [400, 6_300])
 def test_hashes_follow_changes_not_the_members(size, monkeypatch):
-    monkeypatch.setattr(Members, "checked", False)
-    members, counted = Members[Item](10**6, 100), []
+    monkeypatch.setattr(RendezvousIndex, "checked", False)
+    members, counted = RendezvousIndex[Item](10**6, 100), []
     for i in range(size):
         members.put(Item(f"m{i}"), True)
     members.order("a")
@@ -198,7 +198,7 @@
     """Machines listed, machines looked at and hashes, for three machines gone and a placement after it."""
     scheduler, machines = fleet(size)
     scheduler.handle(1.0, api.PlacementRequested(1, "safe", "s", 1.0, 1.0, 8000.0))
-    monkeypatch.setattr(Members, "checked", False)
+    monkeypatch.setattr(RendezvousIndex, "checked", False)
     seen, real, listed, allowed = [], index.mixed, scheduler.list_as, scheduler.allowed
     with monkeypatch.context() as patched:
         patched.setattr(index, "mixed", lambda value: seen.append("hash") or real(value))
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -7,9 +7,9 @@
 import pytest
 
 from glencleat.checker import invariants
-from glencleat.checker.trace import Recorder, read
+from glencleat.checker.trace import TraceRecorder, read
 from glencleat.event_loop import Loop
-from glencleat.emulators.play import Play, Process
+from glencleat.emulators.play import Play, AllocatorProcess
 from glencleat.emulators.script import figures, load_campus, load_script
 from glencleat.emulators.fault_scenarios import TROUBLES, faults
 
@@ -127,7 +127,9 @@
 def test_one_killed_before_it_is_up_ends_nothing_but_itself(tmp_path):
     """Killed twice while the machine was slow to start it, it ended the play 20 s later as not started."""
     loop = Loop()
-    process = Process(loop, Recorder(loop.now), "a0", tmp_path, ["not a configuration that matters"])
+    process = AllocatorProcess(
+        loop, TraceRecorder(loop.now), "a0", tmp_path, ["not a configuration that matters"]
+    )
     start = loop.spawn(process.start(), "a0")
     while process.child is None:
         loop.round(wait=False)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -17,7 +17,7 @@
 @given(st.lists(st.binary(max_size=60), max_size=8), st.lists(st.integers(1, 20), min_size=1, max_size=20))
 def test_records_come_out_whole_however_their_bytes_are_cut(records, cuts):
     data = b"".join(map(recordio.encode, records))
-    decoder, found, at = recordio.Decoder(), [], 0
+    decoder, found, at = recordio.RecordDecoder(), [], 0
     for cut in [*cuts, len(data) + 1]:
         found += decoder.feed(data[at : at + cut])
         at += cut
@@ -36,13 +36,13 @@
     ],
 )
 def test_what_is_no_record_is_refused_before_it_is_kept(data, named):
-    decoder = recordio.Decoder()
+    decoder = recordio.RecordDecoder()
     with pytest.raises(recordio.RecordError, match=named):
         decoder.feed(data)
 
 
 def test_a_torn_record_is_known():
-    decoder = recordio.Decoder()
+    decoder = recordio.RecordDecoder()
     assert decoder.feed(b"5\nab") == [] and decoder.inside()
 
 
@@ -98,7 +98,7 @@
     ],
 )
 def test_a_bad_message_says_where_and_what_was_expected(data, named):
-    with pytest.raises(m.BadMessage, match=named):
+    with pytest.raises(m.MessageError, match=named):
         m.decode(m.SchedulerCall, data)
 
 
@@ -107,7 +107,7 @@
     for kind in m.DECODERS:
         try:
             m.decode(kind, data)
-        except m.BadMessage:
+        except m.MessageError:
             continue
 
 
@@ -115,7 +115,7 @@
     payload = m.Payload("report", cores_free=2.5, tasks=[m.TaskUse("t", 1.0)])
     assert m.unpack(m.pack(payload)) == payload
     for wrong in ("%%%", "bm8=", "eyJraW5kIjogM30="):
-        with pytest.raises(m.BadMessage):
+        with pytest.raises(m.MessageError):
             m.unpack(wrong)
 
 
@@ -253,7 +253,7 @@
 
 
 def test_a_stream_of_records_through_both_ends():
-    server, client, decoder = ServerConnection(), ClientConnection(), recordio.Decoder()
+    server, client, decoder = ServerConnection(), ClientConnection(), recordio.RecordDecoder()
     (request,) = server.feed(client.request("POST", "/api", "h", {"accept": "application/json"}, b"{}"))
     assert request.method == "POST" and not request.close
     data = server.open_stream({"Mesos-Stream-Id": "s"})
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,10 +10,16 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.flow_control.backoff import Asking, Pace
+from glencleat.flow_control.backoff import Backoff, BackoffPolicy
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.inbox import Inbox
-from glencleat.platform_protocol.delivery import SendOutcome, Seen, harmless, held_back, turn_holds
+from glencleat.platform_protocol.delivery import (
+    DeliveryOutcome,
+    AttemptEvidence,
+    harmless,
+    held_back,
+    turn_holds,
+)
 from glencleat.platform_server import watch_client, client_connections
 from tests.live import KEYED, SAFE, SETTINGS, UNSAFE, setup
 from tests.live import World as Virtual
@@ -159,13 +165,13 @@
 
 def test_an_attempt_leaves_only_if_all_is_as_it_was_when_it_was_decided():
     for values in itertools.product((False, True), repeat=5):
-        seen = Seen(*values)
+        seen = AttemptEvidence(*values)
         expected = (
             None
             if all(values)
-            else SendOutcome.DISCONNECTED
+            else DeliveryOutcome.DISCONNECTED
             if not seen.client_waits
-            else SendOutcome.NEVER_SENT
+            else DeliveryOutcome.NEVER_SENT
         )
         assert held_back(seen) is expected
     assert (
@@ -216,7 +222,7 @@
     world.advance(KEYED.deduplication_window_ms - 2.0 - 300.0)
     assert world.exchange.held_back(second, True, False) is None
     world.advance(1.0)
-    assert world.exchange.held_back(second, True, False) is SendOutcome.NEVER_SENT
+    assert world.exchange.held_back(second, True, False) is DeliveryOutcome.NEVER_SENT
 
 
 def test_nothing_queues_behind_bytes_that_a_host_does_not_read(world):
@@ -274,8 +280,8 @@
     }
     drain = {"cursor": 1, "nodes": {"instances": [{**entry, "lifecycle": "DRAINING"}]}}
     tower = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
-    asking = Asking(Pace(1.0, 1.0, 9e9), world.hosts.random)
-    watch_client.Feed(
+    asking = Backoff(BackoffPolicy(1.0, 1.0, 9e9), world.hosts.random)
+    watch_client.WatchClient(
         world.loop, world.channel, asking, tower.address, world.hosts.list_told, world.logs.append
     )
     world.until(lambda: tower.got)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,19 +7,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.event_loop import Listener, Loop, StreamClosed
-from glencleat.emulators.proxy import DatagramRelay, Relay
-from glencleat.emulators.proxy_faults import Datagrams, Door, Fault, Flow, State, Way, Weather
+from glencleat.event_loop import Listener, Loop, StreamClosedError
+from glencleat.emulators.proxy import DatagramRelay, Proxy
+from glencleat.emulators.proxy_faults import Datagrams, Door, ProxyFault, Flow, ProxyState, Way, Weather
 
 BOTH = frozenset(Way)
 
 
 def cut(at, length, ways=BOTH):
-    return [Fault(at, length, {"cut": ways})]
+    return [ProxyFault(at, length, {"cut": ways})]
 
 
 def test_a_stream_waits_out_a_cut_and_keeps_its_order():
-    flow = Flow(Weather(State(delay_ms=5.0), cut(100.0, 50.0)), Way.THERE, Random(1))
+    flow = Flow(Weather(ProxyState(delay_ms=5.0), cut(100.0, 50.0)), Way.THERE, Random(1))
     assert [flow.arrives(at, 10) for at in (0.0, 99.0, 100.0, 120.0, 160.0)] == [
         5.0,
         104.0,
@@ -30,13 +30,13 @@
 
 
 def test_a_cut_for_good_lets_nothing_by_one_way_only():
-    weather = Weather(State(), cut(10.0, float("inf"), frozenset({Way.BACK})))
+    weather = Weather(ProxyState(), cut(10.0, float("inf"), frozenset({Way.BACK})))
     assert Flow(weather, Way.BACK, Random(1)).arrives(20.0, 1) is None
     assert Flow(weather, Way.THERE, Random(1)).arrives(20.0, 1) == 20.0
 
 
 def test_bandwidth_queues_what_comes_faster():
-    flow = Flow(Weather(State(rate=1_000.0)), Way.THERE, Random(1))
+    flow = Flow(Weather(ProxyState(rate=1_000.0)), Way.THERE, Random(1))
     assert [flow.arrives(0.0, 100) for _ in range(3)] == [100.0, 200.0, 300.0]
     assert flow.arrives(1_000.0, 100) == 1_100.0
 
@@ -44,7 +44,7 @@
 @given(st.lists(st.tuples(st.floats(0, 500), st.integers(0, 1000)), max_size=40), st.integers(0, 99))
 @settings(max_examples=60, deadline=None)
 def test_a_stream_is_never_reordered(pieces, seed):
-    weather = Weather(State(delay_ms=3.0, spread_ms=40.0, rate=50_000.0), cut(50.0, 100.0))
+    weather = Weather(ProxyState(delay_ms=3.0, spread_ms=40.0, rate=50_000.0), cut(50.0, 100.0))
     flow = Flow(weather, Way.THERE, Random(seed))
     times = [(at, flow.arrives(at, size)) for at, size in sorted(pieces)]
     assert all(b >= a for (_, a), (_, b) in zip(times, times[1:], strict=False))
@@ -52,16 +52,16 @@
 
 
 def test_faults_that_overlap_add_up():
-    slow = Fault(0.0, 100.0, {"delay_ms": 9.0})
-    weather = Weather(State(), [slow, *cut(50.0, 100.0, frozenset({Way.THERE})), *cut(120.0, 80.0)])
+    slow = ProxyFault(0.0, 100.0, {"delay_ms": 9.0})
+    weather = Weather(ProxyState(), [slow, *cut(50.0, 100.0, frozenset({Way.THERE})), *cut(120.0, 80.0)])
     assert (weather.at(60.0).delay_ms, weather.at(60.0).cut) == (9.0, {Way.THERE})
     assert weather.open_at(Way.THERE, 60.0) == 200.0 and weather.open_at(Way.BACK, 130.0) == 200.0
     with pytest.raises(TypeError):
-        Weather(State(), [Fault(0.0, 1.0, {"colour": 3})])
+        Weather(ProxyState(), [ProxyFault(0.0, 1.0, {"colour": 3})])
 
 
 def test_datagrams_are_lost_repeated_and_overtaken_by_their_shares():
-    state = State(loss=0.2, repeat=0.1, reorder=0.3, delay_ms=2.0)
+    state = ProxyState(loss=0.2, repeat=0.1, reorder=0.3, delay_ms=2.0)
     flow = Datagrams(Weather(state), Way.THERE, Random(7))
     times = [flow.arrive(float(at)) for at in range(4_000)]
     arrived = [t for t in times if t]
@@ -74,7 +74,7 @@
 
 def test_a_change_of_weather_moves_no_later_draw():
     """A play with one fault more stays the same play elsewhere."""
-    weathers = Weather(State(loss=0.3)), Weather(State(loss=0.3), cut(100.0, 50.0))
+    weathers = Weather(ProxyState(loss=0.3)), Weather(ProxyState(loss=0.3), cut(100.0, 50.0))
     one, two = (Datagrams(weather, Way.THERE, Random(3)) for weather in weathers)
     pairs = [(one.arrive(float(at)), two.arrive(float(at))) for at in range(300)]
     assert all(not b for _, b in pairs[100:150])
@@ -90,7 +90,7 @@
     def __init__(self, calm=None, faults=()):
         self.loop, self.told, self.got, self.streams = Loop(), [], b"", []
         self.service = Listener(self.loop, ("127.0.0.1", 0), self.taken)
-        self.relay = Relay(self.loop, "r", self.service.address, Weather(calm, faults), 1, self.told.append)
+        self.relay = Proxy(self.loop, "r", self.service.address, Weather(calm, faults), 1, self.told.append)
         self.clients = []
 
     def taken(self, stream):
@@ -103,7 +103,7 @@
                 self.got += data
                 stream.send(data)
             stream.close()
-        except StreamClosed:
+        except StreamClosedError:
             pass
 
     def client(self):
@@ -166,14 +166,14 @@
 
 
 def test_it_delays(rig):
-    made = rig(State(delay_ms=60.0))
+    made = rig(ProxyState(delay_ms=60.0))
     sock, began = made.client(), made.loop.now()
     sock.send(b"x")
     assert made.says(sock) == b"x" and made.loop.now() - began >= 120.0
 
 
 def test_a_cut_back_holds_answers_until_it_heals(rig):
-    made = rig(State(), cut(0.0, 150.0, frozenset({Way.BACK})))
+    made = rig(ProxyState(), cut(0.0, 150.0, frozenset({Way.BACK})))
     sock = made.client()
     sock.send(b"x")
     made.until(lambda: made.got == b"x")
@@ -181,7 +181,7 @@
     assert made.says(sock) == b"x" and made.relay.now() >= 150.0
 
 
-@pytest.mark.parametrize("state", [State(door=Door.SILENT), State(cut=BOTH)])
+@pytest.mark.parametrize("state", [ProxyState(door=Door.SILENT), ProxyState(cut=BOTH)])
 def test_a_door_that_takes_and_says_nothing(rig, state):
     made = rig(state)
     sock = made.client()
@@ -193,12 +193,12 @@
 
 
 def test_a_door_that_takes_and_closes(rig):
-    made = rig(State(door=Door.CLOSES))
+    made = rig(ProxyState(door=Door.CLOSES))
     assert made.says(made.client()) in (b"", None) and made.kinds() == ["refused"] and not made.streams
 
 
 def test_only_so_many_at_a_time(rig):
-    made = rig(State(most=2))
+    made = rig(ProxyState(most=2))
     first, second = made.client(), made.client()
     made.until(lambda: len(made.streams) == 2)
     assert made.says(made.client()) in (b"", None)
@@ -234,7 +234,7 @@
 
 def test_what_it_holds_back_is_bounded(rig):
     """A reader behind a narrow wire may not fill the relay's memory."""
-    made = rig(State(rate=1_000.0))
+    made = rig(ProxyState(rate=1_000.0))
     sock = made.client()
     sock.setblocking(True)
     sock.settimeout(0.3)
@@ -255,7 +255,7 @@
     service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     service.bind(("127.0.0.1", 0))
     service.setblocking(False)
-    relay = DatagramRelay(loop, "d", service.getsockname(), Weather(State(delay_ms=1.0)), 1, told.append)
+    relay = DatagramRelay(loop, "d", service.getsockname(), Weather(ProxyState(delay_ms=1.0)), 1, told.append)
     clients = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
     heard = {}
     for i, sock in enumerate(clients):
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -8,13 +8,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from glencleat import interface as api
-from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.startup_gate import StartupGate
 from glencleat.servers.rest_api import RestApi
 from glencleat.mesos.http import Request
 from glencleat.rest import overload, service
 from glencleat.rest import schema as s
-from glencleat.rest.watches import Limits as WatchLimits
-from glencleat.rest.jobs import Step
+from glencleat.rest.watches import WatchLimits as WatchLimits
+from glencleat.rest.jobs import JobStep
 from glencleat.rest.selector import parse
 from glencleat.rest.version_store import Gone
 from tests.fakes import Cluster, Owner
@@ -27,7 +27,7 @@
 
     def __init__(self, machines=2, limits=None, **options):
         self.cluster = Cluster(machines, **options)
-        self.plane = service.Plane(self.cluster.core, limits or service.Limits(), 7)
+        self.plane = service.RestService(self.cluster.core, limits or service.RestLimits(), 7)
         self.api = RestApi(self.plane)
         self.core, self.timing, self.agents = self.cluster.core, self.cluster.timing, self.cluster.agents
         for agent in self.agents.values():
@@ -423,7 +423,7 @@
 
 def test_before_the_opening_a_task_waits_for_it():
     front = Front(0)
-    front.core.opening = Opening(front.core.now(), 0.0, 60_000.0)
+    front.core.opening = StartupGate(front.core.now(), 0.0, 60_000.0)
     front.core.listed = None
     front.create()
     front.run(500.0)
@@ -507,8 +507,8 @@
 
 
 def test_bounds_of_creations_and_connections():
-    limits = service.Limits(
-        gate=overload.Limits(waiting_each=5, connection_rate=1.0, connection_burst=4.0, ignored=2)
+    limits = service.RestLimits(
+        gate=overload.OverloadLimits(waiting_each=5, connection_rate=1.0, connection_burst=4.0, ignored=2)
     )
     front = Front(0, limits)
     status, told, headers = front.create(tasks=6)
@@ -532,11 +532,13 @@
     for i in range(30):
         front.create(f"j{i}")
     before = front.ask("GET", "/v1/jobs")[1]["resourceVersion"]
-    limits = service.Limits(overload.Limits(waiting_each=31), WatchLimits(watchers=0), 5, 1, 1.0, 1)
+    limits = service.RestLimits(
+        overload.OverloadLimits(waiting_each=31), WatchLimits(watchers=0), 5, 1, 1.0, 1
+    )
     front.plane.retune(limits)
     assert front.create("k", key="k1")[0] == 201 and front.create("l", key="k2")[0] in (429, 503)
     assert front.ask("GET", f"/v1/jobs?watch=1&resourceVersion={before}")[0] == 503
-    front.plane.retune(service.Limits(events=5))
+    front.plane.retune(service.RestLimits(events=5))
     for i in range(3):
         patch = {"labels": {"a": str(i)}}
         for name in ("j0", "j1", "j2"):
@@ -546,7 +548,7 @@
 
 
 def test_old_jobs_and_tasks_of_frameworks_go_in_time():
-    front = Front(1, service.Limits(over_ms=5_000.0, ended=2))
+    front = Front(1, service.RestLimits(over_ms=5_000.0, ended=2))
     front.create()
     front.run()
     front.say("TASK_FINISHED")
@@ -629,11 +631,11 @@
 
     @initialize()
     def begin(self):
-        limits = service.Limits(
+        limits = service.RestLimits(
             events=40, ended=3, over_ms=3_000.0, watch=WatchLimits(piece=2_000, stall_ms=1e9)
         )
         self.front = Front(2, limits)
-        self.front.plane.gate.limits = overload.Limits(connection_rate=1e9, connection_burst=1e9)
+        self.front.plane.gate.limits = overload.OverloadLimits(connection_rate=1e9, connection_burst=1e9)
         self.owner = Owner(self.front.cluster).subscribe()
         self.watches, self.made = [], 0
 
@@ -737,9 +739,9 @@
         assert len(waits) == self.front.plane.waiting.total()
         for job in self.front.plane.jobs.values():
             for slot in job.slots:
-                if slot.step is Step.ASKED:
+                if slot.step is JobStep.ASKED:
                     assert slot.call is not None and slot.call.given is None
-                if slot.step is Step.PLACED:
+                if slot.step is JobStep.PLACED:
                     assert slot.given is not None
 
     def teardown(self):
--- a/tests/test_rest_state.py
+++ b/tests/test_rest_state.py
@@ -9,12 +9,12 @@
 
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
-from glencleat.allocator.call_table import Given
-from glencleat.allocator.status_mapping import Answer, Retry
-from glencleat.allocator.pending_reasons import Record as Reasons
+from glencleat.allocator.call_table import FinalAnswer
+from glencleat.allocator.status_mapping import StatusAnswer, RetryAdvice
+from glencleat.allocator.pending_reasons import PendingReasons as Reasons
 from glencleat.rest import watches, jobs, overload, reasons
 from glencleat.rest import schema as s
-from glencleat.rest.jobs import Bucket, Job, Keys, Slot, Step, Turns
+from glencleat.rest.jobs import Bucket, JobState, Keys, Slot, JobStep, RoundRobin
 from glencleat.rest.selector import BadSelector, Term, anchors, matches, parse
 from glencleat.rest.version_store import Gone, Versions
 
@@ -111,7 +111,7 @@
 def test_any_list_and_watch_folds_to_the_servers_state(changes, text, tenant, kept, data):
     """Watches begin, stop and resume anywhere, take at any pace, over a log that forgets: no gap, no repeat."""
     versions = Versions("e", {"k": kept})
-    hub = watches.Channels(watches.Limits(lines=kept, piece=1), versions.told)
+    hub = watches.WatchChannels(watches.WatchLimits(lines=kept, piece=1), versions.told)
     selector = parse(text)
     seen, watcher, resume, past = {}, None, None, {}
     for key, change in changes:
@@ -172,7 +172,7 @@
 )
 def test_the_index_tells_whom_a_filter_over_all_would(changes, wheres):
     versions = Versions("e", {"k": 1_000})
-    hub = watches.Channels(watches.Limits(piece=1 << 20), versions.told)
+    hub = watches.WatchChannels(watches.WatchLimits(piece=1 << 20), versions.told)
     watchers = [
         (hub.join(("k", tenant, parse(text)), None, 0.0), parse(text), tenant, []) for text, tenant in wheres
     ]
@@ -235,7 +235,7 @@
 
 def test_a_slow_watcher_is_cut_and_costs_nothing_meanwhile():
     versions = Versions("e", {"k": 100_000})
-    hub = watches.Channels(watches.Limits(lines=100, stall_ms=1_000.0), versions.told)
+    hub = watches.WatchChannels(watches.WatchLimits(lines=100, stall_ms=1_000.0), versions.told)
     slow, quick = (hub.join(("k", None, ()), None, 0.0) for _ in range(2))
     hub.take(slow, 0.0), hub.take(quick, 0.0)
     for i in range(300):
@@ -255,12 +255,12 @@
 
 
 def test_watches_are_bounded_in_all_and_by_tenant():
-    hub = watches.Channels(watches.Limits(watchers=3, each=2), lambda n: "v")
+    hub = watches.WatchChannels(watches.WatchLimits(watchers=3, each=2), lambda n: "v")
     joined = [hub.join(("k", "t", ()), None, 0.0) for _ in range(2)]
-    with pytest.raises(watches.Refused, match="of t are open"):
+    with pytest.raises(watches.WatchLimitError, match="of t are open"):
         hub.join(("k", "t", ()), None, 0.0)
     hub.join(("k", "u", ()), None, 0.0)
-    with pytest.raises(watches.Refused, match="3 watches"):
+    with pytest.raises(watches.WatchLimitError, match="3 watches"):
         hub.join(("k", "v", ()), None, 0.0)
     hub.leave(joined[0]), hub.leave(joined[0])
     assert hub.count == 2
@@ -278,49 +278,56 @@
     spec = s.JobSpec(
         task_class=effect.value, service="svc", tasks=tasks, cores=1.0, memory=1.0, wait_ms=wait, **more
     )
-    made = Job(tenant, name, "u", spec, CLASSES[effect], {}, 0.0)
-    made.slots = [Slot(made, i, wait, Step.ASKED, rounds=1) for i in range(tasks)]
+    made = JobState(tenant, name, "u", spec, CLASSES[effect], {}, 0.0)
+    made.slots = [Slot(made, i, wait, JobStep.ASKED, rounds=1) for i in range(tasks)]
     return made
 
 
-DROPPED = Answer(status_mapping.DROPPED, Retry.HARMLESS)
-MAYBE = Answer(status_mapping.LOST, Retry.HARMLESS)
-LOST = Answer(status_mapping.LOST, Retry.RECONCILE)
+DROPPED = StatusAnswer(status_mapping.DROPPED, RetryAdvice.HARMLESS)
+MAYBE = StatusAnswer(status_mapping.LOST, RetryAdvice.HARMLESS)
+LOST = StatusAnswer(status_mapping.LOST, RetryAdvice.RECONCILE)
 U, K, S = api.Idempotency.NON_IDEMPOTENT, api.Idempotency.IDEMPOTENCY_KEY, api.Idempotency.IDEMPOTENT
 
 
 @pytest.mark.parametrize(
     ("effect", "given", "answer", "now", "cancelled", "step"),
     [
-        (S, Given.SERVED, DROPPED, 0.0, False, Step.PLACED),
-        (S, Given.SERVED, DROPPED, 0.0, True, Step.PLACED),
-        (S, Given.REFUSED, DROPPED, 0.0, False, Step.PAUSED),
-        (U, Given.REFUSED, DROPPED, 0.0, False, Step.PAUSED),
-        (S, Given.REFUSED, MAYBE, 0.0, False, Step.PAUSED),
-        (K, Given.REFUSED, MAYBE, 0.0, False, Step.PAUSED),
-        (U, Given.REFUSED, MAYBE, 0.0, False, Step.OVER),  # it may have run
-        (S, Given.REFUSED, DROPPED, 19_500.0, False, Step.OVER),  # no time for another round
-        (S, Given.REFUSED, DROPPED, 0.0, True, Step.OVER),
-        (S, Given.REFUSED, Answer(status_mapping.ERROR, Retry.NEVER), 0.0, False, Step.OVER),
-        (U, Given.FAILED, LOST, 0.0, False, Step.OVER),
-        (S, Given.FAILED, DROPPED, 0.0, False, Step.OVER),
+        (S, FinalAnswer.SERVED, DROPPED, 0.0, False, JobStep.PLACED),
+        (S, FinalAnswer.SERVED, DROPPED, 0.0, True, JobStep.PLACED),
+        (S, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (S, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (K, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.OVER),  # it may have run
+        (S, FinalAnswer.REFUSED, DROPPED, 19_500.0, False, JobStep.OVER),  # no time for another round
+        (S, FinalAnswer.REFUSED, DROPPED, 0.0, True, JobStep.OVER),
+        (
+            S,
+            FinalAnswer.REFUSED,
+            StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER),
+            0.0,
+            False,
+            JobStep.OVER,
+        ),
+        (U, FinalAnswer.FAILED, LOST, 0.0, False, JobStep.OVER),
+        (S, FinalAnswer.FAILED, DROPPED, 0.0, False, JobStep.OVER),
     ],
 )
 def test_what_follows_a_round(effect, given, answer, now, cancelled, step):
     slot = job(effect).slots[0]
     slot.cancelled = cancelled
     then = jobs.after_round(slot, given, answer, now, Random(1))
-    assert then.step is step and (then.pause_ms > 0.0) is (step is Step.PAUSED)
+    assert then.step is step and (then.pause_ms > 0.0) is (step is JobStep.PAUSED)
 
 
 def test_pauses_grow_and_leave_time_for_a_last_round():
     slot = job(wait=60_000.0).slots[0]
     pauses = []
     for slot.rounds in range(1, 9):
-        pauses.append(jobs.after_round(slot, Given.REFUSED, DROPPED, 0.0, Random(1)).pause_ms)
+        pauses.append(jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 0.0, Random(1)).pause_ms)
     assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.PAUSE_MOST_MS
-    near = jobs.after_round(slot, Given.REFUSED, DROPPED, 58_900.0, Random(1))
-    assert near.step is Step.PAUSED and near.pause_ms <= 600.0
+    near = jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 58_900.0, Random(1))
+    assert near.step is JobStep.PAUSED and near.pause_ms <= 600.0
     assert (
         jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0)
         and jobs.round_ms(slot, 59_960.0, 50.0) == 0.0
@@ -331,26 +338,26 @@
 @pytest.mark.parametrize(
     ("effect", "lost", "state", "retry", "cancelled", "step"),
     [
-        (S, "again", status_mapping.KILLED, Retry.HARMLESS, False, Step.PAUSED),
-        (K, "again", status_mapping.FAILED, Retry.HARMLESS, False, Step.PAUSED),
-        (U, "again", status_mapping.KILLED, Retry.HARMLESS, False, Step.OVER),
-        (S, "leave", status_mapping.KILLED, Retry.HARMLESS, False, Step.OVER),
-        (S, "again", status_mapping.FINISHED, Retry.NEVER, False, Step.OVER),
-        (S, "again", status_mapping.KILLED, Retry.HARMLESS, True, Step.OVER),
-        (S, "again", status_mapping.UNREACHABLE, Retry.HARMLESS, False, Step.PAUSED),
-        (S, "leave", status_mapping.UNREACHABLE, Retry.HARMLESS, False, Step.PLACED),
-        (K, "again", status_mapping.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
-        (U, "again", status_mapping.UNREACHABLE, Retry.RECONCILE, False, Step.PLACED),
+        (S, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (K, "again", status_mapping.FAILED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (U, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
+        (S, "leave", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
+        (S, "again", status_mapping.FINISHED, RetryAdvice.NEVER, False, JobStep.OVER),
+        (S, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, True, JobStep.OVER),
+        (S, "again", status_mapping.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (S, "leave", status_mapping.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PLACED),
+        (K, "again", status_mapping.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
+        (U, "again", status_mapping.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
     ],
 )
 def test_what_follows_a_placed_tasks_end(effect, lost, state, retry, cancelled, step):
     slot = job(effect, when_lost=lost).slots[0]
     slot.cancelled = cancelled
-    assert jobs.after_end(slot, Answer(state, retry)).step is step
+    assert jobs.after_end(slot, StatusAnswer(state, retry)).step is step
 
 
 def test_turns_go_round_the_tenants():
-    turns = Turns()
+    turns = RoundRobin()
     for slot in job(tasks=100, tenant="greedy").slots + job(tasks=3, tenant="small").slots:
         turns.queue(slot)
     got = [turns.pop().job.tenant for _ in range(8)]
@@ -358,7 +365,7 @@
 
 
 def test_a_tenants_returns_have_a_budget_and_others_do_not_wait_for_it():
-    turns = Turns(retries_rate=10.0, retries_burst=5.0)
+    turns = RoundRobin(retries_rate=10.0, retries_burst=5.0)
     for slot in job(tasks=50, tenant="a").slots + job(tasks=2, tenant="b").slots:
         turns.pause(slot, 100.0)
     turns.wake(99.0)
@@ -377,10 +384,10 @@
 
 
 def test_a_cancelled_task_in_the_queue_is_passed_over():
-    turns, slots = Turns(), job(tasks=2).slots
+    turns, slots = RoundRobin(), job(tasks=2).slots
     for slot in slots:
         turns.queue(slot)
-    slots[0].step = Step.OVER
+    slots[0].step = JobStep.OVER
     assert turns.pop() is slots[1] and turns.pop() is None and turns.queued == 0
 
 
@@ -388,7 +395,7 @@
     keys, one = Keys(most=2, keep_ms=1_000.0), job()
     keys.note("t", "k1", 1, one, 0.0)
     done = job(name="done")
-    done.slots[0].step = Step.OVER
+    done.slots[0].step = JobStep.OVER
     keys.note("t", "k2", 2, done, 0.0)
     assert not keys.room(500.0), "both still count"
     assert keys.room(1_500.0) and keys.find("t", "k1") == (1, one) and keys.find("t", "k2") is None
@@ -410,7 +417,7 @@
 
 
 def gate(**more):
-    return overload.Gate(overload.Limits(**more), overload.Pace())
+    return overload.Gate(overload.OverloadLimits(**more), overload.AdmissionPace())
 
 
 @pytest.mark.parametrize(
@@ -449,7 +456,7 @@
 
 
 def test_creations_take_less_of_a_loop_that_runs_late():
-    pace = overload.Pace(least_ms=1.0, most_ms=8.0, late_ms=10.0)
+    pace = overload.AdmissionPace(least_ms=1.0, most_ms=8.0, late_ms=10.0)
     assert pace.begins(100.0, 99.0) == 8.0
     budgets = [pace.begins(200.0, 100.0) for _ in range(5)]
     assert budgets == [4.0, 2.0, 1.0, 1.0, 1.0]
@@ -458,7 +465,7 @@
 
 
 def test_the_rate_of_rounds_is_learned_only_while_more_wait():
-    pace = overload.Pace()
+    pace = overload.AdmissionPace()
     for turn in range(400):
         pace.ends(10.0 * turn, 4 * (turn % 2), left=50)  # nothing could be told in every other turn
     assert pace.rate == pytest.approx(200.0, rel=0.05) and pace.wait_ms(100) == pytest.approx(500.0, rel=0.05)
@@ -482,7 +489,7 @@
 
 def test_requests_take_a_share_of_a_busy_loop_and_all_of_an_idle_one():
     for idle_share, expected in ((0.0, 400.0), (0.5, 900.0)):
-        intake, read, now = overload.Intake(share=0.4, burst_ms=20.0), 0, 0.0
+        intake, read, now = overload.OverloadIntake(share=0.4, burst_ms=20.0), 0, 0.0
         while now < 1_000.0:
             now += 1.0
             for _ in range(min(1, intake.count(now, idle_share * now))):
@@ -493,7 +500,7 @@
 
 
 def test_attempts_out_are_bounded_by_how_fast_machines_answer():
-    pace = overload.Pace()
+    pace = overload.AdmissionPace()
     for _ in range(300):
         pace.answered(10.0)
     assert not pace.full(250) and pace.window > 256.0, "it grows while it is used and answers are quick"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 import pytest
 
 from glencleat.checker import report
-from glencleat.checker.trace import BadRecord, Entry, Recorder, read, write
-from glencleat.checker.invariants import Figures, Spread, check
+from glencleat.checker.trace import TraceError, TraceEntry, TraceRecorder, read, write
+from glencleat.checker.invariants import RuleParameters, Spread, check
 
-FIGURES = Figures(
+FIGURES = RuleParameters(
     drain_ms=1_000.0,
     cold_ms=10_000.0,
     cold_window_ms=1_000.0,
@@ -26,7 +26,7 @@
         self.numbers = {}
 
     def add(self, at, kind, **fields):
-        self.entries.append(Entry(at, kind, **fields))
+        self.entries.append(TraceEntry(at, kind, **fields))
         return self
 
     def asked(self, at, task="f/t", left=8_000.0, **more):
@@ -53,7 +53,7 @@
         return self.add(at, "said", who=host, allocator="a", attempt=attempt, state=state)
 
     def broken(self):
-        entries = sorted([*self.entries, Entry(END, "fault")], key=lambda e: e.at)
+        entries = sorted([*self.entries, TraceEntry(END, "fault")], key=lambda e: e.at)
         for number, entry in enumerate(entries, 1):
             entry.line = number
         return [(breach.rule, breach.lines) for breach in check(entries, FIGURES)]
@@ -274,13 +274,13 @@
 
 
 def test_a_record_goes_to_a_file_and_back(tmp_path):
-    recorder = Recorder(lambda: 1.5)
+    recorder = TraceRecorder(lambda: 1.5)
     recorder.add("asked", who="o", task="f/t", left=5.0)
     recorder.add("answer", who="o", task="f/t", state="TASK_STARTING")
     write(tmp_path / "r", recorder.entries)
     assert list(read(tmp_path / "r")) == recorder.entries
     (tmp_path / "r").write_text('{"at":1,"kind":"x"}\n{"at":"soon"}\n')
-    with pytest.raises(BadRecord, match="r:2: Expected `float`"):
+    with pytest.raises(TraceError, match="r:2: Expected `float`"):
         list(read(tmp_path / "r"))
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -10,14 +10,14 @@
 import pytest
 
 from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import ConnectFailed, Loop, StreamClosed, connect
+from glencleat.event_loop import ConnectError, Loop, StreamClosedError, connect
 from glencleat.scale import compare, report, run_size as sizes
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
 from glencleat.scale.message_counters import wire_size
 from glencleat.scale.hosts import HostGroup
-from glencleat.scale.measure import Cost, Phase
-from glencleat.scale.owners import Ledger
+from glencleat.scale.measure import Cost, MeasuredPhase
+from glencleat.scale.owners import AnswerCheck
 from glencleat.scale.worker_processes import CantStart, Parts
 from tests.live import setup
 from tests.sockets import run_until
@@ -73,7 +73,7 @@
 
 
 def test_what_a_size_needs_grows_with_each_part():
-    small = sizes.Size([6_300])
+    small = sizes.RunSize([6_300])
     base = sizes.needs(small, 6_300)
     for more in ({"real": 4}, {"hollow": 20}, {"sockets": 4_096}):
         grown = sizes.needs(msgspec.structs.replace(small, **more), 6_300)
@@ -147,7 +147,7 @@
 
 
 def test_the_ledger_counts_what_may_not_be():
-    ledger = Ledger()
+    ledger = AnswerCheck()
     for task in (1, 2, 3, 4):
         ledger.asked(task, 0.0)
     ledger.answered(1, 7.0)
@@ -173,9 +173,9 @@
     for hosts in (400, 1_600, 6_300):
         for noise in (-0.01, 0.01):
             idle = Cost(1, 10.0, 0.1 + 2e-4 * hosts + noise, 0.0, 20.0 + hosts / 1e3, 21.0)
-            phases.append(Phase("idle", hosts, [idle]))
+            phases.append(MeasuredPhase("idle", hosts, [idle]))
             event = Cost(1, 10.0, 0.1 + 2e-4 * hosts + 20 * hosts * 1e-6, 0.0, 20.0, 20.0)
-            phases.append(Phase("list event of one host", hosts, [event], notes={"events": 20.0}))
+            phases.append(MeasuredPhase("list event of one host", hosts, [event], notes={"events": 20.0}))
     found = {fit.what: fit for fit in report.fits(phases)}
     assert found["idle CPU"].low < 2.0 < found["idle CPU"].high and found[
         "idle CPU"
@@ -186,8 +186,10 @@
 
 
 def test_two_runs_are_set_beside_each_other_phase_by_phase():
-    one, other = ([Phase("idle", 400, [Cost(1, 10.0, cpu, 0.0, 20.0, 20.0)])] for cpu in (2.0, 0.5))
-    lines = compare.beside(one, [*other, Phase("more", 400, other[0].allocators)], ("before", "after"))
+    one, other = ([MeasuredPhase("idle", 400, [Cost(1, 10.0, cpu, 0.0, 20.0, 20.0)])] for cpu in (2.0, 0.5))
+    lines = compare.beside(
+        one, [*other, MeasuredPhase("more", 400, other[0].allocators)], ("before", "after")
+    )
     assert "| 400 | idle | CPU, % of a core | 20 | 5 | 0.25 |" in lines and not any(
         "more" in line for line in lines
     )
@@ -196,7 +198,9 @@
 def test_hollow_and_real_agree_within_ten_percent_or_are_said_not_to():
     real = Cost(1, 10.0, 1.0, 0.0, 20.0, 20.0, {"host a": 1_000, "host b": 1_000, "host c": 20, "host d": 0})
     hollow = {2: {"host a": 1_080, "host b": 800, "host c": 40}}
-    said = compare.against([Phase("load", 400, [real], hollow), Phase("whole run", 400, [real], hollow)])
+    said = compare.against(
+        [MeasuredPhase("load", 400, [real], hollow), MeasuredPhase("whole run", 400, [real], hollow)]
+    )
     assert [line.split(" | ")[-1].strip(" |") for line in said[2:]] == [
         "yes",
         "no",
@@ -216,7 +220,7 @@
         loop.spawn(self.run((f"127.0.{number}.1", port)), "peer")
 
     def run(self, place):
-        decoder = m.Decoder()
+        decoder = m.MessageDecoder()
         try:
             self.stream = yield from connect(self.loop, place, 300.0)
             while data := (yield from self.stream.read()):
@@ -224,9 +228,9 @@
                 decoder.feed(data)
                 self.got += decoder.messages()
             self.ended = "closed"
-        except ConnectFailed as error:
+        except ConnectError as error:
             self.ended = error.code
-        except StreamClosed:
+        except StreamClosedError:
             self.ended = "reset"
 
     def kinds(self):
@@ -349,7 +353,7 @@
 
 
 def test_sizes_are_those_on_the_wire():
-    decoder = m.Decoder()
+    decoder = m.MessageDecoder()
     decoder.feed(setup(7) + m.caused(m.RELEASE, 7, 16))
     assert [wire_size(message) for message in decoder.messages()] == [len(setup(7)), 15]
 
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -13,7 +13,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import EpollPoller
-from glencleat.platform_server.process import Process, load
+from glencleat.platform_server.process import PlatformProcess, load
 from glencleat.scale.hosts import listen_on_loopback
 from glencleat.emulators.channel import entry
 from glencleat.emulators.allocator_processes import SETTINGS
@@ -92,7 +92,7 @@
         path.write_text(json.dumps(config))
         self.clock = LeapingClock()
         self.loop = Loop(self.clock, LeapingPoller(self.clock))
-        self.process = Process(load(str(path)), self.loop, lambda text: None, str(path))
+        self.process = PlatformProcess(load(str(path)), self.loop, lambda text: None, str(path))
         self.place, self.client = self.process.owners.listen(("127.0.0.1", 0)), None
         self.last = self.asked = 0
         self.run(300.0)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -7,7 +7,7 @@
 
 from glencleat.allocator import reconciliation
 from glencleat.allocator.reconciliation import TURN
-from glencleat.allocator.startup_gate import Opening
+from glencleat.allocator.startup_gate import StartupGate
 from glencleat.servers.metrics import MetricsApi
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
@@ -99,7 +99,7 @@
 def held():
     """A cluster of which nothing is known yet, and an owner."""
     cluster = Cluster(0)
-    cluster.core.opening = Opening(cluster.timing.now(), 0.0, 60_000.0)
+    cluster.core.opening = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
     return cluster, Owner(cluster).subscribe()
 
 
@@ -113,7 +113,7 @@
     cluster, owner = held
     for number, left in enumerate((8_000.0, 3_000.0, 5_000.0, 4_000.0)):
         owner.launch(f"t{number}", left=left)
-    cluster.core.classes["unsafe"] = replace(cluster.core.classes["unsafe"], worth=9.0)
+    cluster.core.classes["unsafe"] = replace(cluster.core.classes["unsafe"], weight=9.0)
     owner.launch("u", cls="unsafe", left=8_000.0)
     opens(cluster, 2)
     cluster.timing.advance(20.0)
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -8,13 +8,13 @@
 from glencleat.descriptor_budget import Demand
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_server import connection_pool, failure_detector
-from glencleat.platform_server.connection_pool import Hosts
+from glencleat.platform_server.connection_pool import ConnectionPool
 from tests.quiet import World
 
 STREAMS, BATCH, STEPS = 240, 12, 140
 
 
-class Sweeping(Hosts):
+class Sweeping(ConnectionPool):
     """The plain way, which the program went until hosts were looked at when due: all of them in each tick."""
 
     def _tick(self):
@@ -169,7 +169,7 @@
 def test_all_that_is_told_is_as_if_all_hosts_were_looked_at(first, monkeypatch):
     """Streams of lists, drains, ends, breaks, refusals, silences and standstills, by both ways."""
     for seed in range(first, first + BATCH):
-        plain, due = (played(kind, seed, monkeypatch) for kind in (Sweeping, Hosts))
+        plain, due = (played(kind, seed, monkeypatch) for kind in (Sweeping, ConnectionPool))
         pairs = zip(plain.record, due.record, strict=False)
         differs = next((i for i, (a, b) in enumerate(pairs) if a != b), None)
         if differs is not None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,15 +1,15 @@
 """A whole path on loopback in one process and on one loop: daemon, directory, hosts and owners."""
 
 from glencleat.checker import invariants
-from glencleat.checker.trace import Recorder
+from glencleat.checker.trace import TraceRecorder
 from glencleat.config import load
 from glencleat.daemon import Daemon
 from glencleat.event_loop import Loop
-from glencleat.flow_control.backoff import Pace
-from glencleat.emulators.directory import Directory, Entry
-from glencleat.emulators.hosts import Host
+from glencleat.flow_control.backoff import BackoffPolicy
+from glencleat.emulators.directory import Directory, DirectoryEntry
+from glencleat.emulators.hosts import EmulatedHost
 from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import Job, Owner, Want
+from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
 
 CONF = """
 allocator a0 number 0 of 1 zone hall-a
@@ -27,7 +27,7 @@
 grace 5s
 """
 
-PACE = Pace(5.0, 20.0, 1_000.0)  # of asking for the list
+PACE = BackoffPolicy(5.0, 20.0, 1_000.0)  # of asking for the list
 
 
 class Quiet:
@@ -45,10 +45,10 @@
 class World:
     def __init__(self, folder, hosts=3, conf="", nature=None, down=False):
         self.loop, self.log = Loop(), Quiet()
-        self.recorder = Recorder(self.loop.now)
+        self.recorder = TraceRecorder(self.loop.now)
         nature = nature or Nature(decide_ms=1.0, start_ms=2.0, warm_ms=1.0)
         self.hosts = [
-            Host(
+            EmulatedHost(
                 self.loop, self.recorder, f"h{i}", "std", (32.0, 65_536.0), f"hall-{'abc'[i % 3]}", i, nature, i + 1,
                 50.0, 100.0,
             )
@@ -76,7 +76,7 @@
 
     def entries(self):
         return [
-            Entry(h.name, "std", h.zone, h.cell, 32.0, 65_536.0, h.machine.faults.draining, h.up_wall, h.machine.asked())
+            DirectoryEntry(h.name, "std", h.zone, h.cell, 32.0, 65_536.0, h.machine.faults.draining, h.up_wall, h.machine.asked())
             for h in self.hosts if h.up
         ]  # fmt: skip
 
@@ -95,7 +95,7 @@
         ticking[0].cancel()
 
     def owner(self, name="o"):
-        owner = Owner(
+        owner = EmulatedOwner(
             self.loop, self.recorder, name, "tenant", "a0", self.bound["owners"], len(self.owners) + 1
         )
         self.owners.append(owner)
@@ -104,7 +104,7 @@
 
     def job(self, name, cls="pull-front", effect="safe", life=100.0, **more):
         want = Want(cls, effect, 8_000.0, ((1.0, 100.0),), (life, life))
-        return Job(name, want, "svc", 1.0, 100.0, life)
+        return OwnerJob(name, want, "svc", 1.0, 100.0, life)
 
     def states(self, owner, name):
         task = f"{owner.framework}/{name}"
@@ -112,7 +112,7 @@
 
     def broken(self):
         return invariants.check(
-            self.recorder.entries, invariants.Figures(keyed_window_ms={"repo-copy": 5_000.0})
+            self.recorder.entries, invariants.RuleParameters(keyed_window_ms={"repo-copy": 5_000.0})
         )
 
     def close(self):
