--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -5,7 +5,8 @@
 
 A line: test, cause, issue, with `|` between them; empty lines and those that begin with # count for nothing.
 One that passes, that does not exist or can't be run is an error: the list says what is so today. No file, or
-an empty one, means none."""
+an empty one, means none.
+"""
 
 import subprocess
 import sys
@@ -15,7 +16,7 @@
 FAILED = 1  # pytest's exit codes: 0 passed, 1 failed, 4 not found, 5 nothing run
 
 
-class BadList(Exception):
+class KnownRedError(Exception):
     """The list can't be used; the text says why."""
 
 
@@ -26,12 +27,12 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise BadList(f"line {number}: expected 'file::test | cause | issue'")
+            raise KnownRedError(f"line {number}: expected 'file::test | cause | issue'")
         found.append((parts[0], parts[1], parts[2]))
     if len(found) > MOST:
-        raise BadList(f"{len(found)} tests; at most {MOST}")
+        raise KnownRedError(f"{len(found)} tests; at most {MOST}")
     if len({test for test, _, _ in found}) < len(found):
-        raise BadList("a test twice")
+        raise KnownRedError("a test twice")
     return found
 
 
@@ -53,7 +54,7 @@
 def main() -> int:
     try:
         listed = read(LIST.read_text() if LIST.exists() else "")
-    except BadList as error:
+    except KnownRedError as error:
         print(f"{LIST}: {error}", file=sys.stderr)
         return 2
     if sys.argv[1:] == ["deselect"]:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -33,7 +33,7 @@
 Versions = dict[str, dict[str, Any]]  # version -> the runs that hold it
 
 
-class Unknown(Exception):
+class UnknownFigureError(Exception):
     """A formula names a quantity that was not run."""
 
 
@@ -67,7 +67,7 @@
         for seen in rig_phases(self.version):
             if seen["name"] == phase and seen["hosts"] == self.hosts:
                 return float(read(seen["allocators"][0]))
-        raise Unknown(name)
+        raise UnknownFigureError(name)
 
     def quantity(self, name: str, bound: int) -> float:
         """Median (0), low (1) or high (2) end of its 95% interval; the rig's is one run."""
@@ -82,7 +82,7 @@
         elif known and len({x for x, _ in known}) == 1:
             value = mean_interval([y for _, y in known])[bound]  # the same at all sizes: messages
         else:
-            raise Unknown(name)
+            raise UnknownFigureError(name)
         return value * self._by_tasks(name)
 
     def _by_tasks(self, name: str) -> float:
@@ -134,7 +134,7 @@
 def told(size: Size, formula: str, unit: str) -> str:
     try:
         return show(size.value(formula), unit)
-    except Unknown as missing:
+    except UnknownFigureError as missing:
         return f"not run ({missing})"
 
 
@@ -145,7 +145,7 @@
 def ratio(size: Size, bound: lines.Bound) -> float | None:
     try:
         return size.value(bound.formula) / bound.bound
-    except Unknown:
+    except UnknownFigureError:
         return None
 
 
@@ -443,7 +443,7 @@
 
 def page(text: str, data: dict[str, Any]) -> str:
     """The page with its tables made anew."""
-    runs = {version: data for version in data["versions"]}
+    runs = dict.fromkeys(data["versions"], data)
 
     def made(match: re.Match[str]) -> str:
         found = runs_of(data) if match[2] == "runs" else TABLES[match[2]](runs)
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -6,7 +6,6 @@
 
 from benchmarks.capacity_lines import ENTRY, FRAMES, LIST, LOOK, LOOKS, MESSAGES, NOTES, PART, PLACE, STARTS
 
-
 SITUATIONS = ("ordinary", "peak", "rack lost", "zone lost", "region back", "all start cold")
 
 
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -19,13 +19,13 @@
 
 from benchmarks.cold_start import until
 from glencleat.checker.chance_bounds import busiest
-from glencleat.event_loop import Loop
-from glencleat.event_loop.loop import READ
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import AllocatorProcesses
 from glencleat.emulators.proxy import Passed, Proxy
 from glencleat.emulators.proxy_faults import ProxyState, Weather
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import READ
 
 OFFERS, WINDOW_MS, COLD_MS = 24.0, 1_000.0, 16_000.0
 RULES = {"warm-within-ms": COLD_MS, "overload-for-ms": WINDOW_MS, "stop-sending-within-ms": 500.0}
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -16,10 +16,10 @@
 
 from benchmarks.cold_start import start_all, until
 from glencleat.checker.chance_bounds import busiest
-from glencleat.event_loop import Loop
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.event_loop import Loop
 
 CALM_MS, AWAY_MS, AFTER_MS = 6_000.0, 4_000.0, 6_000.0
 LIFE_MS = 20_000.0
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -13,11 +13,11 @@
 import click
 
 from glencleat.checker.chance_bounds import busiest
-from glencleat.event_loop import Loop
-from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.proxy import Passed, Proxy
 from glencleat.emulators.proxy_faults import Door, ProxyFault, ProxyState, Weather
+from glencleat.event_loop import Loop
 
 DOWN_MS, AFTER_MS, START_MS, BACK_MS = 10_000.0, 3_000.0, 240_000.0, 10_000.0
 
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -20,12 +20,12 @@
 from sortedcontainers import SortedList
 
 from benchmarks.common import cpu_s, machine, rows_of, rss_mb
-from glencleat.index.due_queue import DueQueue
-from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import Loop, Timer, TimerWheel, connect
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost
-from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.event_loop import Loop, Timer, TimerWheel, connect
+from glencleat.index.due_queue import DueQueue
+from glencleat.platform_protocol import messages as m
 
 SEED, TICK_MS, EVERY_MS, TICKS = 7, 200.0, 1_000.0, 50
 IDLE_S, EVENTS = 10.0, 100
--- a/benchmarks/release_day.py
+++ b/benchmarks/release_day.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.common import cpu_s, rss_mb, table
-from glencleat.checker import report, invariants
+from glencleat.checker import invariants, report
 from glencleat.emulators.play import Play
 from glencleat.emulators.script import figures, load_campus, load_script
 
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -40,9 +40,9 @@
 
 def hosts(folder: str, part: str, agents: str) -> None:
     from glencleat.checker.trace import TraceRecorder
-    from glencleat.event_loop import Loop
     from glencleat.emulators import standalone
     from glencleat.emulators.script import load_campus, load_script
+    from glencleat.event_loop import Loop
 
     class Forgetful(TraceRecorder):
         def add(self, kind, **fields):
@@ -219,8 +219,8 @@
 def places(rig: Rig, rate: float, seconds: float, tag: str) -> list[float]:
     """Milliseconds from ACCEPT to the update that says placed, of tasks of ten Scheduler API owners."""
     from glencleat.checker.trace import TraceRecorder
+    from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
     from glencleat.event_loop import Loop
-    from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
 
     loop = Loop()
     recorder, random = TraceRecorder(loop.now), Random(3)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -18,12 +18,12 @@
 import psutil
 
 from benchmarks.common import machine
+from glencleat.emulators.allocator_processes import ProcessError
 from glencleat.scale import compare, report
 from glencleat.scale import run_size as sizes
 from glencleat.scale.measure import MeasuredPhase
-from glencleat.scale.worker_processes import CantStart, PartFailed
-from glencleat.scale.runs import Run, RunFailed
-from glencleat.emulators.allocator_processes import ProcessError
+from glencleat.scale.runs import Run, RunFailedError
+from glencleat.scale.worker_processes import StartError, WorkerFailedError
 
 HERE = Path(__file__).parent.parent
 
@@ -51,11 +51,11 @@
             Run(size, count, tree, ends_at, found, lambda text: click.echo(text, err=True)).play()
     except KeyboardInterrupt:
         return 130, "interrupted"
-    except sizes.BadSize as error:
+    except sizes.RunSizeError as error:
         return 2, str(error)
-    except CantStart as error:
+    except StartError as error:
         return 2, f"{count} hosts need {sizes.needs(size, count).line()}; {error}"
-    except (RunFailed, PartFailed, ProcessError, psutil.Error, OSError) as error:
+    except (RunFailedError, WorkerFailedError, ProcessError, psutil.Error, OSError) as error:
         return 1, f"{type(error).__name__}: {error}"
     whole = [cost for phase in found if phase.name == "whole run" for cost in phase.allocators]
     wrong = sum(report.wrong(cost.counts) for cost in whole)
@@ -78,7 +78,7 @@
         size = sizes.read(path)
         sizes.check(size)
         earlier = {beside.stem: report.load(beside).phases} if beside is not None else {}
-    except (sizes.BadSize, report.BadResults) as error:
+    except (sizes.RunSizeError, report.ResultsError) as error:
         click.echo(f"scale: {error}", err=True)
         sys.exit(2)
     signal.signal(signal.SIGTERM, interrupted)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 from benchmarks.common import cpu_s, rss_mb, table
+from glencleat.emulators.client import Subscription
 from glencleat.event_loop import Loop
 from glencleat.mesos import messages as m
-from glencleat.emulators.client import Subscription
 
 CONF = """
 allocator a0 number 0 of 1 zone hall-a
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -18,7 +18,6 @@
 from typing import Any
 
 import msgspec
-
 from slope_worker import CORES, MANY, MEMORY, ZONES, entry
 
 SOCKETS = 1_024
@@ -58,9 +57,9 @@
     """A loop with the list service, the listener of all hosts, one node."""
 
     def __init__(self, folder: Path, hosts: int, peers: int, seed: int) -> None:
+        from glencleat.emulators.channel import ChannelService
         from glencleat.event_loop import Loop
         from glencleat.event_loop.loop import READ
-        from glencleat.emulators.channel import ChannelService
 
         self.loop, self.accepted, self.peers = Loop(), 0, peers
         self.open: set[Any] = set()
@@ -195,8 +194,8 @@
 
 def node_looks(hosts: int, tasks: int, services: int, peers: int, seed: int) -> dict[str, float]:
     """Tasks handed over at silent hosts, spread evenly: what looking whether those live costs."""
-    from glencleat.platform_protocol import messages as m
     from glencleat.event_loop import Stream, connect
+    from glencleat.platform_protocol import messages as m
 
     with rig(hosts, peers, seed) as one:
         place = one.place()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -114,7 +114,7 @@
         yield Cell("module", SIZE, peers=16), 3
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """A measurement came to no figures."""
 
 
@@ -126,7 +126,7 @@
     # `python -m` looks in the working directory before PYTHONPATH
     done = subprocess.run(command, env=environment, cwd=tree, capture_output=True, text=True, timeout=600)
     if done.returncode:
-        raise Failed(f"{cell}: {done.stderr.strip()[-300:]}")
+        raise RunFailedError(f"{cell}: {done.stderr.strip()[-300:]}")
     found: dict[str, float] = json.loads(done.stdout)
     return found
 
@@ -217,7 +217,7 @@
                 began = time.monotonic()
                 try:
                     figures = measure(cell, seed, tree)
-                except (Failed, subprocess.TimeoutExpired) as error:
+                except (RunFailedError, subprocess.TimeoutExpired) as error:
                     data["failed"].append(f"{version} seed {seed} {error}")
                     click.echo(f"FAILED {data['failed'][-1]}", err=True)
                     continue
--- a/benchmarks/watch_index.py
+++ b/benchmarks/watch_index.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from benchmarks.common import table
-from glencleat.rest import watches
 from glencleat.rest import schema as s
+from glencleat.rest import watches
 from glencleat.rest.selector import matches, parse
 from glencleat.rest.version_store import Versions
 
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -11,7 +11,7 @@
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
 from glencleat.allocator.call_table import Call, CallTable
-from glencleat.allocator.domain_events import AdmissionRequest, AdmissionDecision
+from glencleat.allocator.domain_events import AdmissionDecision, AdmissionRequest
 from glencleat.allocator.status_mapping import ExecutionStatus
 
 
--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -14,8 +14,8 @@
 
 from glencleat.allocator import status_mapping
 from glencleat.allocator.call_table import Call, FinalAnswer
-from glencleat.allocator.ports import CorePort
 from glencleat.allocator.domain_events import CallAnswered, Happened
+from glencleat.allocator.ports import CorePort
 from glencleat.flow_control.slow_start import LAST_MS, SLOT_MS, SlowStart
 
 Place = tuple[float, float, int]
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -9,12 +9,12 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
-from glencleat.allocator.task_requests import TaskRequestError, read
-from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
 from glencleat.allocator.agent_membership import AgentState, split_id
-from glencleat.allocator.ports import CorePort
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
 from glencleat.allocator.domain_events import AgentStateChanged, CallTaken
-from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep, StatusMeaning
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus, StatusMeaning
+from glencleat.allocator.task_requests import TaskRequestError, read
 from glencleat.mesos import messages as m
 
 
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -13,8 +13,8 @@
 
 from glencleat import interface as api
 from glencleat.allocator.delivery_status import merge
-from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
 from glencleat.allocator.pending_reasons import PendingReasons
+from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
 from glencleat.mesos.messages import TaskInfo
 
 UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -17,34 +17,34 @@
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
 from glencleat.allocator.admission import DuplicateFilter
+from glencleat.allocator.admission_queue import AdmissionQueue
+from glencleat.allocator.agent_membership import AgentMembership, AgentState
 from glencleat.allocator.agent_sessions import AgentSessions
+from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer
 from glencleat.allocator.contract import Contract, DecisionModule
-from glencleat.allocator.admission_queue import AdmissionQueue
 from glencleat.allocator.counters import TaskCounters
-from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, CallTable
-from glencleat.allocator.agent_membership import AgentMembership, AgentState
-from glencleat.allocator.ports import TimingPort
-from glencleat.allocator.options import Options
-from glencleat.allocator.framework_sessions import FrameworkSessions
-from glencleat.allocator.startup_gate import StartupGate
 from glencleat.allocator.domain_events import (
-    AgentStateChanged,
-    CallAnswered,
+    AdmissionDecision,
     AdmissionRequest,
+    AgentStateChanged,
     AttemptConcluded,
-    Decider,
+    AttemptSent,
+    CallAnswered,
     CallForgotten,
+    Decider,
     Happened,
     Hear,
     InProcessOwner,
     MachineListChanged,
     PlacementOpened,
-    AttemptSent,
-    AdmissionDecision,
 )
 from glencleat.allocator.event_dispatcher import EventDispatcher
-from glencleat.allocator.status_mapping import StatusAnswer, AttemptStep
+from glencleat.allocator.framework_sessions import FrameworkSessions
+from glencleat.allocator.frameworks import Framework, Frameworks
+from glencleat.allocator.options import Options
+from glencleat.allocator.ports import TimingPort
+from glencleat.allocator.startup_gate import StartupGate
+from glencleat.allocator.status_mapping import AttemptStep, StatusAnswer
 from glencleat.mesos import messages as m
 
 
--- a/glencleat/allocator/counters.py
+++ b/glencleat/allocator/counters.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from glencleat.allocator.call_table import FinalAnswer, CallTable
+from glencleat.allocator.call_table import CallTable, FinalAnswer
 
 
 class TaskCounters:
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
+from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
 
 
 class DeliveryStatus(Enum):
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from glencleat import interface as api
-from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, TaskRequest
 from glencleat.allocator.status_mapping import StatusAnswer
 
 
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -8,19 +8,19 @@
 
 from glencleat import interface as api
 from glencleat.allocator import admission, status_mapping
-from glencleat.allocator.task_requests import TaskRequestError, read
-from glencleat.allocator.frameworks import Framework
-from glencleat.allocator.call_table import TaskRequest, Call, FinalAnswer
-from glencleat.allocator.ports import CorePort
-from glencleat.allocator.reconciliation import ReconciliationQueue
+from glencleat.allocator.call_table import Call, FinalAnswer, TaskRequest
 from glencleat.allocator.domain_events import (
+    AdmissionDecision,
     AdmissionRequest,
     CallTaken,
     TaskStatusReported,
-    AdmissionDecision,
 )
-from glencleat.allocator.status_mapping import StatusAnswer, RetryAdvice
+from glencleat.allocator.frameworks import Framework
 from glencleat.allocator.pending_reasons import PendingReasons
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.reconciliation import ReconciliationQueue
+from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer
+from glencleat.allocator.task_requests import TaskRequestError, read
 from glencleat.mesos import messages as m
 
 
--- a/glencleat/allocator/ports.py
+++ b/glencleat/allocator/ports.py
@@ -11,13 +11,13 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status
+from glencleat.allocator.agent_membership import AgentMembership
+from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer
 from glencleat.allocator.counters import TaskCounters
+from glencleat.allocator.domain_events import AdmissionDecision, AdmissionRequest, Happened, Hear
 from glencleat.allocator.frameworks import Framework, Frameworks
-from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, CallTable
-from glencleat.allocator.agent_membership import AgentMembership
 from glencleat.allocator.options import Options
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.allocator.domain_events import AdmissionRequest, Happened, Hear, AdmissionDecision
 from glencleat.allocator.status_mapping import StatusAnswer
 from glencleat.mesos import messages as m
 
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from glencleat.allocator.frameworks import Framework
 from glencleat.allocator.call_table import Call
 from glencleat.allocator.domain_events import Happened, PlacementOpened
+from glencleat.allocator.frameworks import Framework
 
 if TYPE_CHECKING:
     from glencleat.allocator.ports import CorePort
--- a/glencleat/checker/polling_bounds.py
+++ b/glencleat/checker/polling_bounds.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from glencleat.checker.chance_bounds import BoundVerdict, busiest, chance_limit, verdict
-from glencleat.checker.trace import TraceEntry
 from glencleat.checker.invariants import TraceHistory
+from glencleat.checker.trace import TraceEntry
 
 AFTER_MS = 3_000.0  # first tries are spread over less; what goes on is judged from here
 RATE = 0.98  # connections a second of each: a tenth of what fixed steps of 0.1 s came to
--- a/glencleat/checker/report.py
+++ b/glencleat/checker/report.py
@@ -11,8 +11,8 @@
 from rich.table import Table
 
 from glencleat.checker.chance_bounds import BoundVerdict
-from glencleat.checker.trace import TraceEntry
 from glencleat.checker.invariants import PLACED, RECONCILED, TURNED, Violation
+from glencleat.checker.trace import TraceEntry
 
 SHARES = (50.0, 90.0, 99.0, 100.0)
 SHOWN = 20  # breaches printed; the rest is counted
--- a/glencleat/checker/slow_start_bounds.py
+++ b/glencleat/checker/slow_start_bounds.py
@@ -9,10 +9,10 @@
 
 from bisect import bisect_right
 
-from glencleat.checker.polling_bounds import BACK_MS, LEAST_CROWD, turned_away
 from glencleat.checker.chance_bounds import BoundVerdict, verdict
-from glencleat.checker.trace import TraceEntry
 from glencleat.checker.invariants import PLACED, TURNED, ObservedAttempt, TraceHistory
+from glencleat.checker.polling_bounds import BACK_MS, LEAST_CROWD, turned_away
+from glencleat.checker.trace import TraceEntry
 
 OUT_MS = 1_000.0  # one without an answer for longer waits for room, and holds up nobody
 HELD = 3  # tasks that one allocator held back, and would send at once
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -19,8 +19,8 @@
 
 if TYPE_CHECKING:
     from glencleat.checker.trace import TraceEntry
-    from glencleat.event_loop import Loop
     from glencleat.emulators.script import Script
+    from glencleat.event_loop import Loop
 
 Places = tuple[tuple[str, tuple[str, int]], ...]
 CONF = click.Path(dir_okay=False, path_type=Path)
@@ -95,8 +95,8 @@
 @click.option("--trouble", help="Faults of such a bench day instead of the script's, as in crash+hot_key.")
 def play(script: Path, folder: Path | None, seed: int | None, trouble: str | None) -> None:
     """Play a day from SCRIPT on loopback and check the five rules. Exits with 1 if one was broken."""
-    from glencleat.emulators.play import Play, PlayError
     from glencleat.emulators.fault_scenarios import faults
+    from glencleat.emulators.play import Play, PlayError
 
     told, campus = read_script(script)
     if seed is not None:
@@ -172,8 +172,8 @@
 @placed
 def standin_directory(script: Path, places: Places, seconds: float | None) -> None:
     """Serve SCRIPT's hosts as the machine list, at an address for each allocator (port 0: any)."""
-    from glencleat.event_loop import Loop
     from glencleat.emulators import standalone
+    from glencleat.event_loop import Loop
 
     loop = Loop()
     try:
@@ -190,8 +190,8 @@
 @placed
 def standin_hosts(script: Path, places: Places, seconds: float | None) -> None:
     """Run SCRIPT's hosts against the allocators' agents addresses."""
-    from glencleat.event_loop import Loop
     from glencleat.emulators import standalone
+    from glencleat.event_loop import Loop
 
     loop = Loop()
     made = standalone.run_hosts(loop, *read_script(script), list(places))
@@ -203,8 +203,8 @@
 @placed
 def standin_owners(script: Path, places: Places, seconds: float | None) -> None:
     """Ask SCRIPT's tasks of the allocators' owners addresses, and print how the asks ended."""
-    from glencleat.event_loop import Loop
     from glencleat.emulators import standalone
+    from glencleat.event_loop import Loop
 
     loop = Loop()
     asking, ends = standalone.run_owners(loop, *read_script(script), list(places))
@@ -236,8 +236,8 @@
     """Shows the tables; exits with 1 if a rule or a bound was broken."""
     from rich.console import Console
 
+    from glencleat.checker import invariants, polling_bounds, slow_start_bounds
     from glencleat.checker import report as tables
-    from glencleat.checker import polling_bounds, invariants, slow_start_bounds
     from glencleat.checker.chance_bounds import BoundState
     from glencleat.emulators.script import figures
 
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -71,7 +71,7 @@
     sys.exit(code)
 
 
-class Problem(Exception):
+class ProblemError(Exception):
     """The server's word on what it did not do."""
 
     def __init__(self, status: int, body: bytes, retry_after: float | None) -> None:
@@ -103,7 +103,7 @@
         response = connection.getresponse()
         if response.status >= 400:
             wait = response.headers.get("retry-after")
-            raise Problem(response.status, response.read(), float(wait) if wait else None)
+            raise ProblemError(response.status, response.read(), float(wait) if wait else None)
         return response
 
     def ask(self, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None) -> Any:
@@ -181,7 +181,7 @@
     def run(*args: Any, **more: Any) -> Any:
         try:
             return command(*args, **more)
-        except Problem as error:
+        except ProblemError as error:
             stop(str(error), 1)
         except (OSError, http.client.HTTPException) as error:
             stop(f"the server can't be reached: {error}", 3)
@@ -257,11 +257,11 @@
         try:
             for event in server.lines(target):
                 if event["type"] == "ERROR":
-                    raise Problem(410, json.dumps(event["object"]).encode(), None)
+                    raise ProblemError(410, json.dumps(event["object"]).encode(), None)
                 since, broken = event["object"]["resourceVersion"], 0
                 if event["type"] != "BOOKMARK":
                     _changed(kind, event, form)
-        except Problem as error:
+        except ProblemError as error:
             if error.status != 410 or not since:
                 raise
             click.echo(f"# {error}; all that is there follows anew", err=True)
@@ -312,7 +312,7 @@
         try:
             job = server.ask("POST", place("jobs", tenant), body, headers)
             break
-        except Problem as error:
+        except ProblemError as error:
             if error.status not in (429, 503) or time.monotonic() > until:
                 raise
             time.sleep(min(5.0, error.retry_after or 1.0))
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -15,19 +15,19 @@
 from glencleat.allocator.core import Core
 from glencleat.allocator.options import Options
 from glencleat.config import AllocatorConfig, ConfigError, load
+from glencleat.event_loop import Loop, Signals
 from glencleat.flow_control.backoff import LIST, Backoff, BackoffPolicy
+from glencleat.policy.scheduler import Scheduler
+from glencleat.rest import service as rest
+from glencleat.rest.overload import OverloadLimits as GateLimits
+from glencleat.rest.watches import WatchLimits as WatchLimits
 from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.endpoint_snapshot_file import EndpointSnapshotFile
 from glencleat.servers.executor_api import ExecutorApi
+from glencleat.servers.http_server import Handler, Server, ServerLimits, plain
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi, problem
 from glencleat.servers.scheduler_api import SchedulerApi
-from glencleat.servers.http_server import Handler, ServerLimits, Server, plain
-from glencleat.event_loop import Loop, Signals
-from glencleat.policy.scheduler import Scheduler
-from glencleat.rest import service as rest
-from glencleat.rest.watches import WatchLimits as WatchLimits
-from glencleat.rest.overload import OverloadLimits as GateLimits
 
 MB = 1 << 20
 FLUSH_MS = 1_000.0
--- a/glencleat/emulators/client.py
+++ b/glencleat/emulators/client.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from glencleat.event_loop import Loop, Stream, StreamClosedError, LoopTask, connect
+from glencleat.event_loop import Loop, LoopTask, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
 from glencleat.mesos.messages import MessageError
@@ -19,7 +19,7 @@
 Address = tuple[str, int]
 
 
-class Rejected(Exception):
+class RequestRejectedError(Exception):
     """A call was answered with another status than expected."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -72,7 +72,7 @@
                         self.early += self.decoder.feed(event)
                     text += event
                 elif status != 200:
-                    raise Rejected(status, text.decode(errors="replace"))
+                    raise RequestRejectedError(status, text.decode(errors="replace"))
             if status == 200:
                 return
             if data == b"":
@@ -263,7 +263,7 @@
                 yield from self.stream.open(self.hello())
                 wait = shortest
                 yield from self.follow(self.stream)
-            except Rejected as error:
+            except RequestRejectedError as error:
                 self.rejected(error.status)
             except (StreamClosedError, HttpError, RecordError, MessageError):
                 pass
--- a/glencleat/emulators/hosts.py
+++ b/glencleat/emulators/hosts.py
@@ -9,11 +9,11 @@
 from random import Random
 
 from glencleat.checker.trace import TraceRecorder
+from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
+from glencleat.emulators.machine import EmulatedMachine, HeldTask, Nature, TaskOffer
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
-from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
-from glencleat.emulators.machine import HeldTask, EmulatedMachine, Nature, TaskOffer
 
 TARGET = "/api/v1/executor"
 AGAIN_MS = 100.0, 1_000.0  # between two tries to subscribe: the first, the longest
--- a/glencleat/emulators/owners.py
+++ b/glencleat/emulators/owners.py
@@ -11,11 +11,11 @@
 from random import Random
 
 from glencleat.checker.trace import TraceRecorder
+from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.event_loop.timers import Timer
 from glencleat.mesos import messages as m
-from glencleat.emulators.client import Address, Calls, Reconnecting, Subscription
 
 TARGET = "/api/v1/scheduler"
 AGAIN_MS = 200.0, 2_000.0  # between two tries to subscribe: the first, the longest
--- a/glencleat/emulators/platform_peers.py
+++ b/glencleat/emulators/platform_peers.py
@@ -9,10 +9,10 @@
 from collections import Counter
 from random import Random
 
-from glencleat.platform_protocol import messages as m
+from glencleat.emulators.proxy import reset
 from glencleat.event_loop import ConnectError, Listener, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
-from glencleat.emulators.proxy import reset
+from glencleat.platform_protocol import messages as m
 
 AGAIN_MS = 500.0
 WAIT_MS = 8_000.0
--- a/glencleat/emulators/play.py
+++ b/glencleat/emulators/play.py
@@ -17,15 +17,15 @@
 
 from glencleat.checker.trace import TraceRecorder
 from glencleat.config import AllocatorConfig
-from glencleat.event_loop import Loop
-from glencleat.event_loop.loop import READ, Coroutine, LoopTask
 from glencleat.emulators import standalone
-from glencleat.emulators.proxies import ProxyNetwork
 from glencleat.emulators.client import Address
 from glencleat.emulators.directory import Directory, DirectoryEntry
 from glencleat.emulators.hosts import EmulatedHost
-from glencleat.emulators.owners import OwnerJob, EmulatedOwner
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob
+from glencleat.emulators.proxies import ProxyNetwork
 from glencleat.emulators.script import At, Script
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import READ, Coroutine, LoopTask
 
 START_MS = 20_000.0  # for a process to say where it listens
 END_MS = 15_000.0  # for one to end after SIGTERM
--- a/glencleat/emulators/proxies.py
+++ b/glencleat/emulators/proxies.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 
 from glencleat.checker.trace import TraceRecorder
-from glencleat.event_loop import Loop
 from glencleat.emulators.client import Address
 from glencleat.emulators.proxy import Passed, Proxy
-from glencleat.emulators.script import At, Script
 from glencleat.emulators.proxy_faults import ProxyFault, Way, Weather
+from glencleat.emulators.script import At, Script
+from glencleat.event_loop import Loop
 
 ENDS = ("ended", "reset", "refused")
 
--- a/glencleat/emulators/proxy.py
+++ b/glencleat/emulators/proxy.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from random import Random
 
+from glencleat.emulators.proxy_faults import Datagrams, Door, Flow, Way, Weather
 from glencleat.event_loop import ConnectError, Listener, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import READ, Coroutine
-from glencleat.emulators.proxy_faults import Datagrams, Door, Flow, Way, Weather
 
 HELD = 1 << 20  # bytes that one direction holds back before it stops reading
 PIECE = 16_384
--- a/glencleat/emulators/rest_owners.py
+++ b/glencleat/emulators/rest_owners.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from glencleat.checker.trace import TraceRecorder
+from glencleat.emulators.client import Address, Exchanges, HttpAnswer, Lines, Subscription
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
-from glencleat.emulators.client import Address, HttpAnswer, Exchanges, Lines, Subscription
-from glencleat.emulators.owners import OwnerJob, EmulatedOwner
 
 PLACED = ("TASK_STARTING", "TASK_RUNNING")
 RECONCILED = "REASON_RECONCILIATION"
--- a/glencleat/emulators/standalone.py
+++ b/glencleat/emulators/standalone.py
@@ -11,15 +11,15 @@
 
 from glencleat.checker.trace import TraceRecorder
 from glencleat.config import AllocatorConfig
-from glencleat.event_loop import Loop
-from glencleat.event_loop.loop import Coroutine
 from glencleat.emulators.client import Address
 from glencleat.emulators.directory import Directory, DirectoryEntry
 from glencleat.emulators.hosts import EmulatedHost
 from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
 from glencleat.emulators.rest_owners import RestOwner
 from glencleat.emulators.script import Script
+from glencleat.event_loop import Loop
+from glencleat.event_loop.loop import Coroutine
 
 
 def nature(script: Script, campus: AllocatorConfig) -> Nature:
--- a/glencleat/event_loop/__init__.py
+++ b/glencleat/event_loop/__init__.py
@@ -2,14 +2,14 @@
 
 It imports nothing of glencleat. Clock and sockets come in from outside (`Loop(clock, poller)`)."""
 
-from glencleat.event_loop.loop import CancelledError, Clock, Loop, Pause, Poller, SystemClock, LoopTask
+from glencleat.event_loop.loop import CancelledError, Clock, Loop, LoopTask, Pause, Poller, SystemClock
 from glencleat.event_loop.signals import Signals
 from glencleat.event_loop.streams import (
     ConnectError,
     Listener,
-    StreamOverflowError,
     Stream,
     StreamClosedError,
+    StreamOverflowError,
     connect,
 )
 from glencleat.event_loop.timers import Timer, TimerHeap, TimerWheel
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -25,16 +25,16 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol import value_mapping
 from glencleat.platform_protocol.command_channel import ListChange
-from glencleat.platform_protocol.ended_tasks import EndedTasks
 from glencleat.platform_protocol.delivery import (
-    OUTCOMES,
     NEVER_RAN,
-    DeliveryOutcome,
+    OUTCOMES,
     AttemptEvidence,
+    DeliveryOutcome,
     harmless,
     held_back,
     turn_holds,
 )
+from glencleat.platform_protocol.ended_tasks import EndedTasks
 from glencleat.platform_protocol.setup_requests import SetupError, SetupReader, SetupRequest
 from glencleat.platform_protocol.value_mapping import AFTER, BEFORE, TOPICS
 
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from glencleat.descriptor_budget import BACKLOG, DescriptorBudget, Side, EvictionPriority
+from glencleat.descriptor_budget import BACKLOG, DescriptorBudget, EvictionPriority, Side
+from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
+from glencleat.event_loop.loop import Coroutine
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.platform_protocol.inbox import Inbox
-from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
-from glencleat.event_loop.loop import Coroutine
 
 if TYPE_CHECKING:
     from glencleat.platform_server.trace import Trace
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -18,18 +18,18 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
+from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import HOST
 from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
-from glencleat.index.due_queue import DueQueue
 from glencleat.index.dirty_set import DirtySet
+from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
-from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
 from glencleat.platform_protocol.delivery import DeliveryOutcome
-from glencleat.event_loop import Loop
+from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
 from glencleat.platform_server import host_connections
 from glencleat.platform_server.failure_detector import NEVER, DetectorAction
-from glencleat.platform_server.host_connections import HostConnections, HostConnection
+from glencleat.platform_server.host_connections import HostConnection, HostConnections
 
 if TYPE_CHECKING:
     from glencleat.platform_protocol.command_channel import CommandChannel
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -10,14 +10,14 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from glencleat.descriptor_budget import DescriptorBudget, Side, EvictionPriority
+from glencleat.descriptor_budget import DescriptorBudget, EvictionPriority, Side
+from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.flow_control.backoff import HOST, Backoff
-from glencleat.platform_protocol import messages as m
 from glencleat.flow_control.connection_limiter import ConnectionLimiter
-from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
+from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.delivery import DeliveryOutcome
-from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
-from glencleat.event_loop.loop import Coroutine
+from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
 from glencleat.platform_server.failure_detector import FailureDetector
 
 if TYPE_CHECKING:
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -19,24 +19,24 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import DescriptorBudget
+from glencleat.event_loop import Loop, Signals, Timer
 from glencleat.flow_control.backoff import CHANNEL, Backoff
 from glencleat.platform_protocol.command_channel import CommandChannel, ListChange, address
-from glencleat.platform_protocol.exchange import SetupAttempt, Exchange
-from glencleat.platform_protocol.messages import PeerError
 from glencleat.platform_protocol.delivery import DeliveryOutcome
-from glencleat.event_loop import Loop, Signals, Timer
-from glencleat.policy.scheduler import Scheduler
+from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
+from glencleat.platform_protocol.messages import PeerError
+from glencleat.platform_server.client_connections import ClientConnections
+from glencleat.platform_server.connection_pool import ConnectionPool
 from glencleat.platform_server.graceful_shutdown import (
     WINDOW_MS,
     GracefulShutdown,
     ShutdownObservation,
     ShutdownState,
 )
-from glencleat.platform_server.watch_client import WatchClient
-from glencleat.platform_server.connection_pool import ConnectionPool
 from glencleat.platform_server.rate_limited_log import RateLimitedLog
-from glencleat.platform_server.client_connections import ClientConnections
+from glencleat.platform_server.watch_client import WatchClient
 from glencleat.platform_settings import read_settings
+from glencleat.policy.scheduler import Scheduler
 
 LOOK_MS = 10.0  # between two looks whether all is answered
 # After the start: nine in ten have to be ready within 10 s, whether discovery is up or not. Sooner would cost
@@ -46,7 +46,7 @@
 STATUS_MS = 10_000.0
 
 
-class BadConfig(Exception):
+class ProcessConfigError(Exception):
     """The configuration can't be used; the text says what and why."""
 
 
@@ -81,11 +81,11 @@
             idle_ms=float(limits["conn-idle-ms"]),
         )
     except OSError as error:
-        raise BadConfig(f"{path}: {error.strerror}") from None
+        raise ProcessConfigError(f"{path}: {error.strerror}") from None
     except PeerError as error:
-        raise BadConfig(f"{path}: {error}") from None
+        raise ProcessConfigError(f"{path}: {error}") from None
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-        raise BadConfig(f"{path}: {type(error).__name__}: {error}") from None
+        raise ProcessConfigError(f"{path}: {type(error).__name__}: {error}") from None
 
 
 class PlatformProcess:
@@ -178,7 +178,7 @@
     def _reread(self) -> None:
         try:
             place = load(self.path).channel
-        except BadConfig as error:
+        except ProcessConfigError as error:
             self.rereads += 1
             if self.rereads < REREADS:
                 self.loop.call_in(REREAD_MS, self._reread)
@@ -265,7 +265,7 @@
     try:
         config = load(path)
         process = PlatformProcess(config, Loop(), log, path)
-    except (BadConfig, PeerError, ValueError) as error:
+    except (ProcessConfigError, PeerError, ValueError) as error:
         print(f"glencleat node: {error}", file=sys.stderr)
         return 2
     except (LookupError, TypeError, AttributeError, ArithmeticError) as error:
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Callable
 
+from glencleat.event_loop import Loop, Pause, Stream, StreamClosedError, connect
+from glencleat.event_loop.loop import Coroutine
 from glencleat.flow_control.backoff import Backoff
 from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.event_loop import Loop, Pause, Stream, StreamClosedError, connect
-from glencleat.event_loop.loop import Coroutine
 
 CONNECT_MS = 500.0
 SILENT_MS = 1_800.0  # a line is due every second
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -16,39 +16,35 @@
 
 from glencleat.index.rendezvous import Columns, RendezvousIndex, RendezvousOrder, hashed
 from glencleat.interface import (
-    AttemptAccepted,
     Action,
-    PlacementRequested,
+    AttemptAccepted,
+    AttemptEnded,
     Bind,
-    Idempotency,
+    CallAbandoned,
     Event,
     Fail,
-    CallAbandoned,
+    Idempotency,
     ListUpdateKind,
-    MachineListUpdated,
-)
-from glencleat.interface import (
+    LoadReport,
     LogMessage,
     Machine,
-    TaskObserved,
+    MachineListUpdated,
+    MachinePhase,
+    MachineSize,
     ObservationKind,
     Outcome,
-    MachinePhase,
+    OutcomeReason,
+    PlacementRequested,
     Probe,
     ProbeEnded,
-    Reject,
-    LoadReport,
-)
-from glencleat.interface import (
     ReachabilityChanged,
-    AttemptEnded,
+    Reject,
     SetTimer,
     Settings,
-    MachineSize,
     TaskClass,
+    TaskObserved,
     TimerFired,
     WatchMachineList,
-    OutcomeReason,
 )
 
 NEED_SHARE, LIFE_SHARE = 0.75, 0.25  # of peaks: 99ths leave machines half empty; of lives: 5ths lapse at once
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -15,8 +15,8 @@
 
 from glencleat import interface as api
 from glencleat.allocator.call_table import Call, FinalAnswer
-from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, StatusAnswer, RetryAdvice
 from glencleat.allocator.pending_reasons import PendingReasons
+from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, RetryAdvice, StatusAnswer
 from glencleat.rest.schema import JobSpec, JobStatus
 
 PAUSE_MS, PAUSE_MOST_MS = 250.0, 4_000.0  # after the first refused round; doubled up to
--- a/glencleat/rest/overload.py
+++ b/glencleat/rest/overload.py
@@ -14,7 +14,6 @@
 
 from glencleat.rest.jobs import Bucket
 
-
 SLOW, SLOW_MS = 4.0, 100.0  # answers that take so many times the best, and more than this, are slow
 WINDOW_LEAST, WINDOW_MOST = 16.0, 16_384.0
 STRETCH_MS = 100.0
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -12,26 +12,26 @@
 
 from glencleat import interface as api
 from glencleat.allocator.call_table import Call
-from glencleat.allocator.ports import CorePort
-from glencleat.allocator.startup_gate import StartupGate
 from glencleat.allocator.domain_events import (
     AgentStateChanged,
-    CallAnswered,
     AttemptConcluded,
+    AttemptSent,
+    CallAnswered,
     CallForgotten,
+    CallTaken,
     Happened,
     MachineListChanged,
-    AttemptSent,
-    CallTaken,
     TaskStatusReported,
 )
-from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, StatusAnswer
 from glencleat.allocator.pending_reasons import PendingReasons
+from glencleat.allocator.ports import CorePort
+from glencleat.allocator.startup_gate import StartupGate
+from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, StatusAnswer
 from glencleat.rest import reasons
 from glencleat.rest import schema as s
+from glencleat.rest.jobs import JobState, JobStep, Slot
+from glencleat.rest.version_store import Key, VersionEvent, Versions
 from glencleat.rest.watches import WatchChannels
-from glencleat.rest.jobs import JobState, Slot, JobStep
-from glencleat.rest.version_store import VersionEvent, Key, Versions
 
 LIVE = (STAGING, STARTING, RUNNING, UNREACHABLE)
 NO_TENANT = "*"  # Mesos' default role
--- a/glencleat/rest/selector.py
+++ b/glencleat/rest/selector.py
@@ -32,7 +32,7 @@
 )
 
 
-class BadSelector(Exception):
+class SelectorError(Exception):
     """The client's fault; says where and what was expected."""
 
 
@@ -60,22 +60,22 @@
     while at < len(text):
         match = TERM.match(text, at)
         if match is None or match.end() == at:
-            raise BadSelector(
+            raise SelectorError(
                 f"labelSelector: at {at} {text[at : at + 24]!r}; expected key=value, key in (a,b) or !key"
             )
         terms.append(_term(match))
         at = match.end()
     if text.rstrip().endswith(","):
-        raise BadSelector("labelSelector: ends with a comma; expected one more term")
+        raise SelectorError("labelSelector: ends with a comma; expected one more term")
     if len(terms) > TERMS_MOST:
-        raise BadSelector(f"labelSelector: {len(terms)} terms; expected at most {TERMS_MOST}")
+        raise SelectorError(f"labelSelector: {len(terms)} terms; expected at most {TERMS_MOST}")
     return tuple(sorted(set(terms)))
 
 
 def _term(match: re.Match[str]) -> Term:
     key = match["absent"] or match["key"]
     if key.startswith(".") and key[1:] not in FIELDS:
-        raise BadSelector(f"labelSelector: {key[:40]} is no field; expected one of .{', .'.join(FIELDS)}")
+        raise SelectorError(f"labelSelector: {key[:40]} is no field; expected one of .{', .'.join(FIELDS)}")
     if match["absent"]:
         return Term(key, False)
     if match["op"]:
@@ -83,7 +83,7 @@
     if match["set"]:
         values = tuple(sorted({part.strip() for part in match["values"].split(",")}))
         if len(values) > VALUES_MOST or not all(re.fullmatch(VALUE, value) for value in values):
-            raise BadSelector(f"labelSelector: {key[:40]}: expected at most {VALUES_MOST} plain values")
+            raise SelectorError(f"labelSelector: {key[:40]}: expected at most {VALUES_MOST} plain values")
         return Term(key, match["set"] == "in", values)
     return Term(key, True)
 
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -17,18 +17,18 @@
 import xxhash
 
 from glencleat import interface as api
+from glencleat.allocator.call_table import Attempt, Call, FinalAnswer, TaskRequest
 from glencleat.allocator.core import Core
-from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer
 from glencleat.allocator.domain_events import (
-    CallAnswered,
+    AdmissionDecision,
     AttemptConcluded,
+    AttemptSent,
+    CallAnswered,
     CallForgotten,
+    CallTaken,
     Happened,
     PlacementOpened,
-    AttemptSent,
-    CallTaken,
     TaskStatusReported,
-    AdmissionDecision,
 )
 from glencleat.allocator.status_mapping import (
     DROPPED,
@@ -36,29 +36,29 @@
     KILLED,
     RUNNING,
     STARTING,
-    StatusAnswer,
     RetryAdvice,
+    StatusAnswer,
     refusal,
 )
 from glencleat.allocator.status_mapping import AttemptStep as AttemptStep
 from glencleat.mesos import messages as m
 from glencleat.rest import overload
 from glencleat.rest import schema as s
-from glencleat.rest.watches import WatchChannels
-from glencleat.rest.watches import WatchLimits as WatchLimits
 from glencleat.rest.jobs import (
     JobState,
+    JobStep,
     Keys,
     Next,
-    Slot,
-    JobStep,
     RoundRobin,
+    Slot,
     after_end,
     after_round,
     round_ms,
 )
 from glencleat.rest.resource_mirror import Mirror, Seen
 from glencleat.rest.version_store import Versions
+from glencleat.rest.watches import WatchChannels
+from glencleat.rest.watches import WatchLimits as WatchLimits
 
 PREFIX = "rest"
 FLUSH_MS = 2.0  # after the first change, all that changed meanwhile is published
@@ -79,7 +79,7 @@
     sweep_ms: float = 500.0
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """The request does not fit the state; `status` is HTTP's word for it."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -87,7 +87,7 @@
         self.status, self.text = status, text
 
 
-class TooMuch(Exception):
+class TooManyError(Exception):
     def __init__(self, turned: overload.OverloadRejection) -> None:
         super().__init__(turned.text)
         self.turned = turned
@@ -138,7 +138,7 @@
         if key is not None:
             known = self.keys.find(tenant, key)
             if known is not None and known[0] != fingerprint:
-                raise Conflict(
+                raise ConflictError(
                     422, "the Idempotency-Key came before with another body; expected the same one"
                 )
             if known is not None:
@@ -148,23 +148,23 @@
             text = (
                 f"spec.class is {new.spec.task_class[:80]!r}; expected one of {', '.join(self.core.classes)}"
             )
-            raise Conflict(422, text)
+            raise ConflictError(422, text)
         least = 2.0 * self.core.options.answer_margin_ms
         if new.spec.wait_ms is not None and new.spec.wait_ms <= least:
-            raise Conflict(422, f"spec.waitMs is {new.spec.wait_ms:g}; expected more than {least:g}")
+            raise ConflictError(422, f"spec.waitMs is {new.spec.wait_ms:g}; expected more than {least:g}")
         if new.name is not None and (tenant, new.name) in self.jobs:
-            raise Conflict(409, f"job {new.name} of {tenant} is there already")
+            raise ConflictError(409, f"job {new.name} of {tenant} is there already")
         if self.core.ending:
-            raise TooMuch(overload.OverloadRejection(503, "the allocator is shutting down", 5_000.0))
+            raise TooManyError(overload.OverloadRejection(503, "the allocator is shutting down", 5_000.0))
         if key is not None and not self.keys.room(now):
-            raise TooMuch(
+            raise TooManyError(
                 overload.OverloadRejection(503, f"{self.limits.keys} idempotency keys are kept", 5_000.0)
             )
         here, waiting = self.waiting[tenant], self.waiting.total()
         tasks, queued = new.spec.tasks, self.turns.queued
         turned = self.gate.create(tenant, tasks, here, waiting, len(self.jobs), queued, now)
         if turned is not None:
-            raise TooMuch(turned)
+            raise TooManyError(turned)
         job = self._made(tenant, new, cls, now)
         if key is not None:
             self.keys.note(tenant, key, fingerprint, job, now)
@@ -238,7 +238,7 @@
         """Merges labels into the job's and its tasks'; raises Conflict."""
         merged = {k: v for k, v in (job.labels | labels).items() if v is not None}
         if len(merged) > s.LABELS_MOST:
-            raise Conflict(422, f"labels would be {len(merged)}; expected at most {s.LABELS_MOST}")
+            raise ConflictError(422, f"labels would be {len(merged)}; expected at most {s.LABELS_MOST}")
         job.labels = merged
         for slot in job.slots:
             seen = self.seen(slot)
--- a/glencleat/rest/version_store.py
+++ b/glencleat/rest/version_store.py
@@ -20,7 +20,7 @@
 SCANNED = 2_000  # keys that one page looks at, whether they match or not
 
 
-class Gone(Exception):
+class VersionGoneError(Exception):
     """The version is older than what the log holds, or is another process's; list again (410)."""
 
 
@@ -133,7 +133,7 @@
         if not shaped or len(number) > 18:
             raise ValueError(f"resourceVersion is {text[:40]!r}; expected one that this server told")
         if epoch != self.epoch:
-            raise Gone("the resourceVersion is another process's; list again")
+            raise VersionGoneError("the resourceVersion is another process's; list again")
         if int(number) > self.number:
             raise ValueError(f"resourceVersion {text[:40]!r} is yet to come")
         return int(number)
@@ -175,7 +175,7 @@
         """What happened after a version; raises Gone."""
         store = self.kinds[kind]
         if version < store.compacted:
-            raise Gone(f"resourceVersion {self.told(version)} is too old; list again")
+            raise VersionGoneError(f"resourceVersion {self.told(version)} is too old; list again")
         return store.since(version)
 
     def page(
@@ -192,7 +192,7 @@
         A page ends early, with a key to go on after, when many in a row don't match. Raises Gone."""
         store = self.kinds[kind]
         if version < store.compacted:
-            raise Gone("the list took too long: its resourceVersion is too old; list again")
+            raise VersionGoneError("the list took too long: its resourceVersion is too old; list again")
         found = list[ResourceRecord]()
         scanned = 0
         for key in store.candidates(selector, after, tenant):
--- a/glencleat/rest/watches.py
+++ b/glencleat/rest/watches.py
@@ -14,7 +14,7 @@
 
 from glencleat.rest.schema import Problem, encode, stamped
 from glencleat.rest.selector import Selector, anchors
-from glencleat.rest.version_store import VersionEvent, Gone
+from glencleat.rest.version_store import VersionEvent, VersionGoneError
 
 Where = tuple[str, str | None, Selector]  # kind, tenant or all, selector
 
@@ -202,7 +202,7 @@
                 return next(watcher.early)
             except StopIteration:
                 watcher.early = None
-            except Gone as error:
+            except VersionGoneError as error:
                 watcher.cut = f"too slow: {error}"
                 return b""
         channel = watcher.channel
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -11,10 +11,10 @@
 import contextlib
 from random import Random
 
-from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
-from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
+from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
+from glencleat.platform_protocol import messages as m
 from glencleat.scale.arrivals import Arrivals
 from glencleat.scale.message_counters import MessageCounters
 
--- a/glencleat/scale/channel.py
+++ b/glencleat/scale/channel.py
@@ -7,8 +7,8 @@
 
 from typing import Any
 
-from glencleat.event_loop import Loop
 from glencleat.emulators.channel import ChannelService, entry
+from glencleat.event_loop import Loop
 
 
 class Listed(ChannelService):
--- a/glencleat/scale/emulated_hosts.py
+++ b/glencleat/scale/emulated_hosts.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from glencleat.event_loop import Loop
 from glencleat.emulators.platform_peers import LiveHost
+from glencleat.event_loop import Loop
 
 
 class StandInGroup:
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import Any
 
-from glencleat.platform_protocol import messages as m
+from glencleat.emulators.proxy import reset
 from glencleat.event_loop import Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import READ, Coroutine
+from glencleat.platform_protocol import messages as m
 from glencleat.scale.message_counters import MessageCounters
-from glencleat.emulators.proxy import reset
 
 BACKLOG = 512
 BOUND = 64  # connections taken in one round of the loop
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -9,9 +9,9 @@
 from collections import Counter
 from random import Random
 
-from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import ConnectError, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
+from glencleat.platform_protocol import messages as m
 from glencleat.scale.arrivals import Arrivals
 from glencleat.scale.message_counters import MessageCounters
 
--- a/glencleat/scale/report.py
+++ b/glencleat/scale/report.py
@@ -24,7 +24,7 @@
 CONFIDENCE = 0.95
 
 
-class BadResults(Exception):
+class ResultsError(Exception):
     """A file of results can't be read; the text says why."""
 
 
@@ -216,7 +216,7 @@
     try:
         found = msgspec.json.decode(path.read_bytes(), type=Results)
     except (OSError, msgspec.DecodeError) as error:
-        raise BadResults(f"{path}: {error}") from None
+        raise ResultsError(f"{path}: {error}") from None
     if found.version != VERSION:
-        raise BadResults(f"{path}: version {found.version}, this reads {VERSION}")
+        raise ResultsError(f"{path}: version {found.version}, this reads {VERSION}")
     return found
--- a/glencleat/scale/run_size.py
+++ b/glencleat/scale/run_size.py
@@ -25,7 +25,7 @@
 PORTS = 28_000  # that the system gives to who asks for any
 
 
-class BadSize(Exception):
+class RunSizeError(Exception):
     """The size can't be used, or not on this machine; the text says why."""
 
 
@@ -95,20 +95,20 @@
         raw = tomllib.loads(path.read_text())
         size = msgspec.convert(raw, RunSize)
     except OSError as error:
-        raise BadSize(f"{path}: {error.strerror}") from None
+        raise RunSizeError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
-        raise BadSize(f"{path}: {error}") from None
+        raise RunSizeError(f"{path}: {error}") from None
     if not size.hosts:
-        raise BadSize(f"{path}: no number of hosts - at `$.hosts`")
+        raise RunSizeError(f"{path}: no number of hosts - at `$.hosts`")
     if any(event.kind == "rack-lost" and size.rack_hosts > min(size.hosts) for event in size.events):
         least = min(size.hosts)
-        raise BadSize(f"{path}: a rack of {size.rack_hosts} among {least} hosts - at `$.rack_hosts`")
+        raise RunSizeError(f"{path}: a rack of {size.rack_hosts} among {least} hosts - at `$.rack_hosts`")
     if size.host == "stand-in" and (size.real > 1 or size.hollow or size.tasks or size.events):
-        raise BadSize(f"{path}: stand-in hosts know one allocator and its load alone - at `$.host`")
+        raise RunSizeError(f"{path}: stand-in hosts know one allocator and its load alone - at `$.host`")
     if size.zones > 26:
-        raise BadSize(f"{path}: {size.zones} zones, 26 at most - at `$.zones`")
+        raise RunSizeError(f"{path}: {size.zones} zones, 26 at most - at `$.zones`")
     if size.real + size.hollow > 250:
-        raise BadSize(f"{path}: {size.real + size.hollow} allocators, 250 at most - at `$.hollow`")
+        raise RunSizeError(f"{path}: {size.real + size.hollow} allocators, 250 at most - at `$.hollow`")
     return size
 
 
@@ -141,4 +141,4 @@
         (PORTS, need.ports, "ports"),
     ):
         if want > have:
-            raise BadSize(f"{max(size.hosts)} hosts need {need.line()}; there are {have} {what}")
+            raise RunSizeError(f"{max(size.hosts)} hosts need {need.line()}; there are {have} {what}")
--- a/glencleat/scale/runs.py
+++ b/glencleat/scale/runs.py
@@ -16,14 +16,14 @@
 from glencleat.scale import hosts as hollow_hosts
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
-from glencleat.scale.message_counters import Counts, of_allocator
+from glencleat.scale.emulated_hosts import StandInGroup
 from glencleat.scale.hosts import HostGroup
-from glencleat.scale.measure import Cost, Meter, MeasuredPhase, difference, percentiles, snapshot_names, total
+from glencleat.scale.measure import Cost, MeasuredPhase, Meter, difference, percentiles, snapshot_names, total
+from glencleat.scale.message_counters import Counts, of_allocator
 from glencleat.scale.owners import HollowOwners
-from glencleat.scale.worker_processes import Parts
 from glencleat.scale.real import RealAllocators
 from glencleat.scale.run_size import RunEvent, RunSize
-from glencleat.scale.emulated_hosts import StandInGroup
+from glencleat.scale.worker_processes import Parts
 
 GROUPS = {"hollow": HostGroup, "stand-in": StandInGroup}
 READY_S = 60.0
@@ -34,7 +34,7 @@
 Begin = Callable[[], dict[str, float] | None]  # what a phase begins with, and figures of it
 
 
-class RunFailed(Exception):
+class RunFailedError(Exception):
     """The run can't go on; the text says why."""
 
 
@@ -106,7 +106,7 @@
         while not all(self.nodes.ready(k - 1) for k in self.real):
             if time.monotonic() - began > READY_S or not all(self.nodes.alive(k - 1) for k in self.real):
                 last = self.nodes.log(0).read_text()[-300:]
-                raise RunFailed(f"not all real allocators became ready: {last}")
+                raise RunFailedError(f"not all real allocators became ready: {last}")
             time.sleep(0.02)
         took = time.monotonic() - began
         self.say(f"{self.count} hosts, {len(self.real)} real allocators ready in {took:.1f} s")
@@ -159,7 +159,7 @@
     def phase(self, name: str, seconds: float, begin: Begin = lambda: None) -> None:
         """Measures so many seconds, from just before `begin`, which may tell figures of its own."""
         if time.monotonic() + seconds > self.ends_at:
-            raise RunFailed(f"the time limit of {self.size.limit_s:.0f} s would pass in phase {name!r}")
+            raise RunFailedError(f"the time limit of {self.size.limit_s:.0f} s would pass in phase {name!r}")
         before = self._counts()
         self.owners.call("waits")
         psutil.cpu_percent()  # of the whole machine since the last such line
@@ -174,7 +174,7 @@
             cost.state = self._state(cost.allocator)
         for k in self.real:
             if not self.nodes.alive(k - 1):
-                raise RunFailed(f"allocator {k} ended in phase {name!r}")
+                raise RunFailedError(f"allocator {k} ended in phase {name!r}")
         hollow = {k: of_allocator(counts, k) for k in self.others}
         notes["busiest hollow process, CPU %"] = max(cost.cpu_percent for cost in busy)
         notes["all hollow processes, CPU %"] = sum(cost.cpu_percent for cost in busy)
--- a/glencleat/scale/worker_processes.py
+++ b/glencleat/scale/worker_processes.py
@@ -18,11 +18,11 @@
 JOIN_S = 5.0
 
 
-class PartFailed(Exception):
+class WorkerFailedError(Exception):
     """A part ended, or answered an order with an error."""
 
 
-class CantStart(PartFailed):
+class StartError(WorkerFailedError):
     """The system has no port, descriptor or memory for a part."""
 
 
@@ -69,8 +69,8 @@
         """What it tells of itself once it stands; CantStart if the system refuses it something."""
         try:
             self.begun = self.wait()
-        except PartFailed as error:
-            raise CantStart(str(error)) from None
+        except WorkerFailedError as error:
+            raise StartError(str(error)) from None
         return self.begun
 
     def wait(self) -> Any:
@@ -78,9 +78,9 @@
         try:
             value, error = self.pipe.recv()
         except (EOFError, OSError) as fault:
-            raise PartFailed(f"{self.name} ended: {fault or 'its pipe did'}") from None
+            raise WorkerFailedError(f"{self.name} ended: {fault or 'its pipe did'}") from None
         if error is not None:
-            raise PartFailed(f"{self.name}: {error}")
+            raise WorkerFailedError(f"{self.name}: {error}")
         return value
 
     def order(self, name: str, *given: Any) -> None:
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -11,10 +11,10 @@
 
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
-from glencleat.flow_control.backoff import Backoff
-from glencleat.event_loop import Loop, Stream, StreamClosedError, LoopTask
+from glencleat.event_loop import Loop, LoopTask, Stream, StreamClosedError
 from glencleat.event_loop.loop import Coroutine
 from glencleat.event_loop.streams import connect
+from glencleat.flow_control.backoff import Backoff
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError
 from glencleat.mesos.recordio import RecordDecoder, RecordError
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import BinaryIO
 
+from glencleat import endpoint_snapshot
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
-from glencleat import endpoint_snapshot
 from glencleat.event_loop import Loop
 
 ANEW_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -7,12 +7,12 @@
 
 from collections.abc import Callable
 
+from glencleat.allocator.agent_membership import AgentLimitError
 from glencleat.allocator.agent_sessions import NotSubscribedError
 from glencleat.allocator.core import Core
-from glencleat.allocator.agent_membership import AgentLimitError
-from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need, unreadable
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
+from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need, unreadable
 
 TARGET = "/api/v1/executor"
 HEARTBEAT = m.encode(m.ExecutorEvent("HEARTBEAT"))
--- a/glencleat/servers/http_server.py
+++ b/glencleat/servers/http_server.py
@@ -19,7 +19,6 @@
 from glencleat.mesos import recordio
 from glencleat.mesos.http import HttpError, Request, Response, ServerConnection
 
-
 LINGER_MS, LINGER_BYTES = 1_000.0, 4 << 20  # that a peer at fault may still send
 
 
--- a/glencleat/servers/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -12,13 +12,12 @@
 from prometheus_client import CONTENT_TYPE_LATEST, CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-from glencleat.allocator.core import Core
-from glencleat.allocator.call_table import FinalAnswer
 from glencleat.allocator.agent_membership import AgentState
-from glencleat.servers.rest_api import RestApi
+from glencleat.allocator.call_table import FinalAnswer
+from glencleat.allocator.core import Core
 from glencleat.mesos.http import HttpError, Request, Response
 from glencleat.rest.service import RestService
-
+from glencleat.servers.rest_api import RestApi
 
 RETRY_AFTER = "1"  # seconds; nothing that it waits for comes in steps longer than this
 
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -15,17 +15,17 @@
 
 import msgspec
 
-from glencleat.servers.http_server import Pour, Sink
 from glencleat.event_loop import StreamClosedError
 from glencleat.event_loop.loop import Coroutine, LoopTask
 from glencleat.mesos.http import HttpError, Request, Response
-from glencleat.rest import watches, openapi, overload
+from glencleat.rest import openapi, overload, watches
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import Bucket
-from glencleat.rest.service import Conflict, RestService, TooMuch
 from glencleat.rest.routes import ROUTES, Route
-from glencleat.rest.selector import BadSelector, Selector, parse
-from glencleat.rest.version_store import VersionEvent, Gone, Key, ResourceRecord
+from glencleat.rest.selector import Selector, SelectorError, parse
+from glencleat.rest.service import ConflictError, RestService, TooManyError
+from glencleat.rest.version_store import Key, ResourceRecord, VersionEvent, VersionGoneError
+from glencleat.servers.http_server import Pour, Sink
 
 JSON, PROBLEM, LINES = "application/json", "application/problem+json", "application/x-ndjson"
 TARGET_MOST = 4_096  # characters
@@ -110,11 +110,11 @@
             told = self._admitted(request, peer)
         except HttpError as error:
             told = problem(error)
-        except Conflict as error:
+        except ConflictError as error:
             told = problem(HttpError(error.status, error.text))
-        except Gone as error:
+        except VersionGoneError as error:
             told = problem(HttpError(410, str(error)))
-        except TooMuch as error:
+        except TooManyError as error:
             told = turned(error.turned)
         if isinstance(told, Response):
             self._count(told, peer)
@@ -238,7 +238,7 @@
         query, kind, tenant = self._query(asked), asked.route.kind, asked.path.get("tenant")
         try:
             selector = parse(query.label_selector)
-        except BadSelector as error:
+        except SelectorError as error:
             raise HttpError(400, str(error)) from None
         if query.watch in ("1", "true"):
             return self._watch(kind, tenant, selector, query)
@@ -289,7 +289,7 @@
         try:
             plane.channels.check(tenant)
         except watches.WatchLimitError as error:
-            raise TooMuch(overload.OverloadRejection(503, str(error), 5_000.0)) from None
+            raise TooManyError(overload.OverloadRejection(503, str(error), 5_000.0)) from None
         if query.resource_version:
             try:
                 version = plane.versions.read(query.resource_version)
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -9,9 +9,9 @@
 
 from glencleat.allocator.core import Core
 from glencleat.allocator.frameworks import Framework, FrameworkLimitError
-from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
+from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need
 
 TARGET = "/api/v1/scheduler"
 HEARTBEAT = m.encode(m.SchedulerEvent("HEARTBEAT"))
--- a/glencleat/simulator_adapter.py
+++ b/glencleat/simulator_adapter.py
@@ -8,8 +8,8 @@
 from typing import Any, TextIO
 
 from glencleat import interface as api
-from glencleat.policy.scheduler import Scheduler
 from glencleat.platform_settings import PHASES, read_report, read_settings
+from glencleat.policy.scheduler import Scheduler
 
 OUTCOMES = {
     0: api.Outcome.ERROR,
--- a/tests/quiet.py
+++ b/tests/quiet.py
@@ -8,10 +8,10 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, DescriptorBudget
+from glencleat.event_loop import ConnectError, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.event_loop import ConnectError, Loop, StreamClosedError
 from glencleat.platform_server import host_connections
 from glencleat.platform_server.connection_pool import ConnectionPool
 from tests.live import SETTINGS, Owner, read, setup
--- a/tests/reference_order.py
+++ b/tests/reference_order.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from glencleat import interface as api
-from glencleat.policy import scheduler
 from glencleat.index.rendezvous import hashed, mixed
+from glencleat.policy import scheduler
 from glencleat.policy.scheduler import EXAMINED, MachineState, Scheduler
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -5,11 +5,11 @@
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, DescriptorBudget
+from glencleat.event_loop import Listener, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.event_loop import Listener, Loop, StreamClosedError
-from glencleat.platform_server import connection_pool, client_connections
+from glencleat.platform_server import client_connections, connection_pool
 from tests.live import SETTINGS, Script, setup
 
 
--- a/tests/support/public_surface.py
+++ b/tests/support/public_surface.py
@@ -16,10 +16,10 @@
 from glencleat.cli.main import main
 from glencleat.config import load
 from glencleat.daemon import Daemon
+from glencleat.emulators.script import load_campus, load_script
+from glencleat.event_loop import Loop
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi
-from glencleat.event_loop import Loop
-from glencleat.emulators.script import load_campus, load_script
 
 
 def commands(command: click.Command = main) -> dict[str, Any]:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -9,15 +9,16 @@
 import pytest
 
 from glencleat.checker import slow_start_bounds
-from glencleat.checker.polling_bounds import judge, judge_play
 from glencleat.checker.chance_bounds import BoundState, chance_limit, poisson_tail
+from glencleat.checker.polling_bounds import judge, judge_play
 from glencleat.checker.trace import TraceEntry, read
-from glencleat.flow_control.backoff import LIST, Backoff
-from glencleat.event_loop import Loop
-from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.allocator_processes import MOST, AllocatorProcesses, ProcessError
+from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.proxy import Passed, Proxy
-from glencleat.emulators.proxy_faults import Door, ProxyFault, ProxyState as Wire, Weather
+from glencleat.emulators.proxy_faults import Door, ProxyFault, Weather
+from glencleat.emulators.proxy_faults import ProxyState as Wire
+from glencleat.event_loop import Loop
+from glencleat.flow_control.backoff import LIST, Backoff
 from tests.sockets import run_until
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -155,7 +155,7 @@
 def test_it_comes_back_with_an_unacknowledged_yes():
     cluster, owner, agent, attempt = begin("unsafe")
     agent.link.close("cut")
-    agent.subscribe(tasks=[task for task in ()], updates=[agent.status(attempt, "TASK_STARTING")])
+    agent.subscribe(tasks=[], updates=[agent.status(attempt, "TASK_STARTING")])
     assert owner.states("t1") == ["TASK_STARTING"] and not agent.launches()
     cluster.check()
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -18,13 +18,13 @@
 
 from glencleat import interface as api
 from glencleat.allocator.agent_sessions import NotSubscribedError
+from glencleat.event_loop import Listener, Loop
 from glencleat.flow_control.backoff import Backoff
+from glencleat.mesos import messages as m
+from glencleat.mesos.http import HttpError, Request
 from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.scheduler_api import SchedulerApi
-from glencleat.event_loop import Listener, Loop
-from glencleat.mesos import messages as m
-from glencleat.mesos.http import HttpError, Request
 from tests.fakes import Cluster, Owner
 from tests.world import CONF, PACE, World
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,15 +7,15 @@
 
 from glencleat import interface as api
 from glencleat.allocator import admission, delivery_status, status_mapping
+from glencleat.allocator.agent_membership import AgentLimitError, AgentMembership, AgentState, split_id
+from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer, TaskRequest
 from glencleat.allocator.contract import Contract, ContractError
-from glencleat.allocator.frameworks import Frameworks
-from glencleat.allocator.frameworks import FrameworkLimitError as FrameworkRefused
 from glencleat.allocator.delivery_status import DeliveryAction, DeliveryStatus, LateAcceptance
-from glencleat.allocator.call_table import TaskRequest, Attempt, Call, FinalAnswer, CallTable
 from glencleat.allocator.endpoint_list import MachineListing
-from glencleat.allocator.agent_membership import AgentMembership, AgentLimitError, AgentState, split_id
+from glencleat.allocator.frameworks import FrameworkLimitError as FrameworkRefused
+from glencleat.allocator.frameworks import Frameworks
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.allocator.status_mapping import ExecutionStatus, AttemptStep
+from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
 from glencleat.mesos import messages as m
 
 # ---- late ----
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,8 +12,8 @@
     STANDSTILL_MS,
     Demand,
     DescriptorBudget,
-    Side,
     EvictionPriority,
+    Side,
 )
 
 LINK_WORTHS = (
--- a/tests/test_fleet_races.py
+++ b/tests/test_fleet_races.py
@@ -9,11 +9,11 @@
 import pytest
 
 from glencleat.checker.chance_bounds import busiest
-from glencleat.platform_protocol import messages as m
-from glencleat.event_loop import Loop, StreamClosedError, connect
+from glencleat.emulators.allocator_processes import AllocatorProcesses
 from glencleat.emulators.channel import ChannelService, entry
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.allocator_processes import AllocatorProcesses
+from glencleat.event_loop import Loop, StreamClosedError, connect
+from glencleat.platform_protocol import messages as m
 from tests.live import setup
 from tests.sockets import run_until
 
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.index.due_queue import LEAST, DueQueue
 from glencleat.index.dirty_set import DirtySet
+from glencleat.index.due_queue import LEAST, DueQueue
 
 NAMES = st.integers(0, 12)
 TIMES = st.integers(0, 40).map(float)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from glencleat import endpoint_snapshot
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
-from glencleat import endpoint_snapshot
 from glencleat.servers.endpoint_snapshot_file import ANEW_MS, EndpointSnapshotFile
 from tests.fakes import Timing
 from tests.world import World
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,23 +8,22 @@
 import pytest
 
 from glencleat import interface as api
+from glencleat.descriptor_budget import EvictionPriority, Side
+from glencleat.event_loop import ConnectError, StreamClosedError, streams
 from glencleat.flow_control import connection_limiter
 from glencleat.flow_control.backoff import Backoff, BackoffPolicy
-from glencleat.descriptor_budget import Side, EvictionPriority
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import ListChange
-from glencleat.event_loop import ConnectError, StreamClosedError, streams
 from glencleat.platform_server import (
-    watch_client,
+    client_connections,
     connection_pool,
     failure_detector,
     host_connections,
-    client_connections,
+    watch_client,
 )
 from tests.live import setup
 from tests.sockets import Peer, kinds, stands
 
-
 # ---- hosts ----
 
 
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import Loop
+from glencleat.platform_protocol import messages as m
 from glencleat.platform_server.graceful_shutdown import WINDOW_MS
 from glencleat.platform_server.process import READY_MS, PlatformProcess, load
 from tests.live import setup
--- a/tests/test_play.py
+++ b/tests/test_play.py
@@ -8,10 +8,10 @@
 
 from glencleat.checker import invariants
 from glencleat.checker.trace import TraceRecorder, read
-from glencleat.event_loop import Loop
-from glencleat.emulators.play import Play, AllocatorProcess
-from glencleat.emulators.script import figures, load_campus, load_script
 from glencleat.emulators.fault_scenarios import TROUBLES, faults
+from glencleat.emulators.play import AllocatorProcess, Play
+from glencleat.emulators.script import figures, load_campus, load_script
+from glencleat.event_loop import Loop
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.servers.http_server import RecordLink
 from glencleat.mesos import messages as m
 from glencleat.mesos import recordio
 from glencleat.mesos.http import ClientConnection, End, Head, HttpError, Response, ServerConnection
+from glencleat.servers.http_server import RecordLink
 
 # ---- RecordIO ----
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -12,15 +12,15 @@
 from glencleat import interface as api
 from glencleat.flow_control.backoff import Backoff, BackoffPolicy
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_protocol.delivery import (
-    DeliveryOutcome,
     AttemptEvidence,
+    DeliveryOutcome,
     harmless,
     held_back,
     turn_holds,
 )
-from glencleat.platform_server import watch_client, client_connections
+from glencleat.platform_protocol.inbox import Inbox
+from glencleat.platform_server import client_connections, watch_client
 from tests.live import KEYED, SAFE, SETTINGS, UNSAFE, setup
 from tests.live import World as Virtual
 from tests.sockets import Peer, cancel, kinds, linked, sent, settled, stands
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glencleat.event_loop import Listener, Loop, StreamClosedError
 from glencleat.emulators.proxy import DatagramRelay, Proxy
-from glencleat.emulators.proxy_faults import Datagrams, Door, ProxyFault, Flow, ProxyState, Way, Weather
+from glencleat.emulators.proxy_faults import Datagrams, Door, Flow, ProxyFault, ProxyState, Way, Weather
+from glencleat.event_loop import Listener, Loop, StreamClosedError
 
 BOTH = frozenset(Way)
 
--- a/tests/test_rest_front.py
+++ b/tests/test_rest_front.py
@@ -9,14 +9,14 @@
 
 from glencleat import interface as api
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.servers.rest_api import RestApi
 from glencleat.mesos.http import Request
 from glencleat.rest import overload, service
 from glencleat.rest import schema as s
-from glencleat.rest.watches import WatchLimits as WatchLimits
 from glencleat.rest.jobs import JobStep
 from glencleat.rest.selector import parse
-from glencleat.rest.version_store import Gone
+from glencleat.rest.version_store import VersionGoneError
+from glencleat.rest.watches import WatchLimits as WatchLimits
+from glencleat.servers.rest_api import RestApi
 from tests.fakes import Cluster, Owner
 
 JOB = {"class": "safe", "service": "svc", "cores": 1, "memory": 100}
@@ -348,9 +348,9 @@
 
 
 def test_a_framework_cannot_subscribe_as_a_job():
-    from glencleat.servers.scheduler_api import SchedulerApi
     from glencleat.mesos import messages as m
     from glencleat.mesos.http import HttpError
+    from glencleat.servers.scheduler_api import SchedulerApi
 
     front = Front()
     info = m.FrameworkInfo("u", "x", m.Value("rest:t"))
@@ -589,7 +589,7 @@
         query = s.Query(resource_version=self.version)
         try:
             self.watcher = self.front.api.join(self.kind, self.tenant, parse(self.selector), query)
-        except Gone:
+        except VersionGoneError:
             self.version, self.state = "", {}
             self.watcher = self.front.api.join(self.kind, self.tenant, parse(self.selector), s.Query())
         if not self.version:
--- a/tests/test_rest_state.py
+++ b/tests/test_rest_state.py
@@ -10,13 +10,13 @@
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
 from glencleat.allocator.call_table import FinalAnswer
-from glencleat.allocator.status_mapping import StatusAnswer, RetryAdvice
 from glencleat.allocator.pending_reasons import PendingReasons as Reasons
-from glencleat.rest import watches, jobs, overload, reasons
+from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer
+from glencleat.rest import jobs, overload, reasons, watches
 from glencleat.rest import schema as s
-from glencleat.rest.jobs import Bucket, JobState, Keys, Slot, JobStep, RoundRobin
-from glencleat.rest.selector import BadSelector, Term, anchors, matches, parse
-from glencleat.rest.version_store import Gone, Versions
+from glencleat.rest.jobs import Bucket, JobState, JobStep, Keys, RoundRobin, Slot
+from glencleat.rest.selector import SelectorError, Term, anchors, matches, parse
+from glencleat.rest.version_store import VersionGoneError, Versions
 
 # ---- selectors ----
 
@@ -52,14 +52,14 @@
     "text", ["a=b,", "=b", "a=(b)", "a in b", "a in (b", ".odd=x", "a b", "a in (b c)", "!", ",a"]
 )
 def test_a_bad_selector_says_where(text):
-    with pytest.raises(BadSelector, match="labelSelector: .*(expected|no field)"):
+    with pytest.raises(SelectorError, match="labelSelector: .*(expected|no field)"):
         parse(text)
 
 
 def test_a_selector_has_bounds():
-    with pytest.raises(BadSelector, match="17 terms"):
+    with pytest.raises(SelectorError, match="17 terms"):
         parse(",".join(f"a{i}=b" for i in range(17)))
-    with pytest.raises(BadSelector, match="at most 32"):
+    with pytest.raises(SelectorError, match="at most 32"):
         parse(f"a in ({','.join(f'v{i}' for i in range(33))})")
 
 
@@ -131,7 +131,7 @@
             if resume is not None:
                 try:
                     events = versions.since("k", resume)
-                except Gone:
+                except VersionGoneError:
                     resume = None
             if resume is None:
                 seen, early, resume = listed(versions, selector, tenant), None, versions.number
@@ -229,7 +229,7 @@
 
 
 def test_another_processs_version_is_gone():
-    with pytest.raises(Gone):
+    with pytest.raises(VersionGoneError):
         Versions("e", {"k": 10}).read("f-3")
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,8 +3,8 @@
 import pytest
 
 from glencleat.checker import report
-from glencleat.checker.trace import TraceError, TraceEntry, TraceRecorder, read, write
 from glencleat.checker.invariants import RuleParameters, Spread, check
+from glencleat.checker.trace import TraceEntry, TraceError, TraceRecorder, read, write
 
 FIGURES = RuleParameters(
     drain_ms=1_000.0,
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -9,16 +9,17 @@
 import psutil
 import pytest
 
-from glencleat.platform_protocol import messages as m
 from glencleat.event_loop import ConnectError, Loop, StreamClosedError, connect
-from glencleat.scale import compare, report, run_size as sizes
+from glencleat.platform_protocol import messages as m
+from glencleat.scale import compare, report
+from glencleat.scale import run_size as sizes
 from glencleat.scale.allocators import HollowAllocators
 from glencleat.scale.channel import Channels
-from glencleat.scale.message_counters import wire_size
 from glencleat.scale.hosts import HostGroup
 from glencleat.scale.measure import Cost, MeasuredPhase
+from glencleat.scale.message_counters import wire_size
 from glencleat.scale.owners import AnswerCheck
-from glencleat.scale.worker_processes import CantStart, Parts
+from glencleat.scale.worker_processes import Parts, StartError
 from tests.live import setup
 from tests.sockets import run_until
 
@@ -139,7 +140,7 @@
 
 
 def test_a_part_for_which_the_system_has_no_room_says_so():
-    with Parts() as parts, pytest.raises(CantStart, match="Address already in use"):
+    with Parts() as parts, pytest.raises(StartError, match="Address already in use"):
         parts.start(fails_to_start).start()
 
 
--- a/tests/test_scale_shape.py
+++ b/tests/test_scale_shape.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from glencleat.platform_protocol import messages as m
+from glencleat.emulators.allocator_processes import SETTINGS
+from glencleat.emulators.channel import entry
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import EpollPoller
+from glencleat.platform_protocol import messages as m
 from glencleat.platform_server.process import PlatformProcess, load
 from glencleat.scale.hosts import listen_on_loopback
-from glencleat.emulators.channel import entry
-from glencleat.emulators.allocator_processes import SETTINGS
 from tests.live import setup
 
 SMALL, LARGE = 400, 1_600
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,10 +8,10 @@
 from glencleat.allocator import reconciliation
 from glencleat.allocator.reconciliation import TURN
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.servers.metrics import MetricsApi
+from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
-from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
+from glencleat.servers.metrics import MetricsApi
 from tests.fakes import Agent, Cluster, Owner
 
 ALLOCATORS, HOSTS, HELD = 300, 40, 30
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -6,9 +6,9 @@
 import pytest
 from click.testing import CliRunner
 
+from glencleat import endpoint_snapshot
 from glencleat import interface as api
 from glencleat.cli.main import main
-from glencleat import endpoint_snapshot
 from glencleat.scale import report
 
 ROOT = Path(__file__).parent.parent
--- a/tests/world.py
+++ b/tests/world.py
@@ -4,12 +4,12 @@
 from glencleat.checker.trace import TraceRecorder
 from glencleat.config import load
 from glencleat.daemon import Daemon
-from glencleat.event_loop import Loop
-from glencleat.flow_control.backoff import BackoffPolicy
 from glencleat.emulators.directory import Directory, DirectoryEntry
 from glencleat.emulators.hosts import EmulatedHost
 from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import OwnerJob, EmulatedOwner, Want
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
+from glencleat.event_loop import Loop
+from glencleat.flow_control.backoff import BackoffPolicy
 
 CONF = """
 allocator a0 number 0 of 1 zone hall-a
