--- a/benchmarks/equal_actions.py
+++ b/benchmarks/equal_actions.py
@@ -17,7 +17,7 @@
 from benchmarks.common import machine
 from glencleat import interface as api
 from glencleat.policy.scheduler import Scheduler
-from tests.reference_order import Stream, differ
+from tests.support.reference_order import Stream, differ
 
 SIZES = (("5 to 300", 200, 400), ("400", 12, 1_500), ("1,600", 8, 1_500), ("6,300", 6, 1_500))
 
--- a/tests/test_start.py
+++ b/tests/allocator/test_admission_queue.py
@@ -12,7 +12,7 @@
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
 from glencleat.servers.metrics import MetricsApi
-from tests.fakes import Agent, Cluster, Owner
+from tests.support.core_world import Agent, Cluster, Owner
 
 ALLOCATORS, HOSTS, HELD = 300, 40, 30
 TAKES_MS, LINE, TIMEOUT_MS = (
--- a/tests/test_core.py
+++ b/tests/allocator/test_core.py
@@ -9,7 +9,7 @@
 from glencleat.allocator.agent_sessions import NotSubscribedError
 from glencleat.allocator.startup_gate import StartupGate
 from glencleat.mesos import messages as m
-from tests.fakes import Agent, Cluster, Owner
+from tests.support.core_world import Agent, Cluster, Owner
 
 
 def begin(cls="safe", machines=2, **options):
--- a/tests/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -17,7 +17,7 @@
 from benchmarks import capacity_roles as roles
 from benchmarks.slope_fits import fit, mean_interval
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 PAGE, RUNS = (ROOT / "docs" / "CAPACITY.md").read_text(), capacity.load()
 NEWEST = list(RUNS["versions"])[-1]
 SIZES = (400, 1_600, 3_200, 6_300, 12_600)
--- a/tests/test_config.py
+++ b/tests/config/test_config.py
@@ -9,7 +9,7 @@
 from glencleat.config import ConfigError, load
 from glencleat.emulators.script import load_campus, load_script
 
-EXAMPLES = Path(__file__).parent.parent / "examples"
+EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 GOOD = """
 allocator a1 number 1 of 3 zone hall-b seed 9
 listen owners 127.0.0.1:0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 from glencleat.index.due_queue import DueQueue
 from glencleat.index.rendezvous import RendezvousIndex
-from tests.sockets import World
+from tests.support.socket_world import World
 
 settings.register_profile("fixed", derandomize=True, deadline=None)
 settings.load_profile("fixed")
--- a/tests/test_cold_start.py
+++ b/tests/emulators/test_cold_start.py
@@ -19,9 +19,9 @@
 from glencleat.emulators.proxy_faults import ProxyState as Wire
 from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import LIST, Backoff
-from tests.sockets import run_until
+from tests.support.socket_world import run_until
 
-EXAMPLES = Path(__file__).parent.parent / "examples"
+EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 COUNT, CROWD, DOWN_MS = 16, 60, 6_000.0
 
 
--- a/tests/test_machine.py
+++ b/tests/emulators/test_machine.py
@@ -5,7 +5,7 @@
 import pytest
 
 from glencleat.emulators.machine import EmulatedMachine, Nature, TaskOffer
-from tests.fakes import Timing
+from tests.support.core_world import Timing
 
 NATURE = Nature(
     decide_ms=10.0, start_ms=40.0, without_program=5.0, line=3, warm_ms=1_000.0, cold_from=0.2, tip_offers=2.0
--- a/tests/test_play.py
+++ b/tests/emulators/test_play.py
@@ -13,7 +13,7 @@
 from glencleat.emulators.script import figures, load_campus, load_script
 from glencleat.event_loop import Loop
 
-EXAMPLES = Path(__file__).parent.parent / "examples"
+EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_order_index.py
+++ b/tests/index/test_rendezvous.py
@@ -10,7 +10,7 @@
 from glencleat.index import rendezvous as index
 from glencleat.index.rendezvous import RendezvousIndex, hashed
 from glencleat.policy.scheduler import EXAMINED, Scheduler
-from tests.reference_order import CLASSES, KINDS, Plain, Stream, differ
+from tests.support.reference_order import CLASSES, KINDS, Plain, Stream, differ
 
 
 class Item:
--- a/tests/test_isup_exchange.py
+++ b/tests/platform_protocol/test_exchange.py
@@ -7,7 +7,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.delivery import OUTCOMES, DeliveryOutcome
 from glencleat.platform_protocol.exchange import SetupState
-from tests.live import SETTINGS, Owner, World, machine, news, read
+from tests.support.exchange_world import SETTINGS, Owner, World, machine, news, read
 
 PROOFS = {api.Outcome.REJECTED, api.Outcome.UNREACHABLE, api.Outcome.NOT_SENT}
 
--- a/tests/test_isup_messages.py
+++ b/tests/platform_protocol/test_messages.py
@@ -11,7 +11,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import TOLD_LATE_MS, CommandChannel, when
 from glencleat.platform_protocol.setup_requests import SetupError, SetupReader
-from tests.live import SETTINGS, read, setup
+from tests.support.exchange_world import SETTINGS, read, setup
 
 PARAMETERS = st.dictionaries(st.integers(0, 255), st.binary(max_size=40), max_size=6)
 MESSAGES = st.lists(
--- a/tests/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -11,9 +11,9 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.ended_tasks import KEEP_MS
 from glencleat.platform_server import client_connections
-from tests.live import World as Virtual
-from tests.live import read, setup
-from tests.sockets import Peer, World, cancel, kinds, linked, settled, stands
+from tests.support.exchange_world import World as Virtual
+from tests.support.exchange_world import read, setup
+from tests.support.socket_world import Peer, World, cancel, kinds, linked, settled, stands
 
 # ---- links and connections that the other side has closed ----
 
--- a/tests/test_garbage.py
+++ b/tests/platform_server/test_garbage.py
@@ -9,8 +9,8 @@
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
-from tests.live import setup
-from tests.sockets import Peer, cancel, settled, stands
+from tests.support.exchange_world import setup
+from tests.support.socket_world import Peer, cancel, settled, stands
 
 COUNT = 12
 
--- a/tests/test_node.py
+++ b/tests/platform_server/test_platform_server.py
@@ -21,8 +21,8 @@
     host_connections,
     watch_client,
 )
-from tests.live import setup
-from tests.sockets import Peer, kinds, stands
+from tests.support.exchange_world import setup
+from tests.support.socket_world import Peer, kinds, stands
 
 # ---- hosts ----
 
--- a/tests/test_node_process.py
+++ b/tests/platform_server/test_process.py
@@ -17,7 +17,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_server.graceful_shutdown import WINDOW_MS
 from glencleat.platform_server.process import READY_MS, PlatformProcess, load
-from tests.live import setup
+from tests.support.exchange_world import setup
 
 SETTINGS = {
     "az": "a",
--- a/tests/test_fleet_races.py
+++ b/tests/platform_server/test_process_races.py
@@ -14,8 +14,8 @@
 from glencleat.emulators.platform_peers import LiveHost, LiveOwner
 from glencleat.event_loop import Loop, StreamClosedError, connect
 from glencleat.platform_protocol import messages as m
-from tests.live import setup
-from tests.sockets import run_until
+from tests.support.exchange_world import setup
+from tests.support.socket_world import run_until
 
 COUNT, LIFE_MS = 20, 400.0
 ONE_ANSWER = [m.RELEASE], [m.ANSWER], [m.ANSWER, m.RELEASE]  # refused or failed; placed; and then ended
--- a/tests/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -9,7 +9,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_server import connection_pool, failure_detector
 from glencleat.platform_server.connection_pool import ConnectionPool
-from tests.quiet import World
+from tests.support.pool_world import World
 
 STREAMS, BATCH, STEPS = 240, 12, 140
 
--- a/tests/test_scale.py
+++ b/tests/policy/test_many_schedulers.py
@@ -7,7 +7,7 @@
 from glencleat import interface as api
 from glencleat.checker.chance_bounds import busiest
 from glencleat.policy.scheduler import EXAMINED, KNOWN, PULSE_MS, SLOW_NO
-from tests.test_logic import SAFE, Bench, binds, kinds, machine
+from tests.policy.test_scheduler import SAFE, Bench, binds, kinds, machine
 
 
 @pytest.mark.parametrize(("peers", "offers"), [(1, 6.0), (3, 6.0), (40, 10.0), (220, 10.0), (300, 70.0)])
--- a/tests/test_logic.py
+++ b/tests/policy/test_scheduler.py
@@ -369,7 +369,7 @@
 
 
 SCRIPT = """
-from tests.test_logic import Bench, machine
+from tests.policy.test_scheduler import Bench, machine
 bench = Bench([machine(n) for n in "mnopq"], allocator_count=2)
 print([bench.ask(service=f"s{i % 7}")[1] for i in range(60)], bench.run(1000.0))
 """
--- a/tests/test_rest_front.py
+++ b/tests/rest/test_rest_service.py
@@ -17,7 +17,7 @@
 from glencleat.rest.version_store import VersionGoneError
 from glencleat.rest.watches import WatchLimits as WatchLimits
 from glencleat.servers.rest_api import RestApi
-from tests.fakes import Cluster, Owner
+from tests.support.core_world import Cluster, Owner
 
 JOB = {"class": "safe", "service": "svc", "cores": 1, "memory": 100}
 
--- a/tests/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -20,8 +20,8 @@
 from glencleat.scale.message_counters import wire_size
 from glencleat.scale.owners import AnswerCheck
 from glencleat.scale.worker_processes import Parts, StartError
-from tests.live import setup
-from tests.sockets import run_until
+from tests.support.exchange_world import setup
+from tests.support.socket_world import run_until
 
 SMALL = """
 hosts = [24]
--- a/tests/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -17,7 +17,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_server.process import PlatformProcess, load
 from glencleat.scale.hosts import listen_on_loopback
-from tests.live import setup
+from tests.support.exchange_world import setup
 
 SMALL, LARGE = 400, 1_600
 FLAT = 1.3  # at four times the hosts: as good as independent of them
--- a/tests/test_rest_path.py
+++ b/tests/servers/test_rest_api.py
@@ -13,7 +13,7 @@
 from schemathesis.specs.openapi import checks as openapi_checks
 
 from glencleat.emulators.rest_owners import RestOwner
-from tests.world import World
+from tests.support.daemon_world import World
 
 JOB = {"class": "pull-front", "service": "svc", "cores": 1, "memory": 100, "lifeMs": 60_000}
 
--- a/tests/live.py
+++ b/tests/support/exchange_world.py
@@ -5,7 +5,7 @@
 from glencleat.platform_protocol.command_channel import HostEntry, ListChange
 from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.platform_protocol.exchange import Exchange
-from tests.fakes import Timing
+from tests.support.core_world import Timing
 
 SAFE = api.TaskClass("safe", api.Idempotency.IDEMPOTENT, 1000.0, 8000.0, 1.0)
 KEYED = api.TaskClass(
--- a/tests/quiet.py
+++ b/tests/support/pool_world.py
@@ -14,7 +14,7 @@
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.platform_server import host_connections
 from glencleat.platform_server.connection_pool import ConnectionPool
-from tests.live import SETTINGS, Owner, read, setup
+from tests.support.exchange_world import SETTINGS, Owner, read, setup
 
 
 class Clock:
--- a/tests/sockets.py
+++ b/tests/support/socket_world.py
@@ -10,7 +10,7 @@
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
 from glencleat.platform_server import client_connections, connection_pool
-from tests.live import SETTINGS, Script, setup
+from tests.support.exchange_world import SETTINGS, Script, setup
 
 
 def run_until(loop, done, ms, say):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -25,8 +25,8 @@
 from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.executor_api import ExecutorApi
 from glencleat.servers.scheduler_api import SchedulerApi
-from tests.fakes import Cluster, Owner
-from tests.world import CONF, PACE, World
+from tests.support.core_world import Cluster, Owner
+from tests.support.daemon_world import CONF, PACE, World
 
 
 @pytest.fixture
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from tests.live import setup
-from tests.test_node_process import Platform
+from tests.platform_server.test_process import Platform
+from tests.support.exchange_world import setup
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_kept.py
+++ b/tests/test_endpoint_snapshot.py
@@ -6,8 +6,8 @@
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
 from glencleat.servers.endpoint_snapshot_file import ANEW_MS, EndpointSnapshotFile
-from tests.fakes import Timing
-from tests.world import World
+from tests.support.core_world import Timing
+from tests.support.daemon_world import World
 
 WALL = 1.7e12
 SERVING, DRAINING, GONE = api.MachinePhase.SERVING, api.MachinePhase.DRAINING, api.MachinePhase.REMOVED
