--- a/glencleat/checker/__init__.py
+++ b/glencleat/checker/__init__.py
@@ -1,2 +1,5 @@
-"""The five rules, checked from recorded socket traffic alone: `record` is what stand-ins write, `rules` reads
-it."""
+"""The invariants, checked from recorded socket traffic alone.
+
+Emulators write a trace (`trace`); `invariants` and the `*_bounds` modules judge it. They know nothing of how
+the allocator decides.
+"""
--- a/glencleat/checker/polling_bounds.py
+++ b/glencleat/checker/polling_bounds.py
@@ -1,52 +1,61 @@
-"""Bounds on how a crowd asks one service again, judged from what a relay before it recorded.
+"""Bounds on how many clients poll one service that is down, judged from what a proxy before it recorded.
 
-No I/O, and nothing of what the allocators say themselves. A bound that was never in danger is *not tried*."""
+No I/O, and nothing of what the allocators say themselves. A bound that was never in danger is *not tried*.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import defaultdict
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from itertools import pairwise
 from typing import Protocol
 
 from glencleat.checker.chance_bounds import (
     BoundVerdict,
-    count_busiest_window,
     chance_limit_in_window,
+    count_busiest_window,
     judge_bound,
 )
-from glencleat.checker.invariants import TraceHistory
 from glencleat.checker.trace import TraceEntry
+from glencleat.checker.trace_history import TraceHistory
 
-SETTLE_MS = 3_000.0  # first tries are spread over less; what goes on is judged from here
-MAX_RATE_PER_S = 0.98  # connections a second of each: a tenth of what fixed steps of 0.1 s came to
-BUSIEST_WINDOW_MS, MAX_BUSIEST_SHARE = 100.0, 0.25  # the busiest such time holds less than this part of all
-EQUAL_WAIT_TOLERANCE_MS, MIN_JITTER_RANGE_MS = (
-    30.0,
-    500.0,
-)  # waits that differ by less are one; the narrowest span they come from
-RECONNECT_LIMIT_MS = 4_000.0  # after the service is well again
-MIN_OUTAGE_MS, MIN_CLIENTS = SETTLE_MS + 1_500.0, 12
+SETTLE_MS = 3_000.0  # first attempts are spread over less; what goes on is judged from here
+MAX_RATE_PER_S = 0.98  # connections of each client: a tenth of what fixed steps of 0.1 s came to
+BUSIEST_WINDOW_MS = 100.0
+MAX_BUSIEST_SHARE = 0.25  # of all clients, in the busiest such window
+EQUAL_WAIT_TOLERANCE_MS = 30.0  # waits that differ by less count as equal
+MIN_JITTER_RANGE_MS = 500.0  # the narrowest range that waits are drawn from
+RECONNECT_LIMIT_MS = 4_000.0  # after the service has recovered
+MIN_OUTAGE_MS = SETTLE_MS + 1_500.0  # a shorter outage puts no bound to the test
+MIN_CLIENTS = 12  # likewise fewer clients
+MS_PER_S = 1_000.0
 
 
 class ConnectionEvent(Protocol):
-    """What a relay saw, as far as it is judged."""
+    """What a proxy saw of one connection, as far as it is judged."""
 
     @property
-    def at_ms(self) -> float: ...
+    def at_ms(self) -> float:
+        """When, on the trace's clock."""
+
     @property
-    def relay(self) -> str: ...
+    def relay(self) -> str:
+        """The proxy's name; with a proxy for each client, the client's."""
+
     @property
-    def kind(self) -> str: ...
+    def kind(self) -> str:
+        """One of opened, refused, ended and reset; others are passed over."""
+
     @property
-    def number(self) -> int: ...
+    def number(self) -> int:
+        """The connection's number at its proxy."""
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedConnectionEvent:
-    """The same, from a play's record."""
+    """A connection event read from a trace."""
 
     at_ms: float
     relay: str
@@ -54,6 +63,15 @@
     number: int
 
 
+@dataclass(frozen=True, slots=True)
+class Outage:
+    """From `down_at_ms` to `recovered_at_ms` a service turned all of `clients` away."""
+
+    down_at_ms: float
+    recovered_at_ms: float
+    clients: frozenset[str]
+
+
 def judge_outage(
     events: Iterable[ConnectionEvent],
     client_count: int,
@@ -61,110 +79,129 @@
     recovered_at_ms: float,
     running_clients: set[str] | None = None,
 ) -> list[BoundVerdict]:
-    """Of `count` allocators at a service that turned everybody away from `down_ms` to `well_ms`.
-
-    `ran`: with a wire for each, those that can be back in time, as they were not stopped meanwhile."""
-    record = sorted(events, key=lambda one: one.at_ms)
-    tries = [
-        one.at_ms for one in record if one.kind == "refused" and down_at_ms <= one.at_ms < recovered_at_ms
+    """The bounds on `client_count` clients of a service that turned all away between these instants.
+
+    `running_clients`: with a proxy for each client, those that can be back in time, as they were not stopped
+    meanwhile.
+    """
+    record = sorted(events, key=lambda event: event.at_ms)
+    settled_at_ms = down_at_ms + SETTLE_MS
+    polls = [
+        event.at_ms
+        for event in record
+        if event.kind == "refused" and settled_at_ms <= event.at_ms < recovered_at_ms
     ]
-    later = [at for at in tries if at >= down_at_ms + SETTLE_MS]
-    seconds = (recovered_at_ms - down_at_ms - SETTLE_MS) / 1e3
-    tried = bool(later) and recovered_at_ms - down_at_ms >= MIN_OUTAGE_MS and client_count >= MIN_CLIENTS
+    seconds = (recovered_at_ms - settled_at_ms) / MS_PER_S
+    is_long_enough = recovered_at_ms - down_at_ms >= MIN_OUTAGE_MS
+    was_tried = bool(polls) and is_long_enough and client_count >= MIN_CLIENTS
+    rate_per_s = len(polls) / seconds if was_tried else 0.0
     return [
-        _judge_rate(later, client_count, seconds, tried),
-        _judge_busiest_window(later, client_count, seconds, tried),
+        _judge_rate(rate_per_s / client_count if was_tried else 0.0, was_tried),
+        _judge_busiest_window(polls, client_count, rate_per_s, was_tried),
         _judge_reconnection(record, client_count, recovered_at_ms, running_clients),
         _judge_jitter(record, client_count, down_at_ms, recovered_at_ms),
     ]
 
 
-def _judge_rate(later: list[float], count: int, seconds: float, tried: bool) -> BoundVerdict:
-    each = len(later) / seconds / count if tried else 0.0
-    return judge_bound(
-        "rate", tried, each < MAX_RATE_PER_S, f"{each:.2f} connections a second each, under {MAX_RATE_PER_S}"
-    )
+def _judge_rate(rate_per_client: float, was_tried: bool) -> BoundVerdict:
+    text = f"{rate_per_client:.2f} connections a second each, under {MAX_RATE_PER_S}"
+    return judge_bound("rate", was_tried, rate_per_client < MAX_RATE_PER_S, text)
 
 
-def _judge_busiest_window(later: list[float], count: int, seconds: float, tried: bool) -> BoundVerdict:
-    """Of few, more than a quarter meet by chance: then only what chance does not bring is broken."""
-    most = count_busiest_window(later, BUSIEST_WINDOW_MS)
-    rate = min(len(later) / seconds, MAX_RATE_PER_S * count) if tried else 0.0
-    limit = max(
-        math.ceil(MAX_BUSIEST_SHARE * count),
-        chance_limit_in_window(len(later), rate * BUSIEST_WINDOW_MS / 1e3) if tried else 0,
-    )
-    text = f"{most} of {count} in the busiest {BUSIEST_WINDOW_MS:.0f} ms, under {limit}"
-    return judge_bound("busiest", tried and limit <= count, most < limit, text)
+def _judge_busiest_window(
+    polls: list[float], client_count: int, rate_per_s: float, was_tried: bool
+) -> BoundVerdict:
+    """Of few clients, more than a quarter meet by chance: then only what chance does not bring is broken."""
+    most = count_busiest_window(polls, BUSIEST_WINDOW_MS)
+    limit = math.ceil(MAX_BUSIEST_SHARE * client_count)
+    if was_tried:
+        allowed_rate_per_s = min(rate_per_s, MAX_RATE_PER_S * client_count)
+        mean = allowed_rate_per_s * BUSIEST_WINDOW_MS / MS_PER_S
+        limit = max(limit, chance_limit_in_window(len(polls), mean))
+    text = f"{most} of {client_count} in the busiest {BUSIEST_WINDOW_MS:.0f} ms, under {limit}"
+    return judge_bound("busiest", was_tried and limit <= client_count, most < limit, text)
 
 
 def _judge_reconnection(
-    record: list[ConnectionEvent], count: int, well_ms: float, ran: set[str] | None
+    record: list[ConnectionEvent], client_count: int, recovered_at_ms: float, running_clients: set[str] | None
+) -> BoundVerdict:
+    """Connections accepted since the recovery that are still open when all clients should be back."""
+    until_ms = recovered_at_ms + RECONNECT_LIMIT_MS
+    open_connections: set[tuple[str, int]] = set()
+    for event in record:
+        if event.at_ms > until_ms:
+            break
+        connection = event.relay, event.number
+        if event.kind == "opened" and event.at_ms >= recovered_at_ms:
+            open_connections.add(connection)
+        elif event.kind in ("ended", "reset", "refused"):
+            open_connections.discard(connection)
+    was_tried = any(event.kind == "refused" and event.at_ms < recovered_at_ms for event in record)
+    expected, back = client_count, len(open_connections)
+    if running_clients is not None:
+        expected = len(running_clients)
+        back = len(running_clients & {relay for relay, _ in open_connections})
+    text = f"{back} of {expected} back within {RECONNECT_LIMIT_MS / MS_PER_S:.0f} s"
+    is_recorded = was_tried and record[-1].at_ms >= recovered_at_ms
+    return judge_bound("back", is_recorded, back >= expected, text)
+
+
+def _judge_jitter(
+    record: list[ConnectionEvent], client_count: int, down_at_ms: float, recovered_at_ms: float
 ) -> BoundVerdict:
-    """Connections that were let in since, and have not ended by the time that all should be back."""
-    until = well_ms + RECONNECT_LIMIT_MS
-    there: set[tuple[str, int]] = set()
-    for one in record:
-        if well_ms <= one.at_ms <= until and one.kind == "opened":
-            there.add((one.relay, one.number))
-        elif one.at_ms <= until and one.kind in ("ended", "reset", "refused"):
-            there.discard((one.relay, one.number))
-    tried = any(one.at_ms < well_ms and one.kind == "refused" for one in record)
-    back = len(there)
-    if ran is not None:
-        back, count = len(ran & {relay for relay, _ in there}), len(ran)
-    text = f"{back} of {count} back within {RECONNECT_LIMIT_MS / 1e3:.0f} s"
-    return judge_bound("back", tried and record[-1].at_ms >= well_ms, back >= count, text)
-
-
-def _judge_jitter(record: list[ConnectionEvent], count: int, down_ms: float, well_ms: float) -> BoundVerdict:
-    """Whether waits are drawn: by wires of their own, since those that start apart go apart without it."""
-    times = defaultdict[str, list[float]](list)
-    for one in record:
-        if one.kind == "refused" and down_ms <= one.at_ms < well_ms:
-            times[one.relay].append(one.at_ms)
-    waits = sorted(b - a for each in times.values() for a, b in pairwise(each))
-    limit = (
-        chance_limit_in_window(len(waits), len(waits) * EQUAL_WAIT_TOLERANCE_MS / MIN_JITTER_RANGE_MS)
-        if waits
-        else 0
-    )
+    """Whether waits are drawn at random: by client, since those that start apart go apart without it."""
+    polls_by_relay = defaultdict[str, list[float]](list)
+    for event in record:
+        if event.kind == "refused" and down_at_ms <= event.at_ms < recovered_at_ms:
+            polls_by_relay[event.relay].append(event.at_ms)
+    waits = sorted(after - before for polls in polls_by_relay.values() for before, after in pairwise(polls))
+    limit = 0
+    if waits:
+        mean = len(waits) * EQUAL_WAIT_TOLERANCE_MS / MIN_JITTER_RANGE_MS
+        limit = chance_limit_in_window(len(waits), mean)
     most = count_busiest_window(waits, EQUAL_WAIT_TOLERANCE_MS)
     text = f"{most} of {len(waits)} waits alike to {EQUAL_WAIT_TOLERANCE_MS:.0f} ms, under {limit}"
-    tried = len(times) >= MIN_CLIENTS and len(waits) >= count and limit <= len(waits)
-    return judge_bound("alike", tried, most < limit, text)
+    has_enough = len(polls_by_relay) >= MIN_CLIENTS and len(waits) >= client_count
+    return judge_bound("alike", has_enough and limit <= len(waits), most < limit, text)
 
 
-def find_list_outages(entries: list[TraceEntry]) -> Iterable[tuple[float, float, set[str]]]:
-    """Each time in a play's record at which its list turned all its allocators away: from, until, who.
+def find_list_outages(entries: list[TraceEntry]) -> Iterator[Outage]:
+    """Each time in a trace at which the list service turned all its allocators away.
 
-    One that was started meanwhile has its first tries then: the time counts from when the last was up."""
-    names = {entry.allocator for entry in entries if entry.kind == "allocator"}
-    away, down = set[str](), 0.0
+    One that was started meanwhile makes its first attempts then: the time counts from when the last was up.
+    """
+    names = frozenset(entry.allocator for entry in entries if entry.kind == "allocator")
+    turned_away = set[str]()
+    down_at_ms = 0.0
     for entry in entries:
         if entry.kind == "allocator" and entry.state == "up":
-            down = entry.at
+            down_at_ms = entry.at
         if entry.kind != "wire" or entry.who != "list" or entry.reason != "turns away":
             continue
         if entry.state == "begins":
-            away.add(entry.allocator)
-            down = entry.at
-        elif away == names:
-            yield down, entry.at, names
-            away.clear()
+            turned_away.add(entry.allocator)
+            down_at_ms = entry.at
+        elif turned_away == names:
+            yield Outage(down_at_ms, entry.at, names)
+            turned_away.clear()
         else:
-            away.discard(entry.allocator)
+            turned_away.discard(entry.allocator)
 
 
 def judge_trace(entries: list[TraceEntry]) -> list[BoundVerdict]:
-    """Of each such time, by wires of their own."""
-    passed = [
+    """The bounds at each outage of the list service, with a proxy for each allocator."""
+    events = [
         ObservedConnectionEvent(entry.at, entry.allocator, entry.state, entry.number)
         for entry in entries
         if entry.kind == "passed" and entry.who == "list" and entry.state != "bytes"
     ]
-    verdicts, story = list[BoundVerdict](), TraceHistory(entries)
-    for down, well, names in find_list_outages(entries):
-        ran = {name for name in names if story.has_run_throughout(name, well, well + RECONNECT_LIMIT_MS)}
-        verdicts += judge_outage(passed, len(names), down, well, ran)
+    history = TraceHistory(entries)
+    verdicts = list[BoundVerdict]()
+    for outage in find_list_outages(entries):
+        down_at_ms, recovered_at_ms = outage.down_at_ms, outage.recovered_at_ms
+        until_ms = recovered_at_ms + RECONNECT_LIMIT_MS
+        running = {
+            name for name in outage.clients if history.has_run_throughout(name, recovered_at_ms, until_ms)
+        }
+        verdicts += judge_outage(events, len(outage.clients), down_at_ms, recovered_at_ms, running)
     return verdicts
--- a/glencleat/checker/report.py
+++ b/glencleat/checker/report.py
@@ -1,5 +1,4 @@
-"""What a record tells: tasks by outcome, latency percentiles, broken rules with their lines. Tables by
-rich."""
+"""The report on a trace: tasks by outcome, latency percentiles, violations with their lines."""
 
 from __future__ import annotations
 
@@ -11,16 +10,20 @@
 from rich.table import Table
 
 from glencleat.checker.chance_bounds import BoundVerdict
-from glencleat.checker.invariants import PLACED_STATES, RECONCILIATION_REASON, UNPLACED_STATES, Violation
+from glencleat.checker.invariants import Violation
 from glencleat.checker.trace import TraceEntry
+from glencleat.checker.trace_history import PLACED_STATES, RECONCILIATION_REASON, UNPLACED_STATES
 
 PERCENTILES = (50.0, 90.0, 99.0, 100.0)
-MAX_SHOWN_VIOLATIONS = 20  # breaches printed; the rest is counted
+OUTCOMES = ("placed", "refused", "failed", "unanswered")
+MAX_SHOWN_LINES = 6  # of the trace, for each violation
+MAX_HISTOGRAM_US = 120_000_000  # two minutes: longer placements count as this
+MAX_SHOWN_VIOLATIONS = 20  # the others are counted
 
 
 @dataclass
 class Summary:
-    """Asks by class and how they ended, with the time from ACCEPT to placement."""
+    """Requests by class and how they ended, with the time from ACCEPT to placement."""
 
     outcomes_by_class: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     placement_us_by_class: dict[str, HdrHistogram] = field(default_factory=dict)
@@ -29,73 +32,87 @@
     start_count: int = 0
 
     def placement_ms(self, task_class: str, percent: float) -> float:
-        """Milliseconds."""
+        """Time from ACCEPT to placement at that percentile, in milliseconds; 0 where nothing was placed."""
         histogram = self.placement_us_by_class.get(task_class)
         return histogram.get_value_at_percentile(percent) / 1_000.0 if histogram is not None else 0.0
 
 
 def classify_answer(entry: TraceEntry) -> str:
+    """Which column of the table an answer counts in."""
     if entry.state in PLACED_STATES:
         return "placed"
     return "refused" if entry.retry == "harmless" else "failed"
 
 
 def is_final_answer(entry: TraceEntry) -> bool:
-    """Whether a status answers an ask; a reply to RECONCILE does not."""
+    """Whether a status answers a request; a reply to RECONCILE does not."""
     return entry.reason != RECONCILIATION_REASON and entry.state in PLACED_STATES + UNPLACED_STATES
 
 
 def summarize(entries: list[TraceEntry]) -> Summary:
-    told = Summary()
-    open_asks: dict[tuple[str, str], TraceEntry] = {}
+    """Counts a trace's requests by class and outcome, and its offers and starts."""
+    summary = Summary()
+    open_requests: dict[tuple[str, str], TraceEntry] = {}
     for entry in entries:
         key = entry.allocator, entry.task
         if entry.kind == "asked":
-            before = open_asks.get(key)
+            before = open_requests.get(key)
             if before is not None:
-                told.outcomes_by_class[before.cls]["unanswered"] += 1
-            open_asks[key] = entry
-        elif entry.kind == "answer" and key in open_asks and is_final_answer(entry):
-            ask = open_asks.pop(key)
-            told.outcomes_by_class[ask.cls][classify_answer(entry)] += 1
+                summary.outcomes_by_class[before.cls]["unanswered"] += 1
+            open_requests[key] = entry
+        elif entry.kind == "answer" and key in open_requests and is_final_answer(entry):
+            request = open_requests.pop(key)
+            summary.outcomes_by_class[request.cls][classify_answer(entry)] += 1
             if entry.state in PLACED_STATES:
-                histogram = told.placement_us_by_class.setdefault(ask.cls, HdrHistogram(1, 120_000_000, 3))
-                histogram.record_value(max(1, round((entry.at - ask.at) * 1_000.0)))
-        told.offer_count += entry.kind == "offered"
-        told.rejected_offer_count += entry.kind == "said" and entry.state == "TASK_DROPPED"
-        told.start_count += entry.kind == "started"
-    for ask in open_asks.values():
-        told.outcomes_by_class[ask.cls]["unanswered"] += 1
-    return told
+                histogram = summary.placement_us_by_class.setdefault(
+                    request.cls, HdrHistogram(1, MAX_HISTOGRAM_US, 3)
+                )
+                histogram.record_value(max(1, round((entry.at - request.at) * 1_000.0)))
+        summary.offer_count += entry.kind == "offered"
+        summary.rejected_offer_count += entry.kind == "said" and entry.state == "TASK_DROPPED"
+        summary.start_count += entry.kind == "started"
+    for request in open_requests.values():
+        summary.outcomes_by_class[request.cls]["unanswered"] += 1
+    return summary
 
 
 def print_report(
     entries: list[TraceEntry], violations: list[Violation], bounds: list[BoundVerdict], console: Console
 ) -> None:
-    told = summarize(entries)
+    """Prints the tables of a trace, its violations with their lines, and the verdicts on bounds."""
+    summary = summarize(entries)
+    console.print(_outcome_table(summary))
+    console.print(
+        f"offers {summary.offer_count}, turned down {summary.rejected_offer_count}, "
+        f"programs started {summary.start_count}, entries {len(entries)}"
+    )
+    lags_ms = [entry.left for entry in entries if entry.kind == "lag"]
+    if lags_ms:
+        console.print(f"the emulators stood still for up to {max(lags_ms):.0f} ms; the rules allow for that")
+    _print_violations(entries, violations, console)
+    for bound in bounds:
+        console.print(f"bound {bound.bound}: {bound.state.value}, {bound.text}", highlight=False)
+    console.print(f"rules broken: {len(violations)}" if violations else "all five rules kept")
+
+
+def _outcome_table(summary: Summary) -> Table:
     table = Table(title="Asks by outcome; ms from ACCEPT to placement")
     table.add_column("class", no_wrap=True)
-    for name in ("asked", "placed", "refused", "failed", "unanswered", *(f"p{s:g}" for s in PERCENTILES)):
+    percentile_names = [f"p{percent:g}" for percent in PERCENTILES]
+    for name in ("asked", *OUTCOMES, *percentile_names):
         table.add_column(name, justify="right", no_wrap=True)
-    for cls in sorted(told.outcomes_by_class):
-        counts = told.outcomes_by_class[cls]
-        row = [counts[name] for name in ("placed", "refused", "failed", "unanswered")]
-        times = [f"{told.placement_ms(cls, share):.1f}" for share in PERCENTILES]
-        table.add_row(cls, str(sum(row)), *map(str, row), *times)
-    console.print(table)
-    console.print(
-        f"offers {told.offer_count}, turned down {told.rejected_offer_count}, programs started {told.start_count}, "
-        f"entries {len(entries)}"
-    )
-    lags = [entry.left for entry in entries if entry.kind == "lag"]
-    if lags:
-        console.print(f"the stand-ins stood still for up to {max(lags):.0f} ms; the rules allow for that")
-    for breach in violations[:MAX_SHOWN_VIOLATIONS]:
-        console.print(f"broken: {breach}", style="red", highlight=False, soft_wrap=True)
-        for line in breach.trace_lines[:6]:
+    for task_class in sorted(summary.outcomes_by_class):
+        counts = summary.outcomes_by_class[task_class]
+        row = [counts[name] for name in OUTCOMES]
+        times = [f"{summary.placement_ms(task_class, percent):.1f}" for percent in PERCENTILES]
+        table.add_row(task_class, str(sum(row)), *map(str, row), *times)
+    return table
+
+
+def _print_violations(entries: list[TraceEntry], violations: list[Violation], console: Console) -> None:
+    for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+        console.print(f"broken: {violation}", style="red", highlight=False, soft_wrap=True)
+        for line in violation.trace_lines[:MAX_SHOWN_LINES]:
             console.print(f"  {line}: {entries[line - 1]}", highlight=False, soft_wrap=True)
     if len(violations) > MAX_SHOWN_VIOLATIONS:
         console.print(f"and {len(violations) - MAX_SHOWN_VIOLATIONS} more")
-    for bound in bounds:
-        console.print(f"bound {bound.bound}: {bound.state.value}, {bound.text}", highlight=False)
-    console.print(f"rules broken: {len(violations)}" if violations else "all five rules kept")
--- a/glencleat/checker/slow_start_bounds.py
+++ b/glencleat/checker/slow_start_bounds.py
@@ -1,68 +1,97 @@
-"""A bound on what hosts hear once a crowd that could place nothing can: slow start, from the record alone.
+"""A bound on the slow start of allocators that could place nothing for a while, from the trace alone.
 
-No I/O. Each allocator that has held tasks back may have as many out as its first window, and one more for
-each that was placed; tasks that were asked for since go beyond it. Hosts read a LAUNCH after it was sent and
-write their word before it is heard, so that what is out by the record is never more than what the allocator
-knew."""
+No I/O. Each allocator that has held tasks back may have as many attempts outstanding as its first window, and
+one more for each that was placed; tasks that were requested since go beyond it. Hosts read a LAUNCH after it
+was sent and write their status before it is read, so that what is outstanding by the trace is never more than
+what the allocator knew.
+"""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 
 from glencleat.checker.chance_bounds import BoundVerdict, judge_bound
-from glencleat.checker.invariants import PLACED_STATES, UNPLACED_STATES, ObservedAttempt, TraceHistory
-from glencleat.checker.polling_bounds import RECONNECT_LIMIT_MS, MIN_CLIENTS, find_list_outages
+from glencleat.checker.polling_bounds import MIN_CLIENTS, RECONNECT_LIMIT_MS, Outage, find_list_outages
 from glencleat.checker.trace import TraceEntry
+from glencleat.checker.trace_history import (
+    NEVER,
+    PLACED_STATES,
+    UNPLACED_STATES,
+    ObservedAttempt,
+    TraceHistory,
+)
 
-OUTSTANDING_LIMIT_MS = 1_000.0  # one without an answer for longer waits for room, and holds up nobody
-MIN_HELD_BACK = 3  # tasks that one allocator held back, and would send at once
+OUTSTANDING_LIMIT_MS = (
+    1_000.0  # an attempt without an answer for longer waits for capacity, and delays nobody
+)
+MIN_HELD_BACK = 3  # tasks beyond the first window that an allocator would otherwise send at once
 
 
 def judge_trace(entries: list[TraceEntry]) -> list[BoundVerdict]:
-    """Of each time in a play's record at which the list came back to all its allocators."""
-    story, found = TraceHistory(entries), list[BoundVerdict]()
-    for down, well, names in find_list_outages(entries):
-        hosts = {entry.who for entry in entries if entry.kind == "up" and entry.at <= well}
-        first = max(1.0, len(hosts) / len(names))
-        until = well + RECONNECT_LIMIT_MS
-        ran = [name for name in sorted(names) if story.has_run_throughout(name, well, until)]
-        crowd = sum(_count_held_back(story, name, down, well) >= first + MIN_HELD_BACK for name in ran)
-        worst = max((_max_outstanding_beyond_placed(story, name, well, until) for name in ran), default=0)
-        text = f"{worst} out beyond those placed at one allocator, at most {first:.0f}; {crowd} had held more"
-        found.append(judge_bound("slow start", crowd >= MIN_CLIENTS, worst <= first, text))
-    return found
+    """The bound at each time in a trace at which the list service came back to all its allocators."""
+    history = TraceHistory(entries)
+    return [_judge_recovery(history, outage) for outage in find_list_outages(entries)]
 
 
-def _count_held_back(story: TraceHistory, name: str, down: float, well: float) -> int:
-    """Asks of that time whose answer, if any, came later."""
+def _judge_recovery(history: TraceHistory, outage: Outage) -> BoundVerdict:
+    recovered_at = outage.recovered_at_ms
+    until = recovered_at + RECONNECT_LIMIT_MS
+    hosts = {entry.who for entry in history.entries if entry.kind == "up" and entry.at <= recovered_at}
+    first_window = max(1.0, len(hosts) / len(outage.clients))
+    names = [name for name in sorted(outage.clients) if history.has_run_throughout(name, recovered_at, until)]
+    held_back = [_count_held_back(history, name, outage.down_at_ms, recovered_at) for name in names]
+    crowd = sum(count >= first_window + MIN_HELD_BACK for count in held_back)
+    beyond = [_max_outstanding_beyond_placed(history, name, recovered_at, until) for name in names]
+    worst = max(beyond, default=0)
+    text = (
+        f"{worst} out beyond those placed at one allocator, at most {first_window:.0f}; {crowd} had held more"
+    )
+    return judge_bound("slow start", crowd >= MIN_CLIENTS, worst <= first_window, text)
+
+
+def _count_held_back(history: TraceHistory, name: str, down_at: float, recovered_at: float) -> int:
+    """Requests of the outage whose answer, if any, came after it."""
     count = 0
-    for (allocator, task), asked in story.requests_by_task.items():
+    for (allocator, task), requests in history.requests_by_task.items():
         if allocator != name:
             continue
-        heard = story.answers_by_task.get((allocator, task), ())
-        told = [entry.at for entry in heard if entry.state in PLACED_STATES + UNPLACED_STATES]
-        for ask in asked:
-            waits = down <= ask.at <= well < ask.at + ask.left
-            count += waits and not any(ask.at <= at <= well for at in told)
+        answers = history.answers_by_task.get((allocator, task), ())
+        answered_at = [entry.at for entry in answers if entry.state in PLACED_STATES + UNPLACED_STATES]
+        for request in requests:
+            is_waiting = down_at <= request.at <= recovered_at < request.at + request.left
+            count += is_waiting and not any(request.at <= at <= recovered_at for at in answered_at)
     return count
 
 
-def _max_outstanding_beyond_placed(story: TraceHistory, name: str, well: float, until: float) -> int:
-    """Attempts out, less those placed and those asked for since: the most at any LAUNCH."""
-    attempts = [a for a in story.attempts_by_id.values() if a.offer.allocator == name]
-    attempts = sorted((a for a in attempts if well <= a.offer.at <= until), key=lambda a: a.offer.at)
+def _max_outstanding_beyond_placed(
+    history: TraceHistory, name: str, recovered_at: float, until: float
+) -> int:
+    """Attempts outstanding, less those placed and those requested since: the most at any LAUNCH."""
+    attempts = [
+        attempt
+        for attempt in history.attempts_by_id.values()
+        if attempt.offer.allocator == name and recovered_at <= attempt.offer.at <= until
+    ]
+    attempts.sort(key=lambda attempt: attempt.offer.at)
     ends = sorted(map(_outstanding_until, attempts))
-    placed = sorted(yes.at for a in attempts if (yes := a.acceptance()) is not None)
-    times = [ask.at for (who, _), asks in story.requests_by_task.items() if who == name for ask in asks]
-    since = sorted(at for at in times if at > well)
+    acceptances = [attempt.acceptance() for attempt in attempts]
+    placed_at = sorted(acceptance.at for acceptance in acceptances if acceptance is not None)
+    requested_at = sorted(
+        request.at
+        for (allocator, _), requests in history.requests_by_task.items()
+        if allocator == name
+        for request in requests
+        if request.at > recovered_at
+    )
     worst = 0
     for number, attempt in enumerate(attempts, 1):
         at = attempt.offer.at
-        out = number - bisect_right(ends, at)
-        worst = max(worst, out - bisect_right(placed, at) - bisect_right(since, at))
+        outstanding = number - bisect_right(ends, at)
+        worst = max(worst, outstanding - bisect_right(placed_at, at) - bisect_right(requested_at, at))
     return worst
 
 
 def _outstanding_until(attempt: ObservedAttempt) -> float:
-    told = min((entry.at for entry in attempt.statuses), default=float("inf"))
-    return min(told, attempt.lost_at, attempt.offer.at + min(OUTSTANDING_LIMIT_MS, attempt.offer.within))
+    first_status_at = min((status.at for status in attempt.statuses), default=NEVER)
+    timed_out_at = attempt.offer.at + min(OUTSTANDING_LIMIT_MS, attempt.offer.within)
+    return min(first_status_at, attempt.lost_at, timed_out_at)
--- a/glencleat/checker/trace.py
+++ b/glencleat/checker/trace.py
@@ -1,7 +1,8 @@
-"""The record: what the stand-ins read from and wrote to their sockets, in order, one JSON line an entry.
+"""The trace of a play: what the emulators read from and wrote to their sockets, in order, one JSON line each.
 
-Times are milliseconds on one clock (all stand-ins of a play share a process). Stand-ins write entries; the
-checker reads them and nothing else. Kinds, with the fields that they carry:
+Times are milliseconds on one clock (all emulators of a play share a process). Emulators write entries; the
+checker reads them and nothing else. The names of fields and kinds are those of the stored format, which stays
+readable over versions. Kinds, with the fields that they carry:
 
 | kind | who | what happened |
 | --- | --- | --- |
@@ -19,11 +20,11 @@
 | quiet | host | its network swallows all, for a time |
 | told | directory | wrote an entry to `allocator`: `host` and its `phase` |
 | allocator | play | `allocator`'s process: `state` up, killed, stopped, stalled, resumed |
-| passed | relay | on `allocator`'s wire to `who` (list, agents, owners): connection `number` was |
+| passed | proxy | on `allocator`'s wire to `who` (list, agents, owners): connection `number` was |
 | | | opened, refused, ended or reset; its bytes, once it is over: `size` there or back (`text`) |
 | wire | play | a fault of that wire begins or ends: it (`reason`) holds bytes back, turns away new |
 | | | connections, or makes bytes late; what it holds is `left` ms late beyond that |
-| lag | play | the stand-ins' own process stood still for `left` ms, so that they read late |
+| lag | play | the emulators' own process stood still for `left` ms, so that they read late |
 | fault | play | a line of the script began or ended: `text` |
 """
 
@@ -37,6 +38,8 @@
 
 
 class TraceEntry(msgspec.Struct, omit_defaults=True):
+    """One line of a trace; the table above says which fields a kind carries. Times are in milliseconds."""
+
     at: float
     kind: str
     who: str = ""
@@ -67,7 +70,7 @@
 
 
 class TraceError(Exception):
-    """A line of a record that can't be read."""
+    """A line of a trace can't be read; the text names file, line and cause."""
 
 
 class TraceRecorder:
@@ -79,12 +82,13 @@
         self.is_closed = False
 
     def close(self) -> None:
-        """What comes from here on, as when stand-ins are thrown away, is no part of the record."""
+        """Ends the trace: what is added later, as when emulators are discarded, is no part of it."""
         self.is_closed = True
         if self.sink is not None:
             self.sink.close()
 
     def add(self, kind: str, **fields: object) -> TraceEntry:
+        """Records an entry of that kind at the present time; `fields` are those of TraceEntry."""
         entry = TraceEntry(round(self.now(), 3), kind, line=len(self.entries) + 1, **fields)  # type: ignore[arg-type]
         if self.is_closed:
             return entry
@@ -95,17 +99,19 @@
 
 
 def read_trace(path: Path) -> Iterator[TraceEntry]:
+    """The entries of a stored trace, with their line numbers. Raises TraceError or OSError."""
     with path.open("rb") as source:
         for number, line in enumerate(source, 1):
             try:
                 entry = DECODER.decode(line)
             except msgspec.DecodeError as error:
-                raise TraceError(f"{path}:{number}: {error}; expected an entry of a record") from None
+                raise TraceError(f"{path}:{number}: {error}; expected an entry of a record") from error
             entry.line = number
             yield entry
 
 
 def write_trace(path: Path, entries: Iterable[TraceEntry]) -> None:
+    """Stores entries as `read_trace` reads them."""
     with path.open("wb") as sink:
         for entry in entries:
             sink.write(ENCODER.encode(entry) + b"\n")
