--- a/tests/emulators/test_cold_start.py
+++ b/tests/emulators/test_cold_start.py
@@ -187,12 +187,12 @@
     (tmp_path / "campus-short.conf").write_text((EXAMPLES / "campus-short.conf").read_text())
     script = tmp_path / "wires.conf"
     script.write_text(
-        "campus campus-short.conf\nplay seed 4 length 8s settle 6500ms\nallocators count 12\n"
+        "campus campus-short.conf\nplay seed 4 length 11s settle 6500ms\nallocators count 12\n"
         "hosts count 6 halls hall-a,hall-b\nowners count 12 rate 12\n"
         "want pull-front share 100% cores 0.5 memory 512MB life-from 500ms life-to 1s services 8\n"
-        "at 100ms wire list door closes for 5s\nat 200ms kill all for 100ms\n"
+        "at 100ms wire list door closes for 8s\nat 200ms kill all for 100ms\n"
         "at 3s wire agents cut back for 500ms of a1\nat 7500ms reset owners of a2\nat 4s stall 10% for 1s\n"
-        "at 11500ms reset owners of a2\n"  # on a busy machine a2 is not back by the first one
+        "at 14s reset owners of a2\n"  # on a busy machine a2 is not back by the first one
         "at 5500ms wire owners delay 5ms spread 5ms for 500ms of a2\nat 9500ms half-open list of a3\n"
     )
     words = [sys.executable, "-m", "glencleat", "play", str(script), "--folder", str(tmp_path)]
