--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -405,6 +405,13 @@
     )
 
 
+def operators_sizes(runs: Versions) -> list[str]:
+    return rows_of(
+        ["name", "value", "what"],
+        [[f"`{name}`", f"{value:,}", lines.SIZE_MEANINGS[name]] for name, value in lines.SIZES.items()],
+    )
+
+
 def runs_of(data: dict[str, Any]) -> list[str]:
     count = len(data["runs"])
     commits = ", ".join(f"{name} ({commit})" for name, commit in data["versions"].items())
@@ -432,6 +439,7 @@
     "states": states,
     "flows": flows,
     "slopes": slopes,
+    "sizes": operators_sizes,
     "assumptions": assumptions,
 }
 
--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -26,6 +26,22 @@
     "restart_day": 470,
     "allocators": 20,
 }
+SIZE_MEANINGS = {
+    "hosts": "hosts of the cluster",
+    "starts": "task starts a second at the peak, of all allocators",
+    "tasks": "standing tasks, of all allocators",
+    "gang": "tasks of the largest gang, which start all or not at all",
+    "teams": "teams with a quota",
+    "accelerators": "accelerators on all hosts",
+    "regions": "regions",
+    "zones": "zones",
+    "machines": "machines that allocators run on",
+    "jobs_day": "jobs a day; enters no formula, since the bounds hold for `starts`, the peak's second",
+    "config_day": "changes of configuration a day",
+    "fail_day": "hosts that fail, a day",
+    "restart_day": "restarts of hosts a day; with `fail_day`, how often the list's phases change",
+    "allocators": "allocators: our choice, one a machine",
+}
 GROWING = (
     "hosts",
     "starts",
@@ -46,7 +62,10 @@
     "note_s": (1.0, "notes a machine and second: `design.md`, at the operators' simulator"),
     "rack": (40, "hosts of a rack or behind a switch"),
     "knock": (328, "B on the wire of a connection that carries nothing: SYN, SYN+ACK at 60, four more at 52"),
-    "descriptors": (991, "links that 1,024 descriptors leave (`descriptors.py`, seen in `looks.links`)"),
+    "descriptors": (
+        991,
+        "links that 1,024 descriptors leave (`descriptor_budget.py`, seen in `looks.links`)",
+    ),
     "services": (
         660,
         "services asked for, each as often: one a team; as many in the module's runs",
@@ -142,10 +161,8 @@
     Bound("CPU: placements", CPU, "core", f"{STARTS} * {PLACE}", INDEX),
     Bound("CPU: idle control", CPU, "core", "node.idle", INDEX),
     Bound("CPU: list, 1.6 events a second", CPU, "core", LIST, INDEX + "; " + PART),
-    Bound(
-        "CPU: ends", CPU, "core", f"{STARTS} * module.end", "`logic.measure`, a mean over own tasks: issue 15"
-    ),
-    Bound("CPU: notes", CPU, "core", NOTES, "`logic.on_noted`"),
+    Bound("CPU: ends", CPU, "core", f"{STARTS} * module.end", "`policy/`: a mean over own tasks, issue 15"),
+    Bound("CPU: notes", CPU, "core", NOTES, "`policy/`: observations of tasks"),
     Bound("zone lost, one event a host", ZONE, "s", "node.zone_each", INDEX),
     Bound("zone lost, one event in all", ZONE, "s", "node.zone_once", INDEX),
     Bound(
@@ -206,7 +223,7 @@
         "gangs, to 512",
         "gang * counter",
         "2 * gang",
-        "`contracts/gangs`, before `logic.choose`: all or nothing",
+        "`contracts/gangs`, before the policy chooses: all or nothing",
         36,
     ),
     (
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -40,7 +40,10 @@
         carrier="`platform_server/connection_pool.py`: a sweep at 0293f78, turns since",
     ),
     Line(
-        "looks at quiet hosts", "core", LOOK, carrier="`platform_server/failure_detector.py`, `Hosts._again`"
+        "looks at quiet hosts",
+        "core",
+        LOOK,
+        carrier="`platform_server/failure_detector.py`, `connection_pool.py`",
     ),
     Line(
         "placements",
@@ -51,9 +54,15 @@
             "rack lost": f"{STARTS} * {PLACE} + " + LOST.format(part="rack / hosts"),
             "zone lost": f"{STARTS} * {PLACE} + " + LOST.format(part="1 / zones"),
         },
-        "`logic.choose`, `logic.order`",
+        "`policy/`: hash order, choice of a machine",
+    ),
+    Line(
+        "ends",
+        "core",
+        f"lull * {STARTS} * module.end",
+        f"{STARTS} * module.end",
+        carrier="`policy/`: usage profiles",
     ),
-    Line("ends", "core", f"lull * {STARTS} * module.end", f"{STARTS} * module.end", carrier="`logic.learn`"),
     Line(
         "messages of both",
         "core",
@@ -61,7 +70,7 @@
         f"{STARTS} * ({MESSAGES})",
         carrier="`platform_protocol/messages.py`; sockets and links: in the rig's figure alone",
     ),
-    Line("notes", "core", NOTES, carrier="`logic.on_noted`"),
+    Line("notes", "core", NOTES, carrier="`policy/`: observations of tasks"),
     Line(
         "list",
         "core",
@@ -73,14 +82,14 @@
             "region back": f"{LIST} + node.zone_back * zones / regions",
             "all start cold": "0",
         },
-        "`platform_protocol/command_channel.py`, `logic.on_list`, `Hosts.list_told`",
+        "`platform_protocol/command_channel.py`, `policy/`, `platform_server/connection_pool.py`",
     ),
     Line(
         "start, hand-over of own tasks",
         "core",
         "0",
         faults={"all start cold": "node.start + tasks / allocators * looks.adopt"},
-        carrier="`platform_server/process.py`, `Exchange._adopt`",
+        carrier="`platform_server/process.py`, `platform_protocol/exchange.py`",
     ),
 ]
 TRAFFIC = [
@@ -127,12 +136,14 @@
 STATES = {
     "allocator": [
         State(
-            "program, libraries, a HostLinks for each host",
+            "program, libraries, a HostConnections for each host",
             "1",
             "node.resident - memory.listed - channel.held",
             "`platform_server/process.py`",
         ),
-        State("hosts, as the module knows them", "hosts", "memory.listed / hosts", "`logic.Node`"),
+        State(
+            "hosts, as the module knows them", "hosts", "memory.listed / hosts", "`policy/`: `MachineState`"
+        ),
         State(
             "hosts, as the channel knows them",
             "hosts",
@@ -143,20 +154,20 @@
             "own tasks: calls, module, links",
             "tasks / allocators",
             "(looks.resident - node.resident) / (tasks / allocators)",
-            "`Exchange.calls`, `logic.Task`, `Link`",
+            "`Exchange.calls`, `TrackedTask`, `HostConnection`",
         ),
         State(
             "orders of services",
             "services",
             "memory.orders / 660",
-            "`logic.py`: order, profile",
+            "`policy/`: hash order, usage profile",
         ),
     ],
     "list service, its client": [
         State(
             "a whole list's line", "1", "bytes.whole", "`platform_protocol/command_channel.py`, at most 4 MiB"
         ),
-        State("machines that leave, remembered", "10000", "record", "`Channel.leaving`"),
+        State("machines that leave, remembered", "10000", "record", "`CommandChannel`"),
     ],
     "agent side of a host": [
         State(
@@ -232,7 +243,7 @@
             "beat",
             "`platform_protocol/command_channel.py`",
         ),
-        Flow("whole lists", "0", "0", "all start cold", "allocators", "bytes.whole", "`Channel.resume`"),
+        Flow("whole lists", "0", "0", "all start cold", "allocators", "bytes.whole", "`CommandChannel`"),
     ],
     "agent side of a host": [
         Flow("connections that look", KNOCKS, KNOCKS, "zone lost", KNOCKS, "knock", LOOKS),
@@ -264,9 +275,17 @@
             "zone lost",
             "starts + tasks / zones",
             "bytes.answer",
-            "`Exchange._accepted`",
+            "`platform_protocol/exchange.py`",
+        ),
+        Flow(
+            "hand-overs (`at`)",
+            "0",
+            "0",
+            "all start cold",
+            "tasks",
+            "bytes.ask + at",
+            "`platform_protocol/exchange.py`",
         ),
-        Flow("hand-overs (`at`)", "0", "0", "all start cold", "tasks", "bytes.ask + at", "`Exchange._adopt`"),
     ],
     "members' talk, to come (one member)": [
         Flow(
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -57,6 +57,15 @@
     assert capacity.page(PAGE, RUNS) == PAGE
 
 
+def test_the_sizes_that_the_page_rests_on_stand_in_it():
+    assert set(lines.SIZE_MEANINGS) == set(lines.SIZES)
+    assert [cell("sizes", f"`{name}`", "value") for name in lines.SIZES] == [
+        f"{size:,}" for size in lines.SIZES.values()
+    ]
+    assert cell("sizes", "`jobs_day`", "value") == "32,000"
+    assert cell("sizes", "`restart_day`", "value") == "470"
+
+
 def test_a_figure_that_was_changed_by_hand_is_found():
     figure = cell("top", "CPU: placements", NEWEST)
     assert capacity.page(PAGE.replace(figure, "1.00%"), RUNS) == PAGE != PAGE.replace(figure, "1.00%")
