--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -2,8 +2,8 @@
 
     PYTHONPATH=TREE python benchmarks/slope_worker.py module --hosts 400 --tasks 2050 --seed 1
 
-Imports nothing but the program, from the tree that PYTHONPATH names, so that two versions can be measured
-by the same code. Times are CPU seconds of this process (`time.process_time`) or, of `node`, those that the
+Imports nothing but the program, from the tree that PYTHONPATH names; `slopes.py` measures each version by the
+worker of its own tree. Times are CPU seconds of this process (`time.process_time`) or, of `node`, those that the
 system counts for it; sizes are bytes. All that is drawn comes from the seed. What a figure is: `WHAT` in
 `slopes.py`."""
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -5,7 +5,10 @@
     python -m benchmarks.slopes --resume                                 # what a stopped run has not measured
     python -m benchmarks.slopes --checkout 0293f78=DIR --checkout now=.  # two versions, in turn
 
-One measurement at a time, each in a process of its own (`slope_worker.py`), seeds 1 to N. CPU time, not wall
+One measurement at a time, each in a process of its own, seeds 1 to N. Each tree is measured by its own
+`benchmarks/slope_worker.py`, since names of modules and fields differ between versions; a tree without one by
+this tree's. One that is older than the worker (0293f78) and has other names needs a worker that knows them:
+`git -C DIR checkout 8cdb288 -- benchmarks/slope_worker.py benchmarks/slope_node.py` puts one there. CPU time, not wall
 time: the machine may be shared, and then caches are too; versions are compared within one run. Ctrl-C leaves
 what was measured, marked *partial*. Results: docs/results/slopes.json (FORMAT) and slopes.md."""
 
@@ -31,6 +34,7 @@
 QUICK = (400, 1_600, 6_300, 12_600)  # the last, and fewer tasks, with one seed
 SIZE = 6_300  # hosts, where tasks and services are swept
 TREE = Path(__file__).resolve().parent.parent
+WORKER = "slope_worker.py"
 # What a quantity is; `s`: CPU seconds, `B`: bytes, `core`: CPU seconds a second, `/s`: a second, else counts.
 WHAT = {
     "module.place": ("s", "placement: Asked and Accepted, its service known"),
@@ -118,8 +122,15 @@
     """A measurement came to no figures."""
 
 
+def worker_of(tree: Path) -> Path:
+    """The tree's own worker, which knows its names; this tree's where it has none."""
+    own = tree / "benchmarks" / WORKER
+    return own if own.is_file() else Path(__file__).with_name(WORKER)
+
+
 def measure(cell: Cell, seed: int, tree: Path) -> dict[str, float]:
-    command = [sys.executable, str(Path(__file__).parent / "slope_worker.py"), cell.kind, "--seed", str(seed)]
+    """The figures that one run of a tree's worker prints; raises RunFailedError with the end of what it says."""
+    command = [sys.executable, str(worker_of(tree)), cell.kind, "--seed", str(seed)]
     for name in ("hosts", "tasks", "services", "peers"):
         command += [f"--{name}", str(getattr(cell, name))]
     environment = {**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": str(seed)}
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -190,6 +190,33 @@
     return json.loads(done.stdout)
 
 
+def worker_that_says(folder, figure):
+    (folder / "benchmarks").mkdir(parents=True)
+    code = f"import json, sys\nprint(json.dumps({{'module.place': {figure}, 'hosts': float(sys.argv[5])}}))\n"
+    (folder / "benchmarks" / "slope_worker.py").write_text(code)
+
+
+def test_each_tree_is_measured_by_its_own_worker(tmp_path):
+    for name, figure in (("before", 1.0), ("now", 2.0)):
+        worker_that_says(tmp_path / name, figure)
+    found = [slopes.measure(slopes.Cell("module", 400), 1, tmp_path / name) for name in ("before", "now")]
+    assert found == [{"module.place": 1.0, "hosts": 400.0}, {"module.place": 2.0, "hosts": 400.0}]
+
+
+def test_a_tree_without_a_worker_is_measured_by_this_trees(tmp_path):
+    assert slopes.worker_of(tmp_path) == ROOT / "benchmarks" / "slope_worker.py"
+    (tmp_path / "glencleat").symlink_to(ROOT / "glencleat")
+    found = slopes.measure(slopes.Cell("channel", 30, tasks=60, services=5), 3, tmp_path)
+    assert found["channel.whole"] > 0.0
+
+
+def test_a_worker_that_fails_is_told_with_its_last_words(tmp_path):
+    (tmp_path / "benchmarks").mkdir()
+    (tmp_path / "benchmarks" / "slope_worker.py").write_text("raise SystemExit('no such field')\n")
+    with pytest.raises(slopes.RunFailedError, match="no such field"):
+        slopes.measure(slopes.Cell("module", 400), 1, tmp_path)
+
+
 def test_one_seed_gives_one_stream_of_events():
     first, again, other = work("zone"), work("zone"), work("zone", seed=4)
     assert first["module.zone_tasks"] == again["module.zone_tasks"] > 0.0
