--- a/benchmarks/capacity_lines.py
+++ b/benchmarks/capacity_lines.py
@@ -59,12 +59,12 @@
 ASSUMED: dict[str, tuple[float, str]] = {
     "lull": (0.1, "starts on an ordinary second, as a part of the peak's"),
     "batch": (0.64, "s between list events: 41 in 25.6 s, trial 3949648c (60 hosts)"),
-    "note_s": (1.0, "notes a machine and second: `design.md`, at the operators' simulator"),
+    "note_s": (1.0, "observations a machine and second: `design.md`, at the operators' simulator"),
     "rack": (40, "hosts of a rack or behind a switch"),
     "knock": (328, "B on the wire of a connection that carries nothing: SYN, SYN+ACK at 60, four more at 52"),
     "descriptors": (
         991,
-        "links that 1,024 descriptors leave (`descriptor_budget.py`, seen in `looks.links`)",
+        "connections that 1,024 descriptors leave (`descriptor_budget.py`, seen in `looks.links`)",
     ),
     "services": (
         660,
@@ -75,7 +75,7 @@
     "beat": (13, "B of a heartbeat line: the rig's list bytes a second while idle"),
     "at": (14, "B that `at` adds to a set-up"),
     "probes": (4, "datagrams of a member a second: a probe and an answer each way"),
-    "news": (16, "B of what is known of a host: who looks, what was seen"),
+    "news": (16, "B of what is known of a host: who checks it, what was seen"),
     "lease": (10, "s after which a team's part of a quota is asked for anew"),
     "rush": (10, "changes of configuration at the peak, as many times the mean"),
     "change": (1_000, "B of one change of configuration"),
@@ -98,7 +98,7 @@
 }
 
 INDEX = "work follows events: `index/due_queue.py`, `index/dirty_set.py` (hosts), `index/rendezvous.py` (services)"
-LOOKS = "*missing*: shared failure detector, one look for all allocators"
+LOOKS = "*missing*: shared failure detector, one check for all allocators"
 PART = "*missing*: partition of the list by region"
 
 
@@ -140,7 +140,7 @@
     Bound("memory of the whole process (rig)", MEMORY, "MB", "rig.memory", INDEX),
     Bound("99th of 100 answers, steady load (rig)", URGENT, "s", "rig.wait", INDEX),
     Bound("99th of 100 answers, a zone lost (rig)", URGENT, "s", "rig.wait_zone", INDEX),
-    Bound("bytes: looks at quiet hosts", BYTES, "KB/s", "looks.connections * knock", LOOKS),
+    Bound("bytes: liveness checks of quiet hosts", BYTES, "KB/s", "looks.connections * knock", LOOKS),
     Bound("bytes: what hosts have free, by the list", BYTES, "KB/s", "2 * starts * bytes.entry", PART),
     Bound(
         "bytes: set-ups, answers, releases of starts",
@@ -150,23 +150,23 @@
         "`platform_protocol/messages.py`; the platform's protocol",
     ),
     Bound(
-        "bytes: notes",
+        "bytes: observations",
         BYTES,
         "KB/s",
         "hosts * note_s / allocators * bytes.note",
         "`platform_protocol/messages.py`; the platform's protocol",
     ),
     Bound("CPU at the peak, all of it", CPU, "core", PEAK, "the lines below it"),
-    Bound("CPU: looks at quiet hosts", CPU, "core", LOOK, LOOKS),
+    Bound("CPU: liveness checks of quiet hosts", CPU, "core", LOOK, LOOKS),
     Bound("CPU: placements", CPU, "core", f"{STARTS} * {PLACE}", INDEX),
     Bound("CPU: idle control", CPU, "core", "node.idle", INDEX),
     Bound("CPU: list, 1.6 events a second", CPU, "core", LIST, INDEX + "; " + PART),
     Bound("CPU: ends", CPU, "core", f"{STARTS} * module.end", "`policy/`: a mean over own tasks, issue 15"),
-    Bound("CPU: notes", CPU, "core", NOTES, "`policy/`: observations of tasks"),
+    Bound("CPU: observations", CPU, "core", NOTES, "`policy/`: observations of tasks"),
     Bound("zone lost, one event a host", ZONE, "s", "node.zone_each", INDEX),
     Bound("zone lost, one event in all", ZONE, "s", "node.zone_once", INDEX),
     Bound(
-        "its tasks asked anew",
+        "its tasks placed again",
         ZONE,
         "s",
         "tasks / allocators / zones * (module.lost + module.place_after_zone)",
@@ -177,15 +177,15 @@
         "a gang of 512 placed one by one", URGENT, "s", "gang * module.place", INDEX + "; *missing*: gangs"
     ),
     Bound(
-        "memory: list, own tasks, links, orders",
+        "memory: list, own tasks, connections, orders",
         MEMORY,
         "MB",
         HELD,
         INDEX,
     ),
-    Bound("links to hosts with own tasks", 1.0, "x", f"{SEEN} / descriptors", LOOKS),
+    Bound("connections to hosts with own tasks", 1.0, "x", f"{SEEN} / descriptors", LOOKS),
     Bound(
-        "a whole list, read and taken in",
+        "a complete list, read and applied",
         URGENT,
         "s",
         "channel.whole + module.whole",
@@ -211,9 +211,9 @@
     ("idle", "core", "node.idle"),
     ("placements", "core", "starts / k * module.place"),
     ("list entries", "KB/s", "2 * starts * seen / hosts * bytes.entry"),
-    ("hosts with own tasks, looked at each second", "", "seen * (1 - exp(-tasks / k / seen))"),
+    ("hosts with own tasks, checked each second", "", "seen * (1 - exp(-tasks / k / seen))"),
     ("the same, of all allocators, at one host", "/s", "k * seen / hosts * (1 - exp(-tasks / k / seen))"),
-    ("whole list", "MB", "seen * bytes.entry"),
+    ("complete list", "MB", "seen * bytes.entry"),
     ("a zone's end, one event a host", "s", "node.event * hosts / zones"),
 ]
 
@@ -230,14 +230,14 @@
         "quotas of 660 teams, in sum",
         "teams * allocators * counter",
         "teams / lease",
-        "`fleet/quota`: leases by majority, floors; a decider of the seam",
+        "`fleet/quota`: leases by majority, floors; part of the admission chain",
         36,
     ),
     (
         "urgent work within 2.2 s",
         "starts * record",
         "starts / allocators",
-        "`contracts/preemption`; today `worth` orders what is held, nothing makes room",
+        "`contracts/preemption`; today `worth` orders what is held, nothing preempts",
         36,
     ),
     (
@@ -291,7 +291,7 @@
     ("a seventh drains, one event, process", "node.zone_once", "s", 0.5, 0.0),
     ("memory", HELD, "MB", 64e6, 0.0),
     (
-        "control bytes: looks, list, notes",
+        "control bytes: liveness checks, list, observations",
         "looks.connections * knock + 2 * starts * bytes.entry + hosts * note_s / allocators * bytes.note",
         "KB/s",
         8e3,
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -40,7 +40,7 @@
         carrier="`platform_server/connection_pool.py`: a sweep at 0293f78, turns since",
     ),
     Line(
-        "looks at quiet hosts",
+        "liveness checks of quiet hosts",
         "core",
         LOOK,
         carrier="`platform_server/failure_detector.py`, `connection_pool.py`",
@@ -107,7 +107,7 @@
         },
         "`platform_protocol/command_channel.py`; " + PART,
     ),
-    Line("looks (TCP/IP, no payload)", "KB/s", "looks.connections * knock", carrier=LOOKS),
+    Line("liveness checks (TCP/IP, no payload)", "KB/s", "looks.connections * knock", carrier=LOOKS),
     Line("notes", "KB/s", "hosts * note_s / allocators * bytes.note", carrier="protocol page"),
     Line(
         "starts and ends",
@@ -142,7 +142,7 @@
             "`platform_server/process.py`",
         ),
         State(
-            "hosts, as the module knows them", "hosts", "memory.listed / hosts", "`policy/`: `MachineState`"
+            "hosts, as the policy knows them", "hosts", "memory.listed / hosts", "`policy/`: `MachineState`"
         ),
         State(
             "hosts, as the channel knows them",
@@ -151,7 +151,7 @@
             "`platform_protocol/command_channel.py`",
         ),
         State(
-            "own tasks: calls, module, links",
+            "own tasks: calls, policy, connections",
             "tasks / allocators",
             "(looks.resident - node.resident) / (tasks / allocators)",
             "`Exchange.calls`, `TrackedTask`, `HostConnection`",
@@ -185,11 +185,11 @@
     "directory (`serve`; in `run` the channel is it)": [
         State("entries", "hosts", "bytes.entry", "`servers/directory_client.py`: not run at this size"),
     ],
-    "members' talk, to come": [
+    "gossip, to come": [
         State(
             "members: address, incarnation, state", "allocators", "record", "*missing*: `fleet/membership`"
         ),
-        State("who looks at which host, what was seen", "hosts", "news", "*missing*: `fleet/membership`"),
+        State("who checks which host, what was seen", "hosts", "news", "*missing*: `fleet/membership`"),
     ],
     "quota and usage, to come": [
         State("teams: quota, lease, usage", "teams", "counter", "*missing*: `fleet/quota`"),
@@ -287,7 +287,7 @@
             "`platform_protocol/exchange.py`",
         ),
     ],
-    "members' talk, to come (one member)": [
+    "gossip, to come (one member)": [
         Flow(
             "probes and answers", "probes", "probes", "-", "probes", "probe", "*missing*: `fleet/transport`"
         ),
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -88,13 +88,13 @@
             100.0,
         ),
         ("CPU: idle control", lambda: medians("node.idle"), 100.0),
-        ("CPU: looks at quiet hosts", lambda: medians("looks.cpu") - medians("node.idle"), 100.0),
+        ("CPU: liveness checks of quiet hosts", lambda: medians("looks.cpu") - medians("node.idle"), 100.0),
         ("bytes: what hosts have free, by the list", lambda: 740 * medians("bytes.entry"), 1e-3),
-        ("bytes: looks at quiet hosts", lambda: 328 * medians("looks.connections"), 1e-3),
+        ("bytes: liveness checks of quiet hosts", lambda: 328 * medians("looks.connections"), 1e-3),
         ("zone lost, one event a host", lambda: medians("node.zone_each"), 1.0),
         ("a gang of 512 placed one by one", lambda: 512 * medians("module.place"), 1.0),
         (
-            "memory: list, own tasks, links, orders",
+            "memory: list, own tasks, connections, orders",
             lambda: medians("looks.resident") + medians("memory.orders"),
             1e-6,
         ),
@@ -133,7 +133,7 @@
 
 
 def test_what_has_no_run_is_marked():
-    assert "*assumed*: note_s" in cell("top", "bytes: notes", "without a run")
+    assert "*assumed*: note_s" in cell("top", "bytes: observations", "without a run")
     assert cell("top", "CPU: idle control", "without a run") == ""
     assert capacity.assumed("rack * node.event") == "*assumed*: rack"
 
