--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -40,7 +40,10 @@
         carrier="`platform_server/connection_pool.py`: a sweep at 0293f78, turns since",
     ),
     Line(
-        "looks at quiet hosts", "core", LOOK, carrier="`platform_server/failure_detector.py`, `Hosts._again`"
+        "liveness checks of quiet hosts",
+        "core",
+        LOOK,
+        carrier="`platform_server/failure_detector.py`, `connection_pool.py`",
     ),
     Line(
         "placements",
@@ -51,9 +54,15 @@
             "rack lost": f"{STARTS} * {PLACE} + " + LOST.format(part="rack / hosts"),
             "zone lost": f"{STARTS} * {PLACE} + " + LOST.format(part="1 / zones"),
         },
-        "`logic.choose`, `logic.order`",
+        "`policy/`: hash order, choice of a machine",
+    ),
+    Line(
+        "ends",
+        "core",
+        f"lull * {STARTS} * module.end",
+        f"{STARTS} * module.end",
+        carrier="`policy/`: usage profiles",
     ),
-    Line("ends", "core", f"lull * {STARTS} * module.end", f"{STARTS} * module.end", carrier="`logic.learn`"),
     Line(
         "messages of both",
         "core",
@@ -61,7 +70,7 @@
         f"{STARTS} * ({MESSAGES})",
         carrier="`platform_protocol/messages.py`; sockets and links: in the rig's figure alone",
     ),
-    Line("notes", "core", NOTES, carrier="`logic.on_noted`"),
+    Line("notes", "core", NOTES, carrier="`policy/`: observations of tasks"),
     Line(
         "list",
         "core",
@@ -73,14 +82,14 @@
             "region back": f"{LIST} + node.zone_back * zones / regions",
             "all start cold": "0",
         },
-        "`platform_protocol/command_channel.py`, `logic.on_list`, `Hosts.list_told`",
+        "`platform_protocol/command_channel.py`, `policy/`, `platform_server/connection_pool.py`",
     ),
     Line(
         "start, hand-over of own tasks",
         "core",
         "0",
         faults={"all start cold": "node.start + tasks / allocators * looks.adopt"},
-        carrier="`platform_server/process.py`, `Exchange._adopt`",
+        carrier="`platform_server/process.py`, `platform_protocol/exchange.py`",
     ),
 ]
 TRAFFIC = [
@@ -98,7 +107,7 @@
         },
         "`platform_protocol/command_channel.py`; " + PART,
     ),
-    Line("looks (TCP/IP, no payload)", "KB/s", "looks.connections * knock", carrier=LOOKS),
+    Line("liveness checks (TCP/IP, no payload)", "KB/s", "looks.connections * knock", carrier=LOOKS),
     Line("notes", "KB/s", "hosts * note_s / allocators * bytes.note", carrier="protocol page"),
     Line(
         "starts and ends",
@@ -127,12 +136,14 @@
 STATES = {
     "allocator": [
         State(
-            "program, libraries, a HostLinks for each host",
+            "program, libraries, a HostConnections for each host",
             "1",
             "node.resident - memory.listed - channel.held",
             "`platform_server/process.py`",
         ),
-        State("hosts, as the module knows them", "hosts", "memory.listed / hosts", "`logic.Node`"),
+        State(
+            "hosts, as the policy knows them", "hosts", "memory.listed / hosts", "`policy/`: `MachineState`"
+        ),
         State(
             "hosts, as the channel knows them",
             "hosts",
@@ -140,23 +151,23 @@
             "`platform_protocol/command_channel.py`",
         ),
         State(
-            "own tasks: calls, module, links",
+            "own tasks: calls, policy, connections",
             "tasks / allocators",
             "(looks.resident - node.resident) / (tasks / allocators)",
-            "`Exchange.calls`, `logic.Task`, `Link`",
+            "`Exchange.calls`, `TrackedTask`, `HostConnection`",
         ),
         State(
             "orders of services",
             "services",
             "memory.orders / 660",
-            "`logic.py`: order, profile",
+            "`policy/`: hash order, usage profile",
         ),
     ],
     "list service, its client": [
         State(
             "a whole list's line", "1", "bytes.whole", "`platform_protocol/command_channel.py`, at most 4 MiB"
         ),
-        State("machines that leave, remembered", "10000", "record", "`Channel.leaving`"),
+        State("machines that leave, remembered", "10000", "record", "`CommandChannel`"),
     ],
     "agent side of a host": [
         State(
@@ -174,11 +185,11 @@
     "directory (`serve`; in `run` the channel is it)": [
         State("entries", "hosts", "bytes.entry", "`servers/directory_client.py`: not run at this size"),
     ],
-    "members' talk, to come": [
+    "gossip, to come": [
         State(
             "members: address, incarnation, state", "allocators", "record", "*missing*: `fleet/membership`"
         ),
-        State("who looks at which host, what was seen", "hosts", "news", "*missing*: `fleet/membership`"),
+        State("who checks which host, what was seen", "hosts", "news", "*missing*: `fleet/membership`"),
     ],
     "quota and usage, to come": [
         State("teams: quota, lease, usage", "teams", "counter", "*missing*: `fleet/quota`"),
@@ -232,7 +243,7 @@
             "beat",
             "`platform_protocol/command_channel.py`",
         ),
-        Flow("whole lists", "0", "0", "all start cold", "allocators", "bytes.whole", "`Channel.resume`"),
+        Flow("whole lists", "0", "0", "all start cold", "allocators", "bytes.whole", "`CommandChannel`"),
     ],
     "agent side of a host": [
         Flow("connections that look", KNOCKS, KNOCKS, "zone lost", KNOCKS, "knock", LOOKS),
@@ -264,11 +275,19 @@
             "zone lost",
             "starts + tasks / zones",
             "bytes.answer",
-            "`Exchange._accepted`",
+            "`platform_protocol/exchange.py`",
+        ),
+        Flow(
+            "hand-overs (`at`)",
+            "0",
+            "0",
+            "all start cold",
+            "tasks",
+            "bytes.ask + at",
+            "`platform_protocol/exchange.py`",
         ),
-        Flow("hand-overs (`at`)", "0", "0", "all start cold", "tasks", "bytes.ask + at", "`Exchange._adopt`"),
     ],
-    "members' talk, to come (one member)": [
+    "gossip, to come (one member)": [
         Flow(
             "probes and answers", "probes", "probes", "-", "probes", "probe", "*missing*: `fleet/transport`"
         ),
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -5,7 +5,10 @@
     python -m benchmarks.slopes --resume                                 # what a stopped run has not measured
     python -m benchmarks.slopes --checkout 0293f78=DIR --checkout now=.  # two versions, in turn
 
-One measurement at a time, each in a process of its own (`slope_worker.py`), seeds 1 to N. CPU time, not wall
+One measurement at a time, each in a process of its own, seeds 1 to N. Each tree is measured by its own
+`benchmarks/slope_worker.py`, since names of modules and fields differ between versions; a tree without one by
+this tree's. One that is older than the worker (0293f78) and has other names needs a worker that knows them:
+`git -C DIR checkout 8cdb288 -- benchmarks/slope_worker.py benchmarks/slope_node.py` puts one there. CPU time, not wall
 time: the machine may be shared, and then caches are too; versions are compared within one run. Ctrl-C leaves
 what was measured, marked *partial*. Results: docs/results/slopes.json (FORMAT) and slopes.md."""
 
@@ -31,31 +34,32 @@
 QUICK = (400, 1_600, 6_300, 12_600)  # the last, and fewer tasks, with one seed
 SIZE = 6_300  # hosts, where tasks and services are swept
 TREE = Path(__file__).resolve().parent.parent
+WORKER = "slope_worker.py"
 # What a quantity is; `s`: CPU seconds, `B`: bytes, `core`: CPU seconds a second, `/s`: a second, else counts.
 WHAT = {
-    "module.place": ("s", "placement: Asked and Accepted, its service known"),
+    "module.place": ("s", "placement: PlacementRequested and AttemptAccepted, its service known"),
     "module.place_first": ("s", "first placement of a service"),
     "module.place_after_event": ("s", "placement after one machine changed phase"),
-    "module.end": ("s", "Returned of a standing task: profiles learn, means are taken"),
-    "module.lost": ("s", "Returned of a task of a lost machine"),
-    "module.note": ("s", "note on a task's use"),
+    "module.end": ("s", "AttemptEnded of a standing task: profiles learn, means are taken"),
+    "module.lost": ("s", "AttemptEnded of a task of a lost machine"),
+    "module.note": ("s", "observation of a task's use"),
     "module.event_free": ("s", "list event: what one machine has free"),
     "module.event_phase": ("s", "list event: one machine's phase"),
     "module.event_many": ("s", "list event: what 480 machines have free"),
-    "module.whole": ("s", "whole list of all hosts"),
+    "module.whole": ("s", "snapshot of the list, all hosts"),
     "module.zone_each": ("s", "a seventh of the hosts gone, one event each, a placement in each 50"),
     "module.zone_once": ("s", "a seventh of the hosts gone in one event"),
     "module.place_after_zone": ("s", "placement after it, mean of the first 50"),
     "module.zone_tasks": ("", "own tasks on the seventh"),
-    "memory.listed": ("B", "module: the list"),
-    "memory.tasks": ("B", "module: own standing tasks"),
-    "memory.orders": ("B", "module: after a placement of each service"),
-    "channel.whole": ("s", "channel: a whole list's bytes to news"),
+    "memory.listed": ("B", "policy: the list"),
+    "memory.tasks": ("B", "policy: own standing tasks"),
+    "memory.orders": ("B", "policy: after a placement of each service"),
+    "channel.whole": ("s", "channel: a snapshot's bytes to list changes"),
     "channel.event": ("s", "channel: an event of one entry"),
     "channel.event_many": ("s", "channel: an event of 480 entries"),
     "channel.beat": ("s", "channel: a heartbeat line"),
     "channel.held": ("B", "channel: the list"),
-    "bytes.whole": ("B", "line of a whole list"),
+    "bytes.whole": ("B", "line of a snapshot"),
     "bytes.event": ("B", "line of an event with one entry"),
     "bytes.event_many": ("B", "line of an event with 480 entries"),
     "bytes.entry": ("B", "one entry"),
@@ -69,9 +73,9 @@
     "node.zone_each": ("s", "process: a seventh of the hosts gone, one event each"),
     "node.zone_back": ("s", "process: a seventh of the hosts back, in one event"),
     "looks.adopt": ("s", "process: a task handed over at a start"),
-    "looks.cpu": ("core", "process: tasks at silent hosts, nothing else: sweep, looks"),
+    "looks.cpu": ("core", "process: tasks at silent hosts, nothing else: tick, liveness checks"),
     "looks.connections": ("/s", "process: connections begun by it"),
-    "looks.links": ("", "process: links open"),
+    "looks.links": ("", "process: host connections open"),
     "looks.resident": ("B", "process: resident with these tasks"),
 }
 
@@ -118,8 +122,15 @@
     """A measurement came to no figures."""
 
 
+def worker_of(tree: Path) -> Path:
+    """The tree's own worker, which knows its names; this tree's where it has none."""
+    own = tree / "benchmarks" / WORKER
+    return own if own.is_file() else Path(__file__).with_name(WORKER)
+
+
 def measure(cell: Cell, seed: int, tree: Path) -> dict[str, float]:
-    command = [sys.executable, str(Path(__file__).parent / "slope_worker.py"), cell.kind, "--seed", str(seed)]
+    """The figures that one run of a tree's worker prints; raises RunFailedError with the end of what it says."""
+    command = [sys.executable, str(worker_of(tree)), cell.kind, "--seed", str(seed)]
     for name in ("hosts", "tasks", "services", "peers"):
         command += [f"--{name}", str(getattr(cell, name))]
     environment = {**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": str(seed)}
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -57,6 +57,15 @@
     assert capacity.page(PAGE, RUNS) == PAGE
 
 
+def test_the_sizes_that_the_page_rests_on_stand_in_it():
+    assert set(lines.SIZE_MEANINGS) == set(lines.SIZES)
+    assert [cell("sizes", f"`{name}`", "value") for name in lines.SIZES] == [
+        f"{size:,}" for size in lines.SIZES.values()
+    ]
+    assert cell("sizes", "`jobs_day`", "value") == "32,000"
+    assert cell("sizes", "`restart_day`", "value") == "470"
+
+
 def test_a_figure_that_was_changed_by_hand_is_found():
     figure = cell("top", "CPU: placements", NEWEST)
     assert capacity.page(PAGE.replace(figure, "1.00%"), RUNS) == PAGE != PAGE.replace(figure, "1.00%")
@@ -79,13 +88,13 @@
             100.0,
         ),
         ("CPU: idle control", lambda: medians("node.idle"), 100.0),
-        ("CPU: looks at quiet hosts", lambda: medians("looks.cpu") - medians("node.idle"), 100.0),
+        ("CPU: liveness checks of quiet hosts", lambda: medians("looks.cpu") - medians("node.idle"), 100.0),
         ("bytes: what hosts have free, by the list", lambda: 740 * medians("bytes.entry"), 1e-3),
-        ("bytes: looks at quiet hosts", lambda: 328 * medians("looks.connections"), 1e-3),
+        ("bytes: liveness checks of quiet hosts", lambda: 328 * medians("looks.connections"), 1e-3),
         ("zone lost, one event a host", lambda: medians("node.zone_each"), 1.0),
         ("a gang of 512 placed one by one", lambda: 512 * medians("module.place"), 1.0),
         (
-            "memory: list, own tasks, links, orders",
+            "memory: list, own tasks, connections, orders",
             lambda: medians("looks.resident") + medians("memory.orders"),
             1e-6,
         ),
@@ -124,7 +133,7 @@
 
 
 def test_what_has_no_run_is_marked():
-    assert "*assumed*: note_s" in cell("top", "bytes: notes", "without a run")
+    assert "*assumed*: note_s" in cell("top", "bytes: observations", "without a run")
     assert cell("top", "CPU: idle control", "without a run") == ""
     assert capacity.assumed("rack * node.event") == "*assumed*: rack"
 
@@ -181,6 +190,33 @@
     return json.loads(done.stdout)
 
 
+def worker_that_says(folder, figure):
+    (folder / "benchmarks").mkdir(parents=True)
+    code = f"import json, sys\nprint(json.dumps({{'module.place': {figure}, 'hosts': float(sys.argv[5])}}))\n"
+    (folder / "benchmarks" / "slope_worker.py").write_text(code)
+
+
+def test_each_tree_is_measured_by_its_own_worker(tmp_path):
+    for name, figure in (("before", 1.0), ("now", 2.0)):
+        worker_that_says(tmp_path / name, figure)
+    found = [slopes.measure(slopes.Cell("module", 400), 1, tmp_path / name) for name in ("before", "now")]
+    assert found == [{"module.place": 1.0, "hosts": 400.0}, {"module.place": 2.0, "hosts": 400.0}]
+
+
+def test_a_tree_without_a_worker_is_measured_by_this_trees(tmp_path):
+    assert slopes.worker_of(tmp_path) == ROOT / "benchmarks" / "slope_worker.py"
+    (tmp_path / "glencleat").symlink_to(ROOT / "glencleat")
+    found = slopes.measure(slopes.Cell("channel", 30, tasks=60, services=5), 3, tmp_path)
+    assert found["channel.whole"] > 0.0
+
+
+def test_a_worker_that_fails_is_told_with_its_last_words(tmp_path):
+    (tmp_path / "benchmarks").mkdir()
+    (tmp_path / "benchmarks" / "slope_worker.py").write_text("raise SystemExit('no such field')\n")
+    with pytest.raises(slopes.RunFailedError, match="no such field"):
+        slopes.measure(slopes.Cell("module", 400), 1, tmp_path)
+
+
 def test_one_seed_gives_one_stream_of_events():
     first, again, other = work("zone"), work("zone"), work("zone", seed=4)
     assert first["module.zone_tasks"] == again["module.zone_tasks"] > 0.0
