--- a/glencleat/allocator/__init__.py
+++ b/glencleat/allocator/__init__.py
@@ -1,6 +1,7 @@
-"""The allocator's core: tells the module what happened and does what it says.
+"""The allocator's core on the Mesos and REST path: tells the policy what happened and carries out its actions.
 
-It imports the module's interface and the message schemas, never sockets: the fronts call it with parsed calls
-and hand it links to write to; clock and timers are arguments. Decisions that are not the module's stand in
-`late` (attempts whose fate is unsure), `members` (agents), `frameworks` (owners) and `admission`; none of
-them does I/O or reads a clock."""
+It imports the interface and the message schemas, never sockets: servers call it with parsed calls and hand it
+streams to write to; clock and timers are arguments. What is decided here and not by the policy stands in
+`delivery_status` (attempts that may or may not have run), `agent_membership`, `frameworks` and `admission`;
+none of these does I/O or reads a clock.
+"""
--- a/glencleat/rest/version_store.py
+++ b/glencleat/rest/version_store.py
@@ -3,7 +3,7 @@
 One counter numbers all changes. Each change is an Event in its kind's log, which holds the last `most` of
 them; each Record points at the one before it, so that a list in many pages shows one instant although the
 resources go on changing (multi-version concurrency control). What falls out of the log takes its old Records
-with it. The alternative, a copy of the map for each list, is measured in benchmarks/versions.py."""
+with it. The alternative, a copy of the map for each list, is measured in benchmarks/watch_index.py."""
 
 from __future__ import annotations
 
