--- a/glencleat/allocator/__init__.py
+++ b/glencleat/allocator/__init__.py
@@ -1,4 +1,4 @@
-"""The allocator's core on the Mesos and REST path: tells the policy what happened and carries out its actions.
+"""The allocator's core on the Mesos and REST path: tells the policy events and carries out its actions.
 
 It imports the interface and the message schemas, never sockets: servers call it with parsed calls and hand it
 streams to write to; clock and timers are arguments. What is decided here and not by the policy stands in
