--- a/glencleat/platform_settings.py
+++ b/glencleat/platform_settings.py
@@ -1,75 +1,56 @@
-"""The simulator's settings object, and what else the wire and the sockets name alike, in the module's types.
+"""The platform's settings object and load reports, in the types of the interface.
 
-Imports the interface only. The bench adapter and the live path read settings here; no value is of its own."""
+The simulator's wire and the platform's sockets share these words; both read them here. No value is of this
+module's own but the defaults of settings that an object may lack.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, Final, TypeVar
 
 from glencleat import interface as api
 
-PHASES = {
+T = TypeVar("T")
+
+PHASES: Final = {
     "SERVING": api.MachinePhase.SERVING,
     "DRAINING": api.MachinePhase.DRAINING,
     "DELETED": api.MachinePhase.REMOVED,
 }
-EFFECTS = {
+IDEMPOTENCY_BY_EFFECT: Final = {
     "pure": api.Idempotency.IDEMPOTENT,
     "token": api.Idempotency.IDEMPOTENCY_KEY,
     "side_effect": api.Idempotency.NON_IDEMPOTENT,
 }
+ANY_KIND: Final = -1  # in place of a machine kind's number
 
 
-def read_settings(raw: dict[str, Any]) -> api.Settings:
-    domain, limits, rules = raw["domain"], raw["limits"], raw["rules"]
-    prices, feedback = raw.get("prices", {}), raw.get("feedback", {})
-    kinds = raw.get("kinds", [])
+def read_settings(raw: Mapping[str, Any]) -> api.Settings:
+    """The settings of an allocator from the platform's object.
 
-    def per_class(key: str, index: int, default: Any) -> Any:
-        values = domain.get(key) or []
-        return values[index] if index < len(values) else default
-
-    classes = []
-    for i, item in enumerate(raw["classes"]):
-        kind = per_class("needs-kind", i, -1)
-        classes.append(
-            api.TaskClass(
-                name=item["name"],
-                idempotency=EFFECTS[item["effect"]],
-                latency_objective_ms=item["goal-time-ms"],
-                deadline_ms=item["deadline-ms"],
-                weight=item.get("worth", 1.0),
-                late_start_weight=item.get("late-worth", 0.0),
-                deduplication_scope=item.get("group") or "all",
-                deduplication_window_ms=item.get("memory-span-ms", 0.0),
-                start_weight_s=per_class("start-seconds", i, 0.0),
-                spread_by=per_class("spread-by", i, "off"),
-                max_per_domain=per_class("class-most", i, 0),
-                machine_kind=kinds[kind] if kind >= 0 else None,
-                priority=per_class("precedence", i, 0),
-                saturation_threshold=per_class("calm-level", i, 1.0),
-                degradation_range=per_class("class-fade", i, 1.0),
-            )
-        )
-    quotas = domain.get("tenant-quota-cores") or []
-    tenants = [item["name"] for item in raw.get("customers", [])]
+    Raises:
+        KeyError: a setting that must be there is not, or a class's effect is unknown.
+    """
+    domain = raw["domain"]
+    limits = raw["limits"]
+    rules = raw["rules"]
+    prices = raw.get("prices", {})
+    kinds = raw.get("kinds", [])
     return api.Settings(
         allocator_index=raw.get("position", 0),
         allocator_count=raw["peers-total"],
         zone=raw.get("az", ""),
-        classes=tuple(classes),
-        machine_sizes={
-            name: api.MachineSize(cores, memory)
-            for name, cores, memory in zip(
-                kinds, domain["cores-by-kind"], domain["kind-memory"], strict=False
-            )
-        },
+        classes=tuple(
+            _read_task_class(item, index, domain, kinds) for index, item in enumerate(raw["classes"])
+        ),
+        machine_sizes=_read_machine_sizes(domain, kinds),
         cores_overcommit=domain.get("cpu-booking", 1.0),
         memory_overcommit=domain.get("accepts-memory", 1.0),
         list_has_free_capacity=domain.get("view", False),
         watch_on_request=raw.get("discovery") == "ask",
         reports_count_usage=domain.get("report-counts") == "used",
-        reports_on_probe=feedback.get("how") == "on_probe",
+        reports_on_probe=raw.get("feedback", {}).get("how") == "on_probe",
         probes_allowed=limits.get("probes", False),
         reports_pressure=domain.get("tells-pressure", False),
         acceptance_means_running=domain.get("says-yes") == "running",
@@ -84,11 +65,59 @@
         machine_price=prices.get("fleet", 0.0),
         cross_zone_price=prices.get("cross-zone", 0.0),
         over_quota_weight=raw.get("over-share-worth", 1.0),
-        tenant_quota_cores=dict(zip(tenants, quotas, strict=False)) if tenants and quotas else None,
+        tenant_quota_cores=_read_tenant_quotas(raw, domain),
+    )
+
+
+def _read_task_class(
+    item: Mapping[str, Any], index: int, domain: Mapping[str, Any], kinds: list[str]
+) -> api.TaskClass:
+    """One class; some of its settings stand in columns of the domain, one value a class."""
+
+    def from_column(key: str, default: T) -> T:
+        values: list[T] = domain.get(key) or []
+        return values[index] if index < len(values) else default
+
+    kind = from_column("needs-kind", ANY_KIND)
+    return api.TaskClass(
+        name=item["name"],
+        idempotency=IDEMPOTENCY_BY_EFFECT[item["effect"]],
+        latency_objective_ms=item["goal-time-ms"],
+        deadline_ms=item["deadline-ms"],
+        weight=item.get("worth", 1.0),
+        late_start_weight=item.get("late-worth", 0.0),
+        deduplication_scope=item.get("group") or "all",
+        deduplication_window_ms=item.get("memory-span-ms", 0.0),
+        start_weight_s=from_column("start-seconds", 0.0),
+        spread_by=from_column("spread-by", "off"),
+        max_per_domain=from_column("class-most", 0),
+        machine_kind=kinds[kind] if kind >= 0 else None,
+        priority=from_column("precedence", 0),
+        saturation_threshold=from_column("calm-level", 1.0),
+        degradation_range=from_column("class-fade", 1.0),
     )
 
 
-def read_report(raw: dict[str, float] | None) -> api.LoadReport | None:
+def _read_machine_sizes(domain: Mapping[str, Any], kinds: list[str]) -> dict[str, api.MachineSize]:
+    """Sizes by machine kind; a kind without a size is left out."""
+    rows = zip(kinds, domain["cores-by-kind"], domain["kind-memory"], strict=False)
+    return {kind: api.MachineSize(cores, memory) for kind, cores, memory in rows}
+
+
+def _read_tenant_quotas(raw: Mapping[str, Any], domain: Mapping[str, Any]) -> dict[str, float] | None:
+    """Quotas of cores by tenant; None where there are none."""
+    quotas = domain.get("tenant-quota-cores") or []
+    tenants = [item["name"] for item in raw.get("customers", [])]
+    return dict(zip(tenants, quotas, strict=False)) if tenants and quotas else None
+
+
+def read_report(raw: Mapping[str, float] | None) -> api.LoadReport | None:
+    """A machine's load report; None where there is none or it is empty. Unknown fields are skipped."""
     if not raw:
         return None
-    return api.LoadReport(raw.get("x0"), raw.get("x1"), raw.get("busy"), raw.get("q"))
+    return api.LoadReport(
+        free_cores=raw.get("x0"),
+        free_memory=raw.get("x1"),
+        busy_share=raw.get("busy"),
+        queue_length=raw.get("q"),
+    )
--- a/glencleat/policy/cluster_state.py
+++ b/glencleat/policy/cluster_state.py
@@ -115,6 +115,11 @@
         """Whether the list no longer has it."""
         return self.entry.phase is MachinePhase.REMOVED
 
+    @property
+    def is_suspect(self) -> bool:
+        """Whether its last attempts came to nothing, or it was ejected and has not answered since."""
+        return bool(self.unanswered_attempts or self.ejection_count)
+
     @property
     def is_serving(self) -> bool:
         """Whether it takes new tasks, and how much it holds is known."""
--- a/glencleat/policy/machine_list.py
+++ b/glencleat/policy/machine_list.py
@@ -54,15 +54,18 @@
             self._schedule_retry()
             return
         self.retry_ms = RETRY_LIST_MS
+        machines = self.state.machines
+        now_ms = self.state.now_ms
         entries = {entry.name: entry for entry in event.machines}
         if event.kind is ListUpdateKind.SNAPSHOT:
-            for machine in self.state.machines.values():
+            for machine in machines.values():
                 if machine.name not in entries and not machine.is_removed:
                     self.update_machine(machine, replace(machine.entry, phase=MachinePhase.REMOVED))
         for entry in entries.values():
-            machine = self._known_or_new(entry)
+            known = machines.get(entry.name)
+            machine = known if known is not None and known.is_size_known else self._add(entry, known)
             self.update_machine(machine, entry)
-            machine.listed_at_ms = self.state.now_ms
+            machine.listed_at_ms = now_ms
             machine.sums_updated_at_ms = NEVER_MS
         self._forget_removed()
 
@@ -71,24 +74,21 @@
         self.retry_ms = min(MAX_RETRY_LIST_MS, 2.0 * self.retry_ms)
         self.state.log("list", "the machine list failed, asking again")
 
-    def _known_or_new(self, entry: Machine) -> MachineState:
-        """The machine of this name; one whose size was not known begins anew, with the tasks it has."""
-        machines = self.state.machines
-        known = machines.get(entry.name)
-        if known is not None and known.is_size_known:
-            return known
+    def _add(self, entry: Machine, known: MachineState | None) -> MachineState:
+        """Adds a machine; one that was known without its size begins anew, with the tasks it has."""
         machine = MachineState(entry, self.state.settings.machine_sizes.get(entry.kind))
         machine.tasks = known.tasks if known else {}
         for task in machine.tasks.values():
             task.machine = machine
-        machines[entry.name] = machine
+        self.state.machines[entry.name] = machine
         return machine
 
     def update_machine(self, machine: MachineState, entry: Machine) -> None:
         """Sets the machine's list entry, and whether it takes new tasks."""
         machine.entry = entry
-        self.state.serving.put(machine, machine.is_serving)
-        if machine.is_removed:
+        phase = entry.phase  # a list may hold all machines: read once, not by the properties
+        self.state.serving.put(machine, machine.is_size_known and phase is MachinePhase.SERVING)
+        if phase is MachinePhase.REMOVED:
             self.state.removal_candidates[machine.name] = None
 
     def _forget_removed(self) -> None:
--- a/glencleat/policy/placement.py
+++ b/glencleat/policy/placement.py
@@ -117,47 +117,49 @@
         now_ms = self.state.now_ms
         task_class = task.task_class
         spread_by = task_class.spread_by
-        backoff = machine.rejection_backoffs.get(task.class_and_tenant)
         return (
             machine.is_serving
             and task_class.machine_kind in (None, machine.entry.kind)
             and now_ms - task.ended_at_ms_by_machine.get(machine.name, NEVER_MS) >= FULL_BACKOFF_MS
-            and self._is_healthy(machine, task)
-            and self._drops_repeats(machine, task)
+            and not (machine.is_suspect and self._is_too_suspect(machine, task))
+            and (not task.first_uncertain_attempt or self._drops_repeats(machine, task))
             and (
                 spread_by == "off"
                 or occupied_domains.count(machine.failure_domain(spread_by)) < task_class.max_per_domain
             )
-            and (backoff is None or now_ms >= backoff.until_ms)
+            and not (machine.rejection_backoffs and self._is_backed_off(machine, task))
             and not SLOW_PROBE_MS < now_ms - machine.probe_sent_at_ms < PROBE_INTERVAL_MS
             and (not coldness(self.state, machine) or may_start(self.state, machine))
         )
 
-    def _is_healthy(self, machine: MachineState, task: TrackedTask) -> bool:
-        """Whether it is not ejected. A suspect that is let back gets one task at a time, which finds out.
+    def _is_backed_off(self, machine: MachineState, task: TrackedTask) -> bool:
+        """Whether the task's class and tenant stay off the machine, as it rejected them a while ago."""
+        backoff = machine.rejection_backoffs.get(task.class_and_tenant)
+        return backoff is not None and self.state.now_ms < backoff.until_ms
+
+    def _is_too_suspect(self, machine: MachineState, task: TrackedTask) -> bool:
+        """Whether it is ejected, or the task may not find out if it is back.
 
-        What has a single attempt goes where the last one came to something, while it is in time.
+        A suspect that is let back gets one task at a time. What has a single attempt goes where the last
+        one came to something, while it is in time.
         """
         now_ms = self.state.now_ms
-        if not (machine.unanswered_attempts or machine.ejection_count):
-            return True
         if machine.unanswered_attempts >= EJECTION_THRESHOLD and (
             now_ms < machine.ejected_until_ms or machine.count_unanswered_offers()
         ):
-            return False
+            return True
         task_class = task.task_class
-        is_single_attempt = (
+        return (
             task_class.idempotency is Idempotency.NON_IDEMPOTENT
             and now_ms - task.arrived_at_ms < task_class.latency_objective_ms
         )
-        return not is_single_attempt
 
     @staticmethod
     def _drops_repeats(machine: MachineState, task: TrackedTask) -> bool:
         """Whether a second run there does no harm, as far as the scope of deduplication decides it."""
         uncertain = task.first_uncertain_attempt
         scope = task.task_class.deduplication_scope
-        if not uncertain or scope == "all":
+        if uncertain is None or scope == "all":
             return True
         if task.task_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return True
--- a/glencleat/policy/profiles.py
+++ b/glencleat/policy/profiles.py
@@ -81,12 +81,15 @@
 
     def _pooled(self, task: TrackedTask) -> UsageProfile:
         key = pooled_key(task)
-        return self.profiles.get(key) or self.profiles.setdefault(key, UsageProfile())
+        profile = self.profiles.get(key)
+        if profile is None:
+            profile = self.profiles[key] = UsageProfile()
+        return profile
 
     def predict_need(self, task: TrackedTask) -> Resources:
         """Predicted peak, never under the use seen now: histograms lag behind a service that climbs."""
         profile = self.profiles.get(task.service)
-        if not profile or profile.cores.total < MIN_SAMPLES:
+        if profile is None or profile.cores.total < MIN_SAMPLES:
             profile = self._pooled(task)
         cores, memory = task.requested
         cores_now, memory_now = task.usage
@@ -99,7 +102,7 @@
         """Predicted life beyond the task's age, from the lives that grew as old."""
         age_ms = 0.0 if task.running_since_ms is None else self.state.now_ms - task.running_since_ms
         profile = self.profiles.get(task.service)
-        if not profile or profile.life.total < MIN_SAMPLES:
+        if profile is None or profile.life.total < MIN_SAMPLES:
             profile = self._pooled(task)
         if profile.life.total < MIN_SAMPLES:
             return DEFAULT_LIFE_MS if task.machine is None else DEFAULT_LIFE_LEFT_MS
--- a/glencleat/policy/resources.py
+++ b/glencleat/policy/resources.py
@@ -1,6 +1,7 @@
 """Amounts of cores and memory, and the bounds of time that stand for "never".
 
-An amount is a plain pair, not a class: placements add thousands of them, and their cost is a budget.
+An amount is a plain pair and not a named tuple: each placement makes dozens of them, and named tuples made it
+nearly half as slow again.
 """
 
 from __future__ import annotations
--- a/glencleat/policy/usage.py
+++ b/glencleat/policy/usage.py
@@ -5,7 +5,7 @@
 from glencleat.index.rendezvous import Columns
 from glencleat.policy.cluster_state import TrackedTask
 from glencleat.policy.profiles import MIN_SAMPLES
-from glencleat.policy.resources import Resources, multiply
+from glencleat.policy.resources import Resources
 
 INITIAL_USAGE_RATIO: Resources = (0.6, 0.7)  # until enough of our own running tasks tell
 
@@ -30,5 +30,7 @@
 
     def estimate(self, task: TrackedTask) -> Resources:
         """What a task uses now; where that is not observed, what tasks use of their requests in the mean."""
-        mean = multiply(task.requested, self.ratio)
-        return task.usage[0] or mean[0], max(task.usage[1], mean[1])
+        requested = task.requested
+        cores, memory = task.usage
+        mean_memory = requested[1] * self.ratio[1]
+        return cores or requested[0] * self.ratio[0], memory if memory > mean_memory else mean_memory
--- a/glencleat/simulator_adapter.py
+++ b/glencleat/simulator_adapter.py
@@ -1,17 +1,28 @@
-"""The bench's wire to the module's types and back: one Scheduler an instance, no decision of its own."""
+"""Adapter for the simulator's wire: one Scheduler an instance, no decision of its own.
+
+    python -m glencleat.simulator_adapter
+
+Lines of JSON arrays come on standard input in batches, and each batch is answered on standard output by the
+actions of the schedulers that it names. Words and codes of the wire are translated here and nowhere else.
+"""
 
 from __future__ import annotations
 
 import json
 import sys
 from collections.abc import Callable
-from typing import Any, TextIO
+from types import TracebackType
+from typing import Any, Final, TextIO, TypeAlias, TypeVar
 
 from glencleat import interface as api
 from glencleat.platform_settings import PHASES, read_report, read_settings
-from glencleat.policy.scheduler import Scheduler
+from glencleat.policy import Scheduler
+
+WireMessage: TypeAlias = list[Any]  # a name, an instance in most, and the fields of the wire's page
+Directory: TypeAlias = tuple[api.Machine, ...]  # the machines that list messages refer to by number
+T = TypeVar("T")
 
-OUTCOMES = {
+OUTCOMES: Final = {
     0: api.Outcome.ERROR,
     1: api.Outcome.COMPLETED,
     2: api.Outcome.REJECTED,
@@ -21,7 +32,7 @@
     6: api.Outcome.STOPPED,
     7: api.Outcome.NOT_SENT,
 }
-REASONS = {
+REASONS: Final = {
     1: api.OutcomeReason.INSUFFICIENT_CORES,
     2: api.OutcomeReason.INSUFFICIENT_MEMORY,
     3: api.OutcomeReason.QUEUE_FULL,
@@ -30,20 +41,20 @@
     6: api.OutcomeReason.PREEMPTED,
     7: api.OutcomeReason.DRAINED,
 }
-NOTES = {
+OBSERVATION_KINDS: Final = {
     1: api.ObservationKind.RUNNING,
     2: api.ObservationKind.CORES_IN_USE,
     3: api.ObservationKind.MEMORY_IN_USE,
     4: api.ObservationKind.SERVICE_LEVEL,
     5: api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-LISTS = {
+LIST_UPDATE_KINDS: Final = {
     "delta": api.ListUpdateKind.DELTA,
     "full": api.ListUpdateKind.SNAPSHOT,
     "cached": api.ListUpdateKind.SNAPSHOT,
     "failed": api.ListUpdateKind.FAILED,
 }
-FIELDS = {  # fields each message needs, its name included
+MIN_FIELDS: Final = {  # that each message needs, its name included
     "BEGIN_BATCH": 3,
     "EOB": 1,
     "NEW_INSTANCE": 4,
@@ -60,159 +71,290 @@
     "LEFT": 3,
     "LANDED": 6,
 }
+RETRY_FLAG: Final = 16  # of an arrival's flags: it comes again
+
+# Places of fields that a message may lack, counted after its name and instance.
+ARRIVAL_FLAGS_FIELD: Final = 9
+RETURNED_REPORT_FIELD: Final = 7
+STATUS_REPORT_FIELD: Final = 3
+MACHINE_READY_FIELD: Final = 8  # counted from the row's begin
+
+SHOWN_TEXT: Final = 80  # characters of a malformed line that an error shows
+SHOWN_NAME: Final = 40
+SHOWN_MESSAGE: Final = 120
+EXIT_MALFORMED: Final = 2
 
 
 class WireError(Exception):
-    """A line that is not on the wire's page: what was wrong and what was expected."""
+    """Input that is not on the wire's page.
+
+    Args:
+        problem: what was found.
+        expected: what should have been there.
+    """
+
+    def __init__(self, problem: str, expected: str) -> None:
+        super().__init__(f"{problem}; expected {expected}")
+        self.problem = problem
+        self.expected = expected
+
+
+def _optional(values: list[T], place: int) -> T | None:
+    """The field at this place, None where the message ends before it."""
+    return values[place] if len(values) > place else None
 
 
 def read_machine(row: list[Any]) -> api.Machine:
-    _, memory_left, kind, phase, name, cores_left, zone, cell = row[:8]
-    ready = row[8] if len(row) > 8 else None
-    left = (cores_left or 0.0, memory_left or 0.0)
-    return api.Machine(name, kind, zone or "", cell or 0, PHASES[phase], *left, ready or None)
-
-
-def read_event(line: list[Any], rosters: dict[int, tuple[api.Machine, ...]]) -> api.Event | None:
-    """The event of one line about an instance, or None where the module has no use for it."""
-    name, values = line[0], line[2:]
-    if name == "ARRIVAL":
-        call, band, team, _, left, lasts, service, cores, memory = values[:9]
-        again = bool((values[9] or 0) & 16) if len(values) > 9 else False
-        return api.PlacementRequested(
-            call, band, service, cores, memory, left, team or None, lasts, None, again
-        )
-    if name == "OPEN":
-        call, cores, _, service, _, team, band, host, lasts, memory = values[:10]
-        return api.PlacementRequested(call, band, service, cores, memory, 0.0, team or None, lasts, host)
-    if name == "RETURNED":
-        call, attempt, info, how, spent, over, host = values[:7]
-        report = read_report(values[7]) if len(values) > 7 else None
-        why = REASONS.get(info or 0, api.OutcomeReason.UNSPECIFIED)
-        return api.AttemptEnded(
-            call, attempt, host, OUTCOMES[how or 0], spent or 0.0, bool(over), why, report
-        )
-    if name == "LANDED":
-        return api.AttemptAccepted(*values[:4])
-    if name == "STATUS_NOTE":
-        call, topic, host, value = values[:4]
-        return api.TaskObserved(call, host, NOTES[topic], value or 0.0) if topic in NOTES else None
-    if name == "REGISTRY":
-        kind = LISTS[values[2]]
-        return api.MachineListUpdated(kind, () if kind is api.ListUpdateKind.FAILED else rosters[values[1]])
-    if name == "STATUS_BACK":
-        report = read_report(values[3]) if len(values) > 3 else None
-        return api.ProbeEnded(values[0], OUTCOMES[values[1] or 0], report)
-    if name == "LEFT":
-        return api.CallAbandoned(values[0])
-    if name == "TICK_DUE":
-        return api.TimerFired(values[0])
-    return None
-
-
-WRITERS: dict[type, Callable[[str, Any], list[Any]]] = {
-    api.Bind: lambda inst, a: ["BIND", inst, a.call_id, a.machine, a.timeout_ms],
-    api.Reject: lambda inst, a: ["PUSH_BACK", inst, a.call_id, a.retry_after_ms],
-    api.Fail: lambda inst, a: ["FAIL", inst, a.call_id],
-    api.Migrate: lambda inst, a: ["SHIFT", inst, a.call_id],
-    api.Probe: lambda inst, a: ["INSPECT", inst, a.machine],
-    api.SetTimer: lambda inst, a: ["SET_TIMER", inst, a.delay_ms, a.token],
-    api.WatchMachineList: lambda inst, a: ["KEEP_INFORMED", inst, True],
-    api.LogMessage: lambda inst, a: ["TRACE", inst, a.text],
+    """The machine of one row of a DIRECTORY message."""
+    _, free_memory, kind, phase, name, free_cores, zone, cell = row[:MACHINE_READY_FIELD]
+    return api.Machine(
+        name=name,
+        kind=kind,
+        zone=zone or "",
+        cell=cell or 0,
+        phase=PHASES[phase],
+        free_cores=free_cores or 0.0,
+        free_memory=free_memory or 0.0,
+        ready_at_ms=_optional(row, MACHINE_READY_FIELD) or None,
+    )
+
+
+def _read_arrival(values: list[Any]) -> api.PlacementRequested:
+    call_id, task_class, tenant, _, remaining_ms, expected_run_ms, service, cores, memory = values[:9]
+    flags = _optional(values, ARRIVAL_FLAGS_FIELD) or 0
+    return api.PlacementRequested(
+        call_id=call_id,
+        task_class=task_class,
+        service=service,
+        cores=cores,
+        memory=memory,
+        remaining_ms=remaining_ms,
+        tenant=tenant or None,
+        expected_run_ms=expected_run_ms,
+        is_retry=bool(flags & RETRY_FLAG),
+    )
+
+
+def _read_open(values: list[Any]) -> api.PlacementRequested:
+    call_id, cores, _, service, _, tenant, task_class, machine, expected_run_ms, memory = values[:10]
+    return api.PlacementRequested(
+        call_id=call_id,
+        task_class=task_class,
+        service=service,
+        cores=cores,
+        memory=memory,
+        tenant=tenant or None,
+        expected_run_ms=expected_run_ms,
+        machine=machine,
+    )
+
+
+def _read_returned(values: list[Any]) -> api.AttemptEnded:
+    call_id, attempt, reason, outcome, elapsed_ms, is_closed, machine = values[:RETURNED_REPORT_FIELD]
+    return api.AttemptEnded(
+        call_id=call_id,
+        attempt=attempt,
+        machine=machine,
+        outcome=OUTCOMES[outcome or 0],
+        elapsed_ms=elapsed_ms or 0.0,
+        is_call_closed=bool(is_closed),
+        reason=REASONS.get(reason or 0, api.OutcomeReason.UNSPECIFIED),
+        report=read_report(_optional(values, RETURNED_REPORT_FIELD)),
+    )
+
+
+def _read_landed(values: list[Any]) -> api.AttemptAccepted:
+    call_id, attempt, machine, elapsed_ms = values[:4]
+    return api.AttemptAccepted(call_id, attempt, machine, elapsed_ms)
+
+
+def _read_status_note(values: list[Any]) -> api.TaskObserved | None:
+    call_id, topic, machine, value = values[:4]
+    if topic not in OBSERVATION_KINDS:
+        return None
+    return api.TaskObserved(call_id, machine, OBSERVATION_KINDS[topic], value or 0.0)
+
+
+def _read_status_back(values: list[Any]) -> api.ProbeEnded:
+    report = read_report(_optional(values, STATUS_REPORT_FIELD))
+    return api.ProbeEnded(values[0], OUTCOMES[values[1] or 0], report)
+
+
+def _read_left(values: list[Any]) -> api.CallAbandoned:
+    return api.CallAbandoned(values[0])
+
+
+def _read_tick_due(values: list[Any]) -> api.TimerFired:
+    return api.TimerFired(values[0])
+
+
+READERS: Final[dict[str, Callable[[list[Any]], api.Event | None]]] = {
+    "ARRIVAL": _read_arrival,
+    "OPEN": _read_open,
+    "RETURNED": _read_returned,
+    "LANDED": _read_landed,
+    "STATUS_NOTE": _read_status_note,
+    "STATUS_BACK": _read_status_back,
+    "LEFT": _read_left,
+    "TICK_DUE": _read_tick_due,
 }
 
 
-class Link:
-    """Reads batches, keeps one Scheduler an instance, writes their replies."""
+def read_list_update(values: list[Any], directories: dict[int, Directory]) -> api.MachineListUpdated:
+    """The event of a REGISTRY message; its machines are those of the directory that it names."""
+    kind = LIST_UPDATE_KINDS[values[2]]
+    if kind is api.ListUpdateKind.FAILED:
+        return api.MachineListUpdated(kind)
+    return api.MachineListUpdated(kind, directories[values[1]])
+
+
+def read_event(message: WireMessage, directories: dict[int, Directory]) -> api.Event | None:
+    """The event of a message about an instance, or None where the policy has no use for it."""
+    name = message[0]
+    values = message[2:]
+    if name == "REGISTRY":
+        return read_list_update(values, directories)
+    reader = READERS.get(name)
+    return reader(values) if reader is not None else None
+
+
+def write_action(instance: str, action: api.Action) -> WireMessage:
+    """The message that carries an instance's action."""
+    match action:
+        case api.Bind():
+            return ["BIND", instance, action.call_id, action.machine, action.timeout_ms]
+        case api.Reject():
+            return ["PUSH_BACK", instance, action.call_id, action.retry_after_ms]
+        case api.Fail():
+            return ["FAIL", instance, action.call_id]
+        case api.Migrate():
+            return ["SHIFT", instance, action.call_id]
+        case api.Probe():
+            return ["INSPECT", instance, action.machine]
+        case api.SetTimer():
+            return ["SET_TIMER", instance, action.delay_ms, action.token]
+        case api.WatchMachineList():
+            return ["KEEP_INFORMED", instance, True]
+        case api.LogMessage():
+            return ["TRACE", instance, action.text]
+
+
+class SimulatorAdapter:
+    """Reads batches, keeps one Scheduler an instance, writes their replies.
+
+    Args:
+        source: lines of the wire, from the simulator.
+        sink: where replies are written, flushed after each batch.
+    """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.source, self.sink = source, sink
-        self.instances: dict[str, Scheduler] = {}
-        self.rosters: dict[int, tuple[api.Machine, ...]] = {}
+        self.source = source
+        self.sink = sink
+        self.schedulers: dict[str, Scheduler] = {}  # by instance
+        self.directories: dict[int, Directory] = {}
+
+    def run(self) -> None:
+        """Answers batches until the input ends.
 
-    def read_line(self) -> list[Any] | None:
+        Raises:
+            WireError: a line that is not on the wire's page.
+        """
+        while (message := self._read_message()) is not None:
+            if message[0] != "BEGIN_BATCH":
+                raise WireError(f"{message[0]} outside a batch", "BEGIN_BATCH")
+            _, now_ms, number = message[:3]
+            if not isinstance(now_ms, int | float) or not isinstance(number, int):
+                raise WireError(f"BEGIN_BATCH with {message[1:3]!r}", "a clock and a batch number")
+            replies = self._answer_batch(float(now_ms))
+            replies.append(["NEXT", number])
+            self.sink.write("".join(json.dumps(reply, separators=(",", ":")) + "\n" for reply in replies))
+            self.sink.flush()
+
+    def _read_message(self) -> WireMessage | None:
+        """The next message, or None at the end of the input; empty lines are skipped."""
         text = self.source.readline()
         while text and not text.strip():
             text = self.source.readline()
         if not text:
             return None
+        shown = repr(text.strip()[:SHOWN_TEXT])
         try:
-            line = json.loads(text)
-        except ValueError:
-            raise WireError(f"not JSON: {text.strip()[:80]!r}; expected one JSON array a line") from None
-        if not isinstance(line, list) or not line or not isinstance(line[0], str):
-            raise WireError(f"not a message: {text.strip()[:80]!r}; expected an array led by a name")
-        if line[0] not in FIELDS:
-            raise WireError(f"unknown message {line[0][:40]!r}; expected one of {', '.join(FIELDS)}")
-        if len(line) < FIELDS[line[0]]:
-            raise WireError(f"{line[0]} has {len(line)} fields; expected at least {FIELDS[line[0]]}")
-        return line
+            message = json.loads(text)
+        except ValueError as error:
+            raise WireError(f"not JSON: {shown}", "one JSON array a line") from error
+        if not isinstance(message, list) or not message or not isinstance(message[0], str):
+            raise WireError(f"not a message: {shown}", "an array led by a name")
+        name = message[0]
+        if name not in MIN_FIELDS:
+            raise WireError(f"unknown message {name[:SHOWN_NAME]!r}", f"one of {', '.join(MIN_FIELDS)}")
+        if len(message) < MIN_FIELDS[name]:
+            raise WireError(f"{name} has {len(message)} fields", f"at least {MIN_FIELDS[name]}")
+        return message
 
-    def run(self) -> None:
-        while (line := self.read_line()) is not None:
-            if line[0] != "BEGIN_BATCH":
-                raise WireError(f"{line[0]} outside a batch; expected BEGIN_BATCH")
-            if not isinstance(line[1], int | float) or not isinstance(line[2], int):
-                raise WireError(f"BEGIN_BATCH with {line[1:3]!r}; expected a clock and a batch number")
-            reply = self.batch(float(line[1]))
-            reply.append(["NEXT", line[2]])
-            self.sink.write("".join(json.dumps(item, separators=(",", ":")) + "\n" for item in reply))
-            self.sink.flush()
-
-    def batch(self, now: float) -> list[list[Any]]:
-        reply: list[list[Any]] = []
+    def _answer_batch(self, now_ms: float) -> list[WireMessage]:
+        """Handles messages up to the batch's end, and gives the replies to all of them."""
+        replies: list[WireMessage] = []
         while True:
-            line = self.read_line()
-            if line is None:
-                raise WireError("input ended within a batch; expected EOB")
-            if line[0] == "EOB":
-                return reply
-            if line[0] == "BEGIN_BATCH":
-                raise WireError("BEGIN_BATCH within a batch; expected an event or EOB")
+            message = self._read_message()
+            if message is None:
+                raise WireError("input ended within a batch", "EOB")
+            if message[0] == "EOB":
+                return replies
+            if message[0] == "BEGIN_BATCH":
+                raise WireError("BEGIN_BATCH within a batch", "an event or EOB")
             try:
-                self.one(now, line, reply)
+                self.handle_message(now_ms, message, replies)
             except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-                shown = f"{line[0]} can't be read ({error!r}): {json.dumps(line)[:120]}"
-                raise WireError(f"{shown}; expected the fields of the wire's page") from None
+                shown = json.dumps(message)[:SHOWN_MESSAGE]
+                raise WireError(
+                    f"{message[0]} can't be read ({error!r}): {shown}", "the fields of the wire's page"
+                ) from error
 
-    def one(self, now: float, line: list[Any], reply: list[list[Any]]) -> None:
-        name = line[0]
+    def handle_message(self, now_ms: float, message: WireMessage, replies: list[WireMessage]) -> None:
+        """Carries out one message of a batch, and appends its replies."""
+        name = message[0]
         if name == "DIRECTORY":
-            self.rosters[line[1]] = tuple(read_machine(row) for row in line[2])
+            self.directories[message[1]] = tuple(read_machine(row) for row in message[2])
             return
-        inst = line[1]
+        instance = message[1]
         if name == "NEW_INSTANCE":
-            settings = read_settings(line[3])
-            self.instances[inst] = Scheduler(settings, line[2])
+            settings = read_settings(message[3])
+            self.schedulers[instance] = Scheduler(settings, message[2])
             return
         if name == "SHUTDOWN":
-            self.instances.pop(inst, None)
-            return
-        event = read_event(line, self.rosters)
-        scheduler = self.instances.get(inst)
-        if event is None or scheduler is None:
+            self.schedulers.pop(instance, None)
             return
-        reply.extend(act(scheduler, inst, now, event))
+        event = read_event(message, self.directories)
+        scheduler = self.schedulers.get(instance)
+        if event is not None and scheduler is not None:
+            replies.extend(answer_event(scheduler, instance, now_ms, event))
 
 
-def act(scheduler: Scheduler, inst: str, now: float, event: api.Event) -> list[list[Any]]:
-    """What the module answers; a fault of the module is told to the bench, not raised here."""
+def answer_event(scheduler: Scheduler, instance: str, now_ms: float, event: api.Event) -> list[WireMessage]:
+    """The messages of a scheduler's actions; a fault of the policy is a message too, and not raised here."""
     try:
-        return [WRITERS[type(action)](inst, action) for action in scheduler.handle(now, event)]
-    except Exception as error:  # the wire wants any fault of the module as a message
-        where = error.__traceback__
-        while where is not None and where.tb_next is not None:
-            where = where.tb_next
-        line = where.tb_lineno if where is not None else 0
-        return [["DIE", inst, f"{type(error).__name__} at line {line}: {error}"]]
+        return [write_action(instance, action) for action in scheduler.handle(now_ms, event)]
+    except Exception as error:  # the wire wants any fault of the policy as a message
+        line = last_line(error.__traceback__)
+        return [["DIE", instance, f"{type(error).__name__} at line {line}: {error}"]]
+
+
+def last_line(traceback: TracebackType | None) -> int:
+    """The line at which an error was raised; 0 if it was not raised."""
+    if traceback is None:
+        return 0
+    while traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    return traceback.tb_lineno
 
 
 def main() -> int:
+    """Runs the adapter on standard input and output; gives the process's exit status."""
     try:
-        Link(sys.stdin, sys.stdout).run()
+        SimulatorAdapter(sys.stdin, sys.stdout).run()
     except WireError as error:
         print(f"glencleat.simulator_adapter: {error}", file=sys.stderr)
-        return 2
+        return EXIT_MALFORMED
     return 0
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from glencleat.simulator_adapter import Link, WireError
+from glencleat.simulator_adapter import SimulatorAdapter, WireError
 
 CONFIG = {
     "az": "z",
@@ -36,7 +36,7 @@
 
 def play(text):
     sink = io.StringIO()
-    Link(io.StringIO(text), sink).run()
+    SimulatorAdapter(io.StringIO(text), sink).run()
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
@@ -59,17 +59,17 @@
 
 
 def test_a_fault_of_the_module_becomes_a_message():
-    link = Link(io.StringIO(frames(START, [ARRIVAL])), io.StringIO())
-    original = link.one
+    adapter = SimulatorAdapter(io.StringIO(frames(START, [ARRIVAL])), io.StringIO())
+    original = adapter.handle_message
 
-    def broken(now, line, reply):
-        original(now, line, reply)
-        for scheduler in link.instances.values():
+    def broken(now_ms, message, replies):
+        original(now_ms, message, replies)
+        for scheduler in adapter.schedulers.values():
             scheduler.handle = lambda *_: 1 / 0
 
-    link.one = broken
-    link.run()
-    assert '"DIE","allocator_0","ZeroDivisionError' in link.sink.getvalue()
+    adapter.handle_message = broken
+    adapter.run()
+    assert '"DIE","allocator_0","ZeroDivisionError' in adapter.sink.getvalue()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire_replies.py
+++ b/tests/test_wire_replies.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from glencleat.simulator_adapter import Link
+from glencleat.simulator_adapter import SimulatorAdapter
 from tests.support.wire_day import Day, as_text, play
 
 DATA = Path(__file__).parent / "data" / "wire"
@@ -25,12 +25,12 @@
     """The adapter in this process: a batch's text in, its reply's text out."""
 
     def __init__(self) -> None:
-        self.link = Link(io.StringIO(), io.StringIO())
+        self.adapter = SimulatorAdapter(io.StringIO(), io.StringIO())
 
     def __call__(self, text: str) -> str:
-        self.link.source, self.link.sink = io.StringIO(text), io.StringIO()
-        self.link.run()
-        return self.link.sink.getvalue()
+        self.adapter.source, self.adapter.sink = io.StringIO(text), io.StringIO()
+        self.adapter.run()
+        return self.adapter.sink.getvalue()
 
 
 def test_replies_to_the_recorded_short_stream_are_equal():
