--- a/benchmarks/order_index.py
+++ b/benchmarks/order_index.py
@@ -1,6 +1,7 @@
 """The index of hash orders against other structures, and the decision module's slopes on it.
 
-python -m benchmarks.order_index [REV]     REV: another revision's logic.py measured beside this one"""
+python -m benchmarks.order_index
+PYTHONPATH=TREE python benchmarks/order_index.py     the same of another checkout, whose benchmarks it uses"""
 
 import heapq
 import statistics
@@ -13,7 +14,6 @@
 from sortedcontainers import SortedKeyList
 
 from benchmarks.common import machine, rows_of
-from benchmarks.equal_actions import at_revision
 from glencleat import interface as api
 from glencleat.index.rendezvous import RendezvousIndex, hashed
 from glencleat.policy.scheduler import Scheduler
@@ -107,7 +107,7 @@
 class Drive:
     """A scheduler at its size: told a list, its tasks placed, then measured event by event."""
 
-    def __init__(self, cls, hosts):
+    def __init__(self, hosts):
         safe = api.TaskClass("safe", api.Idempotency.IDEMPOTENT, 1000.0, 8000.0, 1.0)
         kinds = {"std": api.MachineSize(16.0, 32.0)}
         more = dict(
@@ -118,7 +118,7 @@
             warm_up_window_ms=1000.0,
         )
         more["warm_up_offers"] = 6.0
-        self.module = cls(api.Settings(0, PEERS, "z0", (safe,), kinds, 2.0, 1.5, **more), 3)
+        self.module = Scheduler(api.Settings(0, PEERS, "z0", (safe,), kinds, 2.0, 1.5, **more), 3)
         self.random, self.now, self.calls, self.hosts, self.running = Random(5), 1e6, 0, hosts, {}
         self.tell(
             api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(self.told(i) for i in range(hosts)))
@@ -208,18 +208,16 @@
     return [f"{len(gone)}", f"{len(lost)}", f"{at_once:.3f}", f"{time.process_time() - began:.3f}"]
 
 
-def state_mb(scheduler, rev, hosts):
+def state_mb(hosts):
     """Resident memory that the scheduler and its driver add, in a process of its own."""
     call = (
         "import os\n"
         "from benchmarks.common import rss_mb\n"
-        "from benchmarks.order_index import Drive, Scheduler, at_revision\n"
-        f"cls = {scheduler}\n"
+        "from benchmarks.order_index import Drive\n"
         "before = rss_mb(os.getpid())\n"
-        f"one = Drive(cls, {hosts})\n"
+        f"one = Drive({hosts})\n"
         "print(rss_mb(os.getpid()) - before, before)"
     )
-    call = call.replace("REV", repr(rev))
     out = subprocess.run([sys.executable, "-c", call], capture_output=True, text=True, check=True)
     return f"{float(out.stdout.split()[0]):.1f}"
 
@@ -237,22 +235,14 @@
     show("One service's order", head, rows)
     head = ["members", "in or out, us", "scan, us", "sort, us", "scanned meanwhile", "sorted meanwhile"]
     show("Constants", head, [constants(size) for size in (400, 1_600, 6_300)])
-    sides = [("now", Scheduler, "Scheduler")]
-    rev = sys.argv[1] if len(sys.argv) > 1 else ""
-    if rev:
-        sides.insert(0, (rev, at_revision(rev), "at_revision(REV)"))
-    sizes = (400, 1_600, 6_300)
-    drives = [Drive(cls, hosts) for _, cls, _ in sides for hosts in sizes]
+    drives = [Drive(hosts) for hosts in (400, 1_600, 6_300)]
     measured = slopes(drives)
     rows = [[what, *(f"{row[what]:.3f}" for row in measured)] for what in measured[0]]
-    names = [f"{name}, {hosts:,}" for name, _, _ in sides for hosts in sizes]
+    names = [f"{one.hosts:,} hosts" for one in drives]
     title = f"{SERVICES} services, {TASKS:,} own tasks, {PEERS} peers; medians in ms of CPU, taken in turn"
     show(title, ["event", *names], rows)
-    rows = []
-    for number, one in enumerate(drives):
-        name, _, told = sides[number // len(sizes)]
-        rows.append([name, f"{one.hosts:,}", *losses(one), state_mb(told, rev, one.hosts)])
-    head = ["logic", "hosts", "gone", "tasks lost", "at once, s", "singly, s", "state, MB"]
+    rows = [[f"{one.hosts:,}", *losses(one), state_mb(one.hosts)] for one in drives]
+    head = ["hosts", "gone", "tasks lost", "at once, s", "singly, s", "state, MB"]
     show("A seventh of the hosts gone, placements going on: CPU seconds; memory of the state", head, rows)
 
 
--- a/glencleat/platform_settings.py
+++ b/glencleat/platform_settings.py
@@ -41,9 +41,7 @@
         allocator_index=raw.get("position", 0),
         allocator_count=raw["peers-total"],
         zone=raw.get("az", ""),
-        classes=tuple(
-            _read_task_class(item, index, domain, kinds) for index, item in enumerate(raw["classes"])
-        ),
+        classes=tuple(_read_task_class(raw, index) for index in range(len(raw["classes"]))),
         machine_sizes=_read_machine_sizes(domain, kinds),
         cores_overcommit=domain.get("cpu-booking", 1.0),
         memory_overcommit=domain.get("accepts-memory", 1.0),
@@ -69,13 +67,12 @@
     )
 
 
-def _read_task_class(
-    item: Mapping[str, Any], index: int, domain: Mapping[str, Any], kinds: list[str]
-) -> api.TaskClass:
+def _read_task_class(raw: Mapping[str, Any], index: int) -> api.TaskClass:
     """One class; some of its settings stand in columns of the domain, one value a class."""
+    item = raw["classes"][index]
 
     def from_column(key: str, default: T) -> T:
-        values: list[T] = domain.get(key) or []
+        values: list[T] = raw["domain"].get(key) or []
         return values[index] if index < len(values) else default
 
     kind = from_column("needs-kind", ANY_KIND)
@@ -91,7 +88,7 @@
         start_weight_s=from_column("start-seconds", 0.0),
         spread_by=from_column("spread-by", "off"),
         max_per_domain=from_column("class-most", 0),
-        machine_kind=kinds[kind] if kind >= 0 else None,
+        machine_kind=raw.get("kinds", [])[kind] if kind >= 0 else None,
         priority=from_column("precedence", 0),
         saturation_threshold=from_column("calm-level", 1.0),
         degradation_range=from_column("class-fade", 1.0),
--- a/glencleat/policy/cluster_state.py
+++ b/glencleat/policy/cluster_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import InitVar, dataclass, field
 from itertools import count
 
 from glencleat.index.rendezvous import hashed
@@ -65,50 +65,62 @@
     length_ms: float
 
 
+@dataclass(slots=True, eq=False)
 class MachineState:
-    """A machine as this scheduler knows it. Its parts are written by the modules that the comments name."""
-
-    def __init__(self, entry: Machine, size: MachineSize | None) -> None:
-        """`size` is None for a machine of an unknown kind, or one that only a running task told of."""
-        self.name = entry.name
-        self.hash = hashed(entry.name)
-        self.is_size_known = size is not None
-        self.size: Resources = (size.cores, size.memory) if size else (1.0, 1.0)
-
-        # machine_list
-        self.entry = entry
-        self.listed_at_ms = NEVER_MS
-        self.report: LoadReport | None = None
-        self.reported_at_ms = NEVER_MS
-
-        # task_registry
-        self.tasks: dict[int, TrackedTask] = {}
-        self.starting_tasks: dict[int, TrackedTask] = {}  # those not yet running
-
-        # outliers
-        self.last_answer_at_ms = NEVER_MS
-        self.unanswered_attempts = 0
-        self.ejection_count = 0  # in a row, without an answer between them
-        self.ejected_until_ms = NEVER_MS
-        self.is_unreachable = False
-        self.reachable_since_ms = NEVER_MS
-        self.full_until_ms = NEVER_MS
-        self.rejection_backoffs: dict[tuple[str, str | None], RejectionBackoff] = {}  # by class and tenant
-        self.harvest_suspended_until_ms = NEVER_MS
-
-        # placement, attempts
-        self.probe_sent_at_ms = NOT_DUE_MS  # while a probe is in flight
-        self.warm_up_sends_ms: list[float] = []
-
-        # capacity: sums over our tasks there
-        self.sums_updated_at_ms = NEVER_MS
-        self.free_capacity_as_of_ms = NEVER_MS  # own binds up to then are in the free capacity that is told
-        self.requested = NO_RESOURCES
-        self.predicted_needs = NO_RESOURCES
-        self.usage = NO_RESOURCES
-        self.unlisted_requests = NO_RESOURCES  # of binds that the told free capacity does not contain yet
-        self.cores_used_by_priority: dict[int, float] = {}
-        self.others_usage = NO_RESOURCES  # thought to be used by tasks of other schedulers
+    """A machine as this scheduler knows it. Each part is written by the module that its comment names.
+
+    `known_size` is None for a machine of an unknown kind, or one that only a running task told of.
+    """
+
+    # machine_list
+    entry: Machine
+    known_size: InitVar[MachineSize | None]
+    name: str = field(init=False)
+    hash: int = field(init=False)
+    is_size_known: bool = field(init=False)
+    size: Resources = (1.0, 1.0)
+    listed_at_ms: float = NEVER_MS
+    report: LoadReport | None = None
+    reported_at_ms: float = NEVER_MS
+
+    # task_registry
+    tasks: dict[int, TrackedTask] = field(default_factory=dict)  # by call id
+    starting_tasks: dict[int, TrackedTask] = field(default_factory=dict)  # those not yet running
+
+    # outliers
+    last_answer_at_ms: float = NEVER_MS
+    unanswered_attempts: int = 0
+    ejection_count: int = 0  # in a row, without an answer between them
+    ejected_until_ms: float = NEVER_MS
+    is_unreachable: bool = False
+    reachable_since_ms: float = NEVER_MS
+    full_until_ms: float = NEVER_MS
+    rejection_backoffs: dict[tuple[str, str | None], RejectionBackoff] = field(
+        default_factory=dict
+    )  # by class and tenant
+    harvest_suspended_until_ms: float = NEVER_MS
+
+    # placement, attempts
+    probe_sent_at_ms: float = NOT_DUE_MS  # while a probe is in flight
+    warm_up_sends_ms: list[float] = field(default_factory=list)
+
+    # capacity: sums over our tasks there
+    sums_updated_at_ms: float = NEVER_MS
+    free_capacity_as_of_ms: float = NEVER_MS  # own binds up to then are in the free capacity that is told
+    requested: Resources = NO_RESOURCES
+    predicted_needs: Resources = NO_RESOURCES
+    usage: Resources = NO_RESOURCES
+    unlisted_requests: Resources = NO_RESOURCES  # of binds that the told free capacity does not contain yet
+    cores_used_by_priority: dict[int, float] = field(default_factory=dict)
+    others_usage: Resources = NO_RESOURCES  # thought to be used by tasks of other schedulers
+
+    def __post_init__(self, known_size: MachineSize | None) -> None:
+        """Derives what stays for as long as the machine is known."""
+        self.name = self.entry.name
+        self.hash = hashed(self.name)
+        self.is_size_known = known_size is not None
+        if known_size is not None:
+            self.size = known_size.cores, known_size.memory
 
     @property
     def is_removed(self) -> bool:
