--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -104,4 +104,4 @@
         call = self.line.pop(place, None)
         if call is not None and call.given is None:
             self.refused += 1
-            self.core.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(False))
+            self.core.answer(call, FinalAnswer.REFUSED, status_mapping.rejection_answer(False))
--- a/glencleat/allocator/agent_membership.py
+++ b/glencleat/allocator/agent_membership.py
@@ -20,89 +20,113 @@
 @dataclass(slots=True, eq=False)
 class AgentMember:
     id: str
-    run: str
+    incarnation: str
     session: object | None
     state: AgentState
-    heard_at: float
-    since: float  # of the present state
-    runs: int = 1
+    last_heard_at_ms: float
+    state_since_ms: float  # of the present state
+    incarnation_count: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class AgentSubscription:
     member: AgentMember
-    replaced: object | None  # the session that this one puts out, if it was still open
-    same_run: bool  # it is the process that was here before, so that its list of tasks is the whole truth
+    replaced_session: object | None  # the session that this one puts out, if it was still open
+    is_same_incarnation: (
+        bool  # it is the process that was here before, so that its list of tasks is the whole truth
+    )
 
 
 class AgentLimitError(Exception):
     """An agent that can't be taken; the text says why."""
 
 
-def split_id(executor_id: str) -> tuple[str, str]:
+def split_executor_id(executor_id: str) -> tuple[str, str]:
     """Agent and run of an ExecutorID; without a dot the run is unnamed and never counts as the same."""
     agent, _, run = executor_id.rpartition(".")
     return (agent, run) if agent else (executor_id, "")
 
 
 class AgentMembership:
-    def __init__(self, heartbeat_ms: float, missed: int, return_ms: float, most: int = 20_000) -> None:
-        self.heartbeat_ms, self.missed, self.return_ms, self.most = heartbeat_ms, missed, return_ms, most
-        self.members: dict[str, AgentMember] = {}
-
-    def subscribe(self, agent: str, run: str, session: object, now: float) -> Joined:
-        member = self.members.get(agent)
+    def __init__(
+        self,
+        heartbeat_ms: float,
+        max_missed_heartbeats: int,
+        reregistration_timeout_ms: float,
+        max_agents: int = 20_000,
+    ) -> None:
+        self.heartbeat_ms, self.max_missed_heartbeats, self.reregistration_timeout_ms, self.max_agents = (
+            heartbeat_ms,
+            max_missed_heartbeats,
+            reregistration_timeout_ms,
+            max_agents,
+        )
+        self.members_by_agent: dict[str, AgentMember] = {}
+
+    def subscribe(self, agent: str, run: str, session: object, now: float) -> AgentSubscription:
+        member = self.members_by_agent.get(agent)
         if member is None:
-            if len(self.members) >= self.most:
-                self._make_room()
-            member = self.members[agent] = AgentMember(agent, run, session, AgentState.SUBSCRIBED, now, now)
-            return Joined(member, None, False)
-        same = bool(run) and member.run == run
+            if len(self.members_by_agent) >= self.max_agents:
+                self._evict_lost_member()
+            member = self.members_by_agent[agent] = AgentMember(
+                agent, run, session, AgentState.SUBSCRIBED, now, now
+            )
+            return AgentSubscription(member, None, False)
+        same = bool(run) and member.incarnation == run
         replaced, member.session = member.session, session
-        member.runs += not same
-        member.run, member.state, member.heard_at, member.since = run, AgentState.SUBSCRIBED, now, now
-        return Joined(member, replaced, same)
-
-    def _make_room(self) -> None:
-        lost = [m for m in self.members.values() if m.state is AgentState.LOST]
+        member.incarnation_count += not same
+        member.incarnation, member.state, member.last_heard_at_ms, member.state_since_ms = (
+            run,
+            AgentState.SUBSCRIBED,
+            now,
+            now,
+        )
+        return AgentSubscription(member, replaced, same)
+
+    def _evict_lost_member(self) -> None:
+        lost = [m for m in self.members_by_agent.values() if m.state is AgentState.LOST]
         if not lost:
-            raise AgentLimitError(f"{self.most} agents are known; expected no more")
-        del self.members[min(lost, key=lambda m: m.since).id]
+            raise AgentLimitError(f"{self.max_agents} agents are known; expected no more")
+        del self.members_by_agent[min(lost, key=lambda m: m.state_since_ms).id]
 
-    def heard(self, agent: str, run: str, now: float) -> bool:
+    def record_heartbeat(self, agent: str, run: str, now: float) -> bool:
         """A call of an agent; False: it is not of the run that is subscribed, and must not count."""
-        member = self.members.get(agent)
-        if member is None or member.run != run or member.state is not AgentState.SUBSCRIBED:
+        member = self.members_by_agent.get(agent)
+        if member is None or member.incarnation != run or member.state is not AgentState.SUBSCRIBED:
             return False
-        member.heard_at = now
+        member.last_heard_at_ms = now
         return True
 
-    def session(self, agent: str) -> object | None:
-        member = self.members.get(agent)
+    def session_of(self, agent: str) -> object | None:
+        member = self.members_by_agent.get(agent)
         return member.session if member is not None else None
 
-    def closed(self, agent: str, session: object, now: float) -> bool:
+    def close_session(self, agent: str, session: object, now: float) -> bool:
         """A session ended; False if it was not the one that counts."""
-        member = self.members.get(agent)
+        member = self.members_by_agent.get(agent)
         if member is None or member.session is not session:
             return False
-        member.session, member.state, member.since = None, AgentState.AWAY, now
+        member.session, member.state, member.state_since_ms = None, AgentState.AWAY, now
         return True
 
-    def silent(self, now: float) -> list[AgentMember]:
+    def find_unresponsive(self, now: float) -> list[AgentMember]:
         """Subscribed agents whose heartbeats stopped: their sessions are to be cut.
 
         The connection may look open for hours when a machine is gone without a word."""
-        limit = self.heartbeat_ms * self.missed
+        limit = self.heartbeat_ms * self.max_missed_heartbeats
         return [
-            m for m in self.members.values() if m.state is AgentState.SUBSCRIBED and now - m.heard_at > limit
+            m
+            for m in self.members_by_agent.values()
+            if m.state is AgentState.SUBSCRIBED and now - m.last_heard_at_ms > limit
         ]
 
-    def lost(self, now: float) -> list[AgentMember]:
+    def mark_lost(self, now: float) -> list[AgentMember]:
         """Agents away for too long; each is given once."""
         gone = [
-            m for m in self.members.values() if m.state is AgentState.AWAY and now - m.since > self.return_ms
+            m
+            for m in self.members_by_agent.values()
+            if m.state is AgentState.AWAY and now - m.state_since_ms > self.reregistration_timeout_ms
         ]
         for member in gone:
-            member.state, member.since = AgentState.LOST, now
+            member.state, member.state_since_ms = AgentState.LOST, now
         return gone
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -9,12 +9,12 @@
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
-from glencleat.allocator.agent_membership import AgentState, split_id
+from glencleat.allocator.agent_membership import AgentState, split_executor_id
 from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
 from glencleat.allocator.domain_events import AgentStateChanged, CallTaken
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus, StatusMeaning
-from glencleat.allocator.task_requests import TaskRequestError, read
+from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
 
@@ -22,7 +22,7 @@
     """A call of an agent's run that has no session."""
 
 
-def as_report(payload: m.Payload) -> api.LoadReport:
+def to_load_report(payload: m.Payload) -> api.LoadReport:
     return api.LoadReport(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
 
 
@@ -35,33 +35,33 @@
     def subscribe(self, call: m.ExecutorCall, session: Any) -> str:
         """A session begins; gives the agent's id. Updates that it still held are handled as if just sent."""
         core, now = self.core, self.core.now()
-        agent, run = split_id(call.executor_id.value)
+        agent, run = split_executor_id(call.executor_id.value)
         told = call.subscribe or m.SubscribeExecutor()
         joined = core.members.subscribe(agent, run, session, now)
         core.happened(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=run, tasks=len(told.unacknowledged_tasks))
         # An old stream that was still open may hold a LAUNCH which this run has yet to read.
-        whole_truth = joined.same_run and joined.replaced is None
-        if joined.replaced is not None:
+        whole_truth = joined.is_same_incarnation and joined.replaced_session is None
+        if joined.replaced_session is not None:
             text = "another connection subscribed under this id"
-            old: Any = joined.replaced
+            old: Any = joined.replaced_session
             old.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(text))))
             old.close(text)
-            self._doubt(agent, old)
-        self._greet(call, agent, session)
+            self._resolve_lost_session(agent, old)
+        self._send_subscribed(call, agent, session)
         for update in told.unacknowledged_updates:
-            self.update(call.executor_id.value, update.status)
+            self.handle_update(call.executor_id.value, update.status)
         listed = {task.task_id.value for task in told.unacknowledged_tasks}
         listed |= {update.status.task_id.value for update in told.unacknowledged_updates}
         for attempt in core.ledger.at(agent):
             if attempt.session is not session:
-                self._compare(attempt, attempt.id in listed, whole_truth)
+                self._compare_with_listed(attempt, attempt.id in listed, whole_truth)
         for task in told.unacknowledged_tasks:
-            self._listed(agent, task)
+            self._handle_listed_task(agent, task)
         core.open_up()
         return agent
 
-    def _greet(self, call: m.ExecutorCall, agent: str, session: Any) -> None:
+    def _send_subscribed(self, call: m.ExecutorCall, agent: str, session: Any) -> None:
         framework = m.FrameworkInfo(name="glencleat", id=call.framework_id)
         info = m.AgentInfo(hostname=agent, id=m.Value(agent))
         subscribed = m.SubscribedExecutor(
@@ -69,55 +69,61 @@
         )
         session.send(m.encode(m.ExecutorEvent("SUBSCRIBED", subscribed=subscribed)))
 
-    def closed(self, agent: str, session: Any, why: str) -> None:
+    def close_session(self, agent: str, session: Any, why: str) -> None:
         """A session's connection ended."""
         core = self.core
-        if core.members.closed(agent, session, core.now()):
+        if core.members.close_session(agent, session, core.now()):
             core.happened(AgentStateChanged(agent, AgentState.AWAY.value))
             core.log("agent away", agent=agent, why=why)
-        self._doubt(agent, session)
+        self._resolve_lost_session(agent, session)
 
-    def _doubt(self, agent: str, session: Any) -> None:
+    def _resolve_lost_session(self, agent: str, session: Any) -> None:
         for attempt in self.core.ledger.at(agent):
             if attempt.session is not session or attempt.back:
                 continue
-            verdict = delivery_status.on_session_lost(
+            verdict = delivery_status.decide_on_session_lost(
                 attempt.step, self.core.handed(attempt), attempt.call.effect
             )
-            if verdict.do is delivery_status.DeliveryAction.RETURN:
+            if verdict.action is delivery_status.DeliveryAction.CONCLUDE:
                 self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
-    def _compare(self, attempt: Attempt, listed: bool, same_run: bool) -> None:
+    def _compare_with_listed(self, attempt: Attempt, listed: bool, same_run: bool) -> None:
         """An attempt of an earlier session, against what the agent says it holds."""
-        verdict = delivery_status.on_resubscribe(attempt.step, listed, same_run)
-        if verdict.do is delivery_status.DeliveryAction.IGNORE:
+        verdict = delivery_status.decide_on_resubscribe(attempt.step, listed, same_run)
+        if verdict.action is delivery_status.DeliveryAction.IGNORE:
             return
         never = not verdict.may_have_run
         if attempt.back:
-            attempt.ran, attempt.step = (False, attempt.step) if never else (attempt.ran, AttemptStep.OVER)
+            attempt.ran, attempt.step = (False, attempt.step) if never else (attempt.ran, AttemptStep.ENDED)
             self.core.ledger.settle(attempt)
-        elif attempt.step is AttemptStep.OUT:
-            attempt.step = attempt.step if never else AttemptStep.OVER
+        elif attempt.step is AttemptStep.DISPATCHED:
+            attempt.step = attempt.step if never else AttemptStep.ENDED
             self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
         else:
-            self._over(attempt, StatusMeaning(AttemptStep.OVER, verdict.outcome), None)
+            self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, verdict.outcome), None)
 
-    def _listed(self, agent: str, task: m.TaskInfo) -> None:
+    def _handle_listed_task(self, agent: str, task: m.TaskInfo) -> None:
         """A task that the agent holds: known, or placed by a former incarnation of ours."""
         core = self.core
         attempt = core.ledger.attempts.get(task.task_id.value)
         if attempt is not None:
-            if not attempt.back and attempt.step is AttemptStep.OUT:
-                self._accepted(attempt)
-            elif attempt.back and attempt.step in (AttemptStep.OUT, AttemptStep.ACCEPTED, AttemptStep.RUNS):
-                attempt.step = AttemptStep.ACCEPTED if attempt.step is AttemptStep.OUT else attempt.step
-                self._late_yes(attempt, attempt.placed)
+            if not attempt.back and attempt.step is AttemptStep.DISPATCHED:
+                self._record_accepted(attempt)
+            elif attempt.back and attempt.step in (
+                AttemptStep.DISPATCHED,
+                AttemptStep.ACCEPTED,
+                AttemptStep.RUNNING,
+            ):
+                attempt.step = (
+                    AttemptStep.ACCEPTED if attempt.step is AttemptStep.DISPATCHED else attempt.step
+                )
+                self._handle_late_acceptance(attempt, attempt.placed)
             return
         framework, name = m.label(task.labels, "framework"), m.label(task.labels, "task")
         try:
             if framework is None or name is None:
                 raise TaskRequestError("labels framework and task are missing")
-            ask = read(task, core.classes, None, 0.0)
+            ask = read_task_request(task, core.classes, None, 0.0)
         except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
@@ -126,7 +132,7 @@
         effect = core.classes[ask.task_class].idempotency
         call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
         attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=AttemptStep.ACCEPTED)
-        if delivery_status.on_unknown(elsewhere) is delivery_status.LateAcceptance.KILL:
+        if delivery_status.decide_unknown_task(elsewhere) is delivery_status.LateAcceptance.KILL:
             core.kill(attempt)
         else:
             self._adopt(attempt, call)
@@ -145,18 +151,18 @@
         core.happened(CallTaken(call))
         core.tell_asked(call, 0.0, attempt.machine)
         core.told.status(
-            call, status_mapping.reconciled(attempt.fate(), attempt.step is AttemptStep.ACCEPTED)
+            call, status_mapping.reconciliation_answer(attempt.fate(), attempt.step is AttemptStep.ACCEPTED)
         )
 
     # ---- updates ----
 
-    def update(self, executor_id: str, status: m.TaskStatus) -> None:
+    def handle_update(self, executor_id: str, status: m.TaskStatus) -> None:
         """An UPDATE; acknowledged whatever it says, as its agent repeats it until then."""
-        core, agent = self.core, self.heartbeat(executor_id)
+        core, agent = self.core, self.record_heartbeat(executor_id)
         payload = m.unpack(status.data) if status.data else None
         attempt = core.ledger.attempts.get(status.task_id.value)
         if status.uuid is not None:
-            link: Any = core.members.session(agent)
+            link: Any = core.members.session_of(agent)
             done = m.Acknowledged(status.task_id, status.uuid)
             link.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=done)))
         told = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
@@ -166,21 +172,21 @@
         if attempt.seen(status.uuid) or told.step.value <= attempt.step.value:
             core.figures.events["update stale"] += 1  # a duplicate, or overtaken by a later one
             return
-        self._apply(attempt, told, None if payload is None else as_report(payload))
+        self._apply_status(attempt, told, None if payload is None else to_load_report(payload))
 
-    def _apply(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
+    def _apply_status(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
         if attempt.back:
-            self._apply_late(attempt, told)
+            self._apply_late_status(attempt, told)
             return
-        if told.step is AttemptStep.OVER and not told.ran:
-            attempt.step, attempt.ran = AttemptStep.OVER, False
+        if told.step is AttemptStep.ENDED and not told.may_have_run:
+            attempt.step, attempt.ran = AttemptStep.ENDED, False
             self.core.ledger.settle(attempt)
-            self.core.returned(attempt, told.outcome, attempt.call.left, told.why, report)
+            self.core.returned(attempt, told.outcome, attempt.call.left, told.reason, report)
             return
-        if attempt.step is AttemptStep.OUT:
-            self._accepted(attempt)
-        if told.step is AttemptStep.RUNS and not attempt.back:
-            attempt.step = AttemptStep.RUNS
+        if attempt.step is AttemptStep.DISPATCHED:
+            self._record_accepted(attempt)
+        if told.step is AttemptStep.RUNNING and not attempt.back:
+            attempt.step = AttemptStep.RUNNING
             self.core.tell(
                 api.TaskObserved(attempt.call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
             )
@@ -189,30 +195,30 @@
                     attempt.call,
                     status_mapping.StatusAnswer(status_mapping.RUNNING, status_mapping.RetryAdvice.NEVER),
                 )
-        elif told.step is AttemptStep.OVER:
-            self._over(attempt, told, report)
+        elif told.step is AttemptStep.ENDED:
+            self._record_end(attempt, told, report)
 
-    def _apply_late(self, attempt: Attempt, told: StatusMeaning) -> None:
+    def _apply_late_status(self, attempt: Attempt, told: StatusMeaning) -> None:
         """A status of an attempt that was given up; what it settles, an owner left in doubt is told."""
         # Not by its step: a late yes moves that on too, and its next status would pass for a placed task's.
         call, was_placed = attempt.call, attempt.placed
         attempt.step = told.step
-        if told.step is not AttemptStep.OVER:
-            self._late_yes(attempt, was_placed)
+        if told.step is not AttemptStep.ENDED:
+            self._handle_late_acceptance(attempt, was_placed)
             return
-        attempt.ran = attempt.ran if told.ran else False
+        attempt.ran = attempt.ran if told.may_have_run else False
         self.core.ledger.settle(attempt)
         if self.core.ledger.task(call.framework, call.task_id) is not call:
             return  # it was asked for again since
         if was_placed and call.given is FinalAnswer.SERVED and attempt is call.last():
-            self.core.told.status(call, status_mapping.ended(told.outcome, told.why))
+            self.core.told.status(call, status_mapping.end_answer(told.outcome, told.reason))
         elif call.given is FinalAnswer.FAILED and call.fate() in (
             ExecutionStatus.NEVER_RAN,
             ExecutionStatus.ENDED,
         ):
-            self.core.told.status(call, status_mapping.reconciled(call.fate()))
+            self.core.told.status(call, status_mapping.reconciliation_answer(call.fate()))
 
-    def _accepted(self, attempt: Attempt) -> None:
+    def _record_accepted(self, attempt: Attempt) -> None:
         """The agent's yes: the task is placed, which is its answer."""
         core, call = self.core, attempt.call
         core.stop_timer(attempt)
@@ -227,15 +233,15 @@
         if call.left:
             core.kill(attempt)  # its owner gave up just as the machine said yes
 
-    def _over(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
+    def _record_end(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
         core, call = self.core, attempt.call
-        attempt.step = AttemptStep.OVER
+        attempt.step = AttemptStep.ENDED
         core.ledger.settle(attempt)
-        core.returned(attempt, told.outcome, True, told.why, report)
-        core.told.status(call, status_mapping.ended(told.outcome, told.why))
+        core.returned(attempt, told.outcome, True, told.reason, report)
+        core.told.status(call, status_mapping.end_answer(told.outcome, told.reason))
 
-    def _late_yes(self, attempt: Attempt, was_placed: bool) -> None:
+    def _handle_late_acceptance(self, attempt: Attempt, was_placed: bool) -> None:
         """An agent holds a task of which the module was told that the attempt came to nothing."""
         core, call = self.core, attempt.call
         latest = core.ledger.task(call.framework, call.task_id) or call
@@ -243,7 +249,7 @@
         answered = latest.given.value if latest.given is not None else None
         gone = call.left or not core.wanted(call)
         core.figures.events["late yes"] += 1
-        verdict = delivery_status.on_late_yes(
+        verdict = delivery_status.decide_late_acceptance(
             answered, was_placed, latest.out() is not None and not placed, placed, gone
         )
         core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=verdict.value)
@@ -259,17 +265,22 @@
 
     # ---- messages ----
 
-    def message(self, executor_id: str, payload: m.Payload) -> None:
+    def handle_message(self, executor_id: str, payload: m.Payload) -> None:
         """A MESSAGE: a report, an answer to a probe, what our tasks use."""
-        core, agent = self.core, self.heartbeat(executor_id)
+        core, agent = self.core, self.record_heartbeat(executor_id)
         if payload.probe is not None:
-            core.probe_back(agent, payload.probe, as_report(payload))
+            core.probe_back(agent, payload.probe, to_load_report(payload))
         for use in payload.tasks:
-            self._use(agent, use, payload.memory_used)
+            self._observe_task(agent, use, payload.memory_used)
 
-    def _use(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
+    def _observe_task(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
         attempt = self.core.ledger.attempts.get(use.task_id)
-        if attempt is None or attempt.back or attempt.machine != agent or attempt.step is AttemptStep.OUT:
+        if (
+            attempt is None
+            or attempt.back
+            or attempt.machine != agent
+            or attempt.step is AttemptStep.DISPATCHED
+        ):
             return
         kinds = api.ObservationKind
         for kind, value in (
@@ -281,19 +292,19 @@
             if value is not None:
                 self.core.tell(api.TaskObserved(attempt.call.number, agent, kind, value))
 
-    def heartbeat(self, executor_id: str) -> str:
+    def record_heartbeat(self, executor_id: str) -> str:
         """A sign of life, which every call is; gives the agent's id, raises NotSubscribed."""
-        agent, run = split_id(executor_id)
-        if not self.core.members.heard(agent, run, self.core.now()):
+        agent, run = split_executor_id(executor_id)
+        if not self.core.members.record_heartbeat(agent, run, self.core.now()):
             raise NotSubscribedError(f"{executor_id} is not subscribed")
         return agent
 
     # ---- absence ----
 
-    def lost(self, agent: str) -> None:
+    def handle_lost_agent(self, agent: str) -> None:
         """The agent stayed away too long: its placed tasks are over for us, their fate is unsure."""
         for attempt in self.core.ledger.at(agent):
-            if attempt.back or attempt.step is AttemptStep.OUT:
+            if attempt.back or attempt.step is AttemptStep.DISPATCHED:
                 continue
             call = attempt.call
             self.core.returned(attempt, api.Outcome.LOST, over=True)
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.delivery_status import merge
+from glencleat.allocator.delivery_status import combine_execution_statuses
 from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
 from glencleat.mesos.messages import TaskInfo
@@ -55,7 +55,7 @@
     session: object = None  # the agent's session that the LAUNCH went to
     begin: int = 0  # the LAUNCH's place in that session's stream
     end: int = 0
-    step: AttemptStep = AttemptStep.OUT
+    step: AttemptStep = AttemptStep.DISPATCHED
     back: bool = False  # the module has had its Returned
     placed: bool = False  # its yes came while the module still waited for it, or it was adopted
     ran: bool | None = None  # None: not known
@@ -65,9 +65,9 @@
     def fate(self) -> ExecutionStatus:
         if self.ran is False:
             return ExecutionStatus.NEVER_RAN
-        if self.step is AttemptStep.OVER:
+        if self.step is AttemptStep.ENDED:
             return ExecutionStatus.ENDED
-        return ExecutionStatus.UNSURE if self.step is AttemptStep.OUT else ExecutionStatus.RUNS
+        return ExecutionStatus.UNCERTAIN if self.step is AttemptStep.DISPATCHED else ExecutionStatus.RUNNING
 
     def seen(self, uuid: str | None) -> bool:
         """Whether an update with this uuid was handled before; remembers it."""
@@ -108,10 +108,10 @@
 
     def placed(self) -> bool:
         out = self.out()
-        return out is not None and out.step in (AttemptStep.ACCEPTED, AttemptStep.RUNS)
+        return out is not None and out.step in (AttemptStep.ACCEPTED, AttemptStep.RUNNING)
 
     def fate(self) -> ExecutionStatus:
-        return merge([a.fate() for a in self.attempts])
+        return combine_execution_statuses([a.fate() for a in self.attempts])
 
     def may_have_run(self) -> bool:
         return any(a.ran is not False for a in self.attempts)
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -80,7 +80,7 @@
             options.heartbeat_ms, options.missed, options.return_ms, options.agents_most
         )
         self.frameworks = Frameworks(
-            options.frameworks_most, options.unacked_most, retry_ms=options.update_retry_ms
+            options.frameworks_most, options.unacked_most, update_retry_ms=options.update_retry_ms
         )
         self.incarnation = f"{self.random.getrandbits(40):010x}"
         self.numbers, self.probe_numbers = itertools.count(1), itertools.count(1)
@@ -161,7 +161,7 @@
             return
         left = call.ask.left_ms - (self.now() - call.taken_at)
         if left <= 0.0:
-            self.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(False))
+            self.answer(call, FinalAnswer.REFUSED, status_mapping.rejection_answer(False))
         else:
             self.tell_asked(call, left)
 
@@ -187,7 +187,7 @@
     def open_up(self) -> None:
         if self.early.start is not None:
             return
-        here = (x.id for x in self.members.members.values() if x.state is AgentState.SUBSCRIBED)
+        here = (x.id for x in self.members.members_by_agent.values() if x.state is AgentState.SUBSCRIBED)
         before = self.opening.done
         if not self.opening.opens(self.now(), self.listed, here):
             return
@@ -209,9 +209,11 @@
             self._bind(action)
         elif isinstance(action, api.Reject):
             call = self.ledger.calls[action.call_id]
-            self.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(call.may_have_run()))
+            self.answer(call, FinalAnswer.REFUSED, status_mapping.rejection_answer(call.may_have_run()))
         elif isinstance(action, api.Fail):
-            self.answer(self.ledger.calls[action.call_id], FinalAnswer.FAILED, status_mapping.failure())
+            self.answer(
+                self.ledger.calls[action.call_id], FinalAnswer.FAILED, status_mapping.failure_answer()
+            )
         elif isinstance(action, api.SetTimer):
             token = action.token
             self.timing.call_in(action.delay_ms, lambda: self.tell(api.TimerFired(token)))
@@ -233,7 +235,7 @@
         attempt = Attempt(call, number, action.machine, name, now)
         self.ledger.bind(attempt)
         self.happened(AttemptSent(attempt))
-        link: Any = self.members.session(action.machine)
+        link: Any = self.members.session_of(action.machine)
         if link is None:
             self.give_up(attempt, api.Outcome.UNREACHABLE, may_have_run=False)
             return
@@ -274,17 +276,17 @@
     def handed(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
         session: Any = attempt.session
         if session is None:
-            return delivery_status.DeliveryStatus.NOTHING
-        return delivery_status.handed(session.written(), attempt.begin, attempt.end)
+            return delivery_status.DeliveryStatus.NOT_SENT
+        return delivery_status.classify_delivery(session.written(), attempt.begin, attempt.end)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if attempt.back:
             return
-        verdict = delivery_status.on_timeout(attempt.step, self.handed(attempt))
-        if verdict.do is delivery_status.DeliveryAction.CUT:
+        verdict = delivery_status.decide_on_timeout(attempt.step, self.handed(attempt))
+        if verdict.action is delivery_status.DeliveryAction.CLOSE_SESSION:
             session: Any = attempt.session
             session.close("the agent does not read")  # ends as a lost session, which settles the attempt
-        if verdict.do is not delivery_status.DeliveryAction.IGNORE and not attempt.back:
+        if verdict.action is not delivery_status.DeliveryAction.IGNORE and not attempt.back:
             self.give_up(attempt, verdict.outcome, verdict.may_have_run)
 
     def give_up(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
@@ -309,7 +311,7 @@
         self.figures.attempts[outcome.value] += 1
         spent = max(0.0, self.now() - attempt.sent_at)
         if call.given is None:
-            call.why.note(outcome, why, attempt.machine, self.now())
+            call.why.record(outcome, why, attempt.machine, self.now())
         if over and call.given is not None:
             self.ledger.close(call)
         self.happened(AttemptConcluded(attempt, outcome, why))
@@ -322,7 +324,7 @@
     def _withdrawn(self, call: Call) -> None:
         """The owner killed the task while an attempt was out, and the attempt is back."""
         if call.may_have_run():
-            self.answer(call, FinalAnswer.FAILED, status_mapping.failure())
+            self.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
         else:
             self.answer(
                 call,
@@ -343,15 +345,15 @@
 
     def kill(self, attempt: Attempt) -> None:
         """Asks the agent to stop the task; follows its LAUNCH on the same stream, so it can't overtake it."""
-        link: Any = self.members.session(attempt.machine)
-        if link is not None and attempt.step is not AttemptStep.OVER:
+        link: Any = self.members.session_of(attempt.machine)
+        if link is not None and attempt.step is not AttemptStep.ENDED:
             self.figures.events["kill"] += 1
             link.send(m.encode(m.ExecutorEvent("KILL", kill=m.KillEvent(m.Value(attempt.id)))))
 
     # ---- probes ----
 
     def _probe(self, machine: str) -> None:
-        link: Any = self.members.session(machine)
+        link: Any = self.members.session_of(machine)
         if link is None:
             self.tell(api.ProbeEnded(machine, api.Outcome.UNREACHABLE))
             return
@@ -382,11 +384,11 @@
         self.figures.give(call.ask.task_class, given)
         framework = self.framework_of(call)
         if framework is not None:
-            framework.open -= 1
+            framework.open_task_count -= 1
         if given is not FinalAnswer.SERVED:
             self.ledger.close(call)
         self.happened(CallAnswered(call, given))
-        text = None if given is FinalAnswer.SERVED else call.why.text(len(self.listed or ()))
+        text = None if given is FinalAnswer.SERVED else call.why.describe(len(self.listed or ()))
         self.owners.status(call, answer, text)
         if self.ending and not self.ledger.open:
             self.on_idle()
@@ -410,7 +412,7 @@
             agent_id=m.Value(machine or self.options.pool),
             timestamp=self.timing.clock.wall() / 1000.0,
             uuid=base64.b64encode(token).decode() if acked else None,
-            labels=m.Labels([m.Label("retry", answer.retry.value)]),
+            labels=m.Labels([m.Label("retry", answer.retry_advice.value)]),
         )
 
     # ---- time ----
@@ -420,16 +422,16 @@
         self.timing.call_in(self.options.sweep_ms, self._sweep)
         self.open_up()
         now = self.now()
-        for member in self.members.silent(now):
+        for member in self.members.find_unresponsive(now):
             session: Any = member.session
             if session is None:
                 continue  # it broke just now: the end of another's session bound a task to this one
-            self.log("agent silent", agent=member.id, heard_ms_ago=round(now - member.heard_at))
+            self.log("agent silent", agent=member.id, heard_ms_ago=round(now - member.last_heard_at_ms))
             session.close("no heartbeat")
-        for member in self.members.lost(now):
+        for member in self.members.mark_lost(now):
             self.log("agent lost", agent=member.id)
             self.happened(AgentStateChanged(member.id, AgentState.LOST.value))
-            self.agents.lost(member.id)
+            self.agents.handle_lost_agent(member.id)
         self.owners.sweep(now)
 
     # ---- the end ----
@@ -447,15 +449,19 @@
             if call.told:
                 self.tell(api.CallAbandoned(call.number))
             out = call.out()
-            if out is not None and self.handed(out) is not delivery_status.DeliveryStatus.WHOLE:
+            if out is not None and self.handed(out) is not delivery_status.DeliveryStatus.SENT:
                 session: Any = out.session
                 session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
             elif out is not None:
                 self.kill(out)
             if call.given is None:
                 may = call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT
-                answer = status_mapping.failure() if may else status_mapping.refusal(call.may_have_run())
+                answer = (
+                    status_mapping.failure_answer()
+                    if may
+                    else status_mapping.rejection_answer(call.may_have_run())
+                )
                 self.answer(call, FinalAnswer.FAILED if may else FinalAnswer.REFUSED, answer)
 
     def framework_of(self, call: Call) -> Framework | None:
-        return self.frameworks.known.get(call.framework)
+        return self.frameworks.frameworks_by_id.get(call.framework)
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -20,66 +20,70 @@
 class DeliveryStatus(Enum):
     """How much of an attempt's LAUNCH had been handed to the socket."""
 
-    NOTHING = "nothing"  # not one byte of it
-    PART = "part"
-    WHOLE = "whole"
+    NOT_SENT = "nothing"  # not one byte of it
+    PARTIALLY_SENT = "part"
+    SENT = "whole"
 
 
 class DeliveryAction(Enum):
     """What the core does about an attempt."""
 
     WAIT = "wait"  # goes on being out: its time-out decides, or what the agent says till then
-    RETURN = "return"  # tell the module the outcome
-    CUT = "cut"  # end the agent's session first, so that the rest of the LAUNCH can never arrive; then return
+    CONCLUDE = "return"  # tell the module the outcome
+    CLOSE_SESSION = (
+        "cut"  # end the agent's session first, so that the rest of the LAUNCH can never arrive; then return
+    )
     IGNORE = "ignore"
 
 
 @dataclass(frozen=True, slots=True)
-class DeliveryVerdict:
-    do: DeliveryAction
+class DeliveryDecision:
+    action: DeliveryAction
     outcome: api.Outcome = api.Outcome.NOT_SENT
     may_have_run: bool = False
 
 
-def handed(written: int, begin: int, end: int) -> DeliveryStatus:
+def classify_delivery(written: int, begin: int, end: int) -> DeliveryStatus:
     """From the stream's count of written bytes and the LAUNCH's place in it."""
     if written >= end:
-        return DeliveryStatus.WHOLE
-    return DeliveryStatus.NOTHING if written <= begin else DeliveryStatus.PART
+        return DeliveryStatus.SENT
+    return DeliveryStatus.NOT_SENT if written <= begin else DeliveryStatus.PARTIALLY_SENT
 
 
-def on_session_lost(step: AttemptStep, out: DeliveryStatus, effect: api.Idempotency) -> DeliveryVerdict:
+def decide_on_session_lost(
+    step: AttemptStep, delivery: DeliveryStatus, idempotency: api.Idempotency
+) -> DeliveryDecision:
     """The agent's session ended while the attempt was out or its task ran.
 
     Unsent is known not to have run. A safe task tries elsewhere at once. Others wait for the agent to come
     back and tell, as long as their time-out lets them: answering now would turn a short cut into a
     failure."""
-    if step is not AttemptStep.OUT:
-        return DeliveryVerdict(DeliveryAction.WAIT)  # members decide when a silent agent's tasks are lost
-    if out is not DeliveryStatus.WHOLE:
-        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.UNREACHABLE)
-    if effect is api.Idempotency.IDEMPOTENT:
-        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.LOST, may_have_run=True)
-    return DeliveryVerdict(DeliveryAction.WAIT)
+    if step is not AttemptStep.DISPATCHED:
+        return DeliveryDecision(DeliveryAction.WAIT)  # members decide when a silent agent's tasks are lost
+    if delivery is not DeliveryStatus.SENT:
+        return DeliveryDecision(DeliveryAction.CONCLUDE, api.Outcome.UNREACHABLE)
+    if idempotency is api.Idempotency.IDEMPOTENT:
+        return DeliveryDecision(DeliveryAction.CONCLUDE, api.Outcome.LOST, may_have_run=True)
+    return DeliveryDecision(DeliveryAction.WAIT)
 
 
-def on_timeout(step: AttemptStep, out: DeliveryStatus) -> DeliveryVerdict:
+def decide_on_timeout(step: AttemptStep, delivery: DeliveryStatus) -> DeliveryDecision:
     """The attempt's time-out. If the agent does not even read, its session is cut: a LAUNCH that lies in our
     buffer must not be sent after the module was told that the attempt is back."""
-    if step is not AttemptStep.OUT:
-        return DeliveryVerdict(DeliveryAction.IGNORE)
-    if out is DeliveryStatus.WHOLE:
-        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.TIMED_OUT, may_have_run=True)
-    return DeliveryVerdict(DeliveryAction.CUT, api.Outcome.UNREACHABLE)
+    if step is not AttemptStep.DISPATCHED:
+        return DeliveryDecision(DeliveryAction.IGNORE)
+    if delivery is DeliveryStatus.SENT:
+        return DeliveryDecision(DeliveryAction.CONCLUDE, api.Outcome.TIMED_OUT, may_have_run=True)
+    return DeliveryDecision(DeliveryAction.CLOSE_SESSION, api.Outcome.UNREACHABLE)
 
 
-def on_resubscribe(step: AttemptStep, listed: bool, same_run: bool) -> DeliveryVerdict:
+def decide_on_resubscribe(step: AttemptStep, is_listed: bool, is_same_incarnation: bool) -> DeliveryDecision:
     """The agent subscribed again; `listed`: among the tasks or updates that it told."""
-    if listed:
-        return DeliveryVerdict(DeliveryAction.IGNORE)  # its own statuses follow and say all
-    if step is AttemptStep.OUT and same_run:
-        return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.NOT_SENT)
-    return DeliveryVerdict(DeliveryAction.RETURN, api.Outcome.LOST, may_have_run=True)
+    if is_listed:
+        return DeliveryDecision(DeliveryAction.IGNORE)  # its own statuses follow and say all
+    if step is AttemptStep.DISPATCHED and is_same_incarnation:
+        return DeliveryDecision(DeliveryAction.CONCLUDE, api.Outcome.NOT_SENT)
+    return DeliveryDecision(DeliveryAction.CONCLUDE, api.Outcome.LOST, may_have_run=True)
 
 
 class LateAcceptance(Enum):
@@ -89,7 +93,7 @@
     KILL = "kill"
 
 
-def on_late_yes(
+def decide_late_acceptance(
     answered: str | None, was_placed: bool, other_out: bool, other_placed: bool, owner_gone: bool
 ) -> LateAcceptance:
     """A machine accepted or runs an attempt that was given up.
@@ -103,16 +107,16 @@
     return LateAcceptance.ADOPT if was_placed or answered == "failed" else LateAcceptance.KILL
 
 
-def on_unknown(live_elsewhere: bool) -> LateAcceptance:
+def decide_unknown_task(is_live_elsewhere: bool) -> LateAcceptance:
     """An agent lists a task that the ledger does not know: placed by our former incarnation, most likely.
 
     It is adopted, also when its owner has not come back yet: what it did so far is worth keeping."""
-    return LateAcceptance.KILL if live_elsewhere else LateAcceptance.ADOPT
+    return LateAcceptance.KILL if is_live_elsewhere else LateAcceptance.ADOPT
 
 
-def merge(fates: list[ExecutionStatus]) -> ExecutionStatus:
+def combine_execution_statuses(statuses: list[ExecutionStatus]) -> ExecutionStatus:
     """What is known of a task from the fates of all its attempts."""
-    for fate in (ExecutionStatus.RUNS, ExecutionStatus.UNSURE, ExecutionStatus.ENDED):
-        if fate in fates:
+    for fate in (ExecutionStatus.RUNNING, ExecutionStatus.UNCERTAIN, ExecutionStatus.ENDED):
+        if fate in statuses:
             return fate
     return ExecutionStatus.NEVER_RAN
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -20,15 +20,15 @@
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.reconciliation import ReconciliationQueue
 from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer
-from glencleat.allocator.task_requests import TaskRequestError, read
+from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
 
 class FrameworkSessions:
     def __init__(self, core: CorePort) -> None:
         self.core = core
-        self.offer_number = 0
-        self.reconciling = ReconciliationQueue(core, self._reconciled)
+        self.last_offer_number = 0
+        self.reconciliation_queue = ReconciliationQueue(core, self._send_reconciliation)
 
     # ---- sessions ----
 
@@ -43,22 +43,22 @@
             old.close("framework failed over")
         told = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / 1000.0)
         session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=told)))
-        for status in core.frameworks.unacknowledged(framework):
+        for status in core.frameworks.unacknowledged_statuses(framework):
             self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-        self._offer(framework, now)
+        self._send_offer(framework, now)
         core.log("framework subscribed", framework=framework.id, role=framework.role())
         return framework
 
-    def closed(self, framework: Framework, session: Any, why: str) -> None:
+    def close_session(self, framework: Framework, session: Any, why: str) -> None:
         core = self.core
-        if core.frameworks.closed(framework, session, core.now()):
+        if core.frameworks.close_session(framework, session, core.now()):
             core.log("framework away", framework=framework.id, why=why)
 
     def teardown(self, framework: Framework, why: str) -> None:
         """The framework is gone: its tasks are stopped, and nobody waits for their updates."""
         core = self.core
         for call in core.ledger.of(framework.id):
-            self.withdraw(call)
+            self.cancel(call)
         core.frameworks.remove(framework)
         session: Any = framework.session
         framework.session = None
@@ -68,23 +68,25 @@
 
     def sweep(self, now: float) -> None:
         core = self.core
-        for framework in core.frameworks.overdue(now):
+        for framework in core.frameworks.find_expired(now):
             self.teardown(framework, "failover timeout")
-        for framework in list(core.frameworks.known.values()):
+        for framework in list(core.frameworks.frameworks_by_id.values()):
             if framework.session is None:
                 continue
-            for status in core.frameworks.to_repeat(framework, now) if framework.unacked else ():
+            for status in (
+                core.frameworks.take_due_retries(framework, now) if framework.unacknowledged_by_uuid else ()
+            ):
                 self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-            self._offer(framework, now)
+            self._send_offer(framework, now)
 
     # ---- offers ----
 
-    def _offer(self, framework: Framework, now: float) -> None:
+    def _send_offer(self, framework: Framework, now: float) -> None:
         core = self.core
         if core.ending or not core.frameworks.wants_offer(framework, now):
             return
-        self.offer_number += 1
-        offer_id = f"{core.options.name}-{core.incarnation}-o{self.offer_number}"
+        self.last_offer_number += 1
+        offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
         cores = sum(size.cores for size in core.settings.machine_sizes.values())
         memory = sum(size.memory for size in core.settings.machine_sizes.values())
         offer = m.Offer(
@@ -95,7 +97,7 @@
             m.resources(cores, memory),
             [m.Attribute("zone", text=m.Text(core.settings.zone))],
         )
-        rescinded = core.frameworks.offer(framework, offer_id, now)
+        rescinded = core.frameworks.record_offer(framework, offer_id, now)
         if rescinded is not None:
             self._send(framework, m.SchedulerEvent("RESCIND", rescind=m.Rescind(m.Value(rescinded))))
         self._send(framework, m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
@@ -104,7 +106,7 @@
         seconds = decline.filters.refuse_seconds if decline.filters is not None else 5.0
         for offer in decline.offer_ids:
             wait = 1000.0 * min(max(0.0, seconds), 31_536_000.0)
-            self.core.frameworks.decline(framework, offer.value, self.core.now(), wait)
+            self.core.frameworks.decline_offer(framework, offer.value, self.core.now(), wait)
 
     # ---- tasks ----
 
@@ -112,7 +114,7 @@
         """ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
         core, now = self.core, self.core.now()
         again = core.options.offer_again_ms
-        valid = [core.frameworks.use(framework, o.value, now, again) for o in accept.offer_ids]
+        valid = [core.frameworks.use_offer(framework, o.value, now, again) for o in accept.offer_ids]
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
                 core.log("operation ignored", framework=framework.id, type=operation.type[:40])
@@ -125,7 +127,7 @@
                     answer = StatusAnswer(
                         status_mapping.DROPPED, RetryAdvice.HARMLESS, status_mapping.INVALID_OFFERS
                     )
-                    self._turn_away(framework, info, answer, text)
+                    self._reject_launch(framework, info, answer, text)
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
@@ -133,37 +135,43 @@
         if admission.repeats(before) == "same" and before is not None:
             core.figures.events["launch repeated"] += 1
             if before.given is not None:
-                self._reconciled(framework, before.task_id, before)
+                self._send_reconciliation(framework, before.task_id, before)
             return
-        verdict = self._refused(before, framework.open, core.frameworks.behind(framework))
+        verdict = self._check_admission(
+            before, framework.open_task_count, core.frameworks.has_update_backlog(framework)
+        )
         if verdict is not None:
-            self._turn_away(framework, info, verdict.answer, verdict.text)
+            self._reject_launch(framework, info, verdict.answer, verdict.text)
             return
         try:
-            ask = read(info, core.classes, core.options.default_class, core.options.answer_margin_ms)
+            ask = read_task_request(
+                info, core.classes, core.options.default_class, core.options.answer_margin_ms
+            )
         except TaskRequestError as error:
             answer = StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER, status_mapping.TASK_INVALID)
-            self._turn_away(framework, info, answer, str(error))
+            self._reject_launch(framework, info, answer, str(error))
             return
-        taken = self._take(framework.id, framework.role(), info, ask)
+        taken = self._admit(framework.id, framework.role(), info, ask)
         if isinstance(taken, AdmissionDecision):
-            self._turn_away(framework, info, taken.answer, taken.text)
+            self._reject_launch(framework, info, taken.answer, taken.text)
             return
-        framework.open += 1
+        framework.open_task_count += 1
         core.ask(taken)
 
-    def _refused(self, before: Call | None, open_here: int, behind: bool) -> AdmissionDecision | None:
+    def _check_admission(self, before: Call | None, open_here: int, behind: bool) -> AdmissionDecision | None:
         """Why a task that is no repeat of one in hand is not taken, before what it asks for is looked at."""
         core = self.core
         if admission.repeats(before) == "never" and before is not None:
-            return AdmissionDecision(status_mapping.reconciled(before.fate()), "it may have run before")
+            return AdmissionDecision(
+                status_mapping.reconciliation_answer(before.fate()), "it may have run before"
+            )
         load = admission.AdmissionLoad(
             core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending
         )
         why = admission.refuses(load, core.options.limits)
-        return AdmissionDecision(status_mapping.refusal(False), why) if why is not None else None
+        return AdmissionDecision(status_mapping.rejection_answer(False), why) if why is not None else None
 
-    def _take(
+    def _admit(
         self, owner: str, tenant: str | None, info: m.TaskInfo, ask: TaskRequest
     ) -> Call | AdmissionDecision:
         core = self.core
@@ -177,7 +185,7 @@
         core.happened(CallTaken(call))
         return call
 
-    def take_inside(
+    def take_in_process(
         self,
         owner: str,
         tenant: str,
@@ -194,24 +202,24 @@
         if admission.repeats(before) == "same" and before is not None:
             core.figures.events["launch repeated"] += 1
             return before
-        verdict = self._refused(before, 0, False)
+        verdict = self._check_admission(before, 0, False)
         if verdict is not None:
             return verdict
-        taken = self._take(owner, tenant, info, ask)
+        taken = self._admit(owner, tenant, info, ask)
         if isinstance(taken, Call):
             if record is not None:
                 taken.why = record
             core.ask(taken)
         return taken
 
-    def _turn_away(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
+    def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """An answer without a call: the module was never asked. Counted as taken and refused or failed."""
         name = m.label(info.labels, "class") or "-"
         name = name if name in self.core.classes else "-"
-        given = FinalAnswer.FAILED if answer.retry is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
+        given = FinalAnswer.FAILED if answer.retry_advice is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
         self.core.figures.take(name)
         self.core.figures.give(name, given)
-        self._status(framework, info.task_id.value, answer, None, text)
+        self._send_status(framework, info.task_id.value, answer, None, text)
 
     def kill(self, framework: Framework, task_id: str) -> None:
         call = self.core.ledger.task(framework.id, task_id)
@@ -219,11 +227,11 @@
             answer = StatusAnswer(
                 status_mapping.UNKNOWN, RetryAdvice.RECONCILE, status_mapping.RECONCILIATION
             )
-            self._status(framework, task_id, answer, None, "no such task here", acked=False)
+            self._send_status(framework, task_id, answer, None, "no such task here", acked=False)
         else:
-            self.withdraw(call)
+            self.cancel(call)
 
-    def withdraw(self, call: Call) -> None:
+    def cancel(self, call: Call) -> None:
         """The owner wants no more of the task; with an attempt out, the answer waits for its end."""
         core = self.core
         if call.over or call.left:
@@ -236,7 +244,7 @@
             core.kill(out)
         elif call.given is None:
             if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
-                core.answer(call, FinalAnswer.FAILED, status_mapping.failure())
+                core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
             else:
                 core.answer(
                     call, FinalAnswer.REFUSED, StatusAnswer(status_mapping.KILLED, RetryAdvice.HARMLESS)
@@ -251,9 +259,9 @@
         if framework is not None:
             out = call.last()
             machine = out.machine if out is not None and call.given is FinalAnswer.SERVED else None
-            self._status(framework, call.task_id, answer, machine, text)
+            self._send_status(framework, call.task_id, answer, machine, text)
 
-    def _status(
+    def _send_status(
         self,
         framework: Framework,
         task_id: str,
@@ -263,7 +271,7 @@
         acked: bool = True,
     ) -> None:
         status = self.core.status(task_id, answer, machine, text, acked)
-        self.core.frameworks.push(framework, status, self.core.now())
+        self.core.frameworks.record_update(framework, status, self.core.now())
         self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
 
     def _send(self, framework: Framework, event: m.SchedulerEvent) -> None:
@@ -277,9 +285,9 @@
 
     def reconcile(self, framework: Framework, tasks: list[m.ReconcileTask]) -> None:
         """RECONCILE: explicit for the named tasks, implicit (all that are not over) for none."""
-        self.reconciling.ask(framework, [task.task_id.value for task in tasks])
+        self.reconciliation_queue.enqueue(framework, [task.task_id.value for task in tasks])
 
-    def _reconciled(self, framework: Framework, task_id: str, call: Call | None) -> None:
+    def _send_reconciliation(self, framework: Framework, task_id: str, call: Call | None) -> None:
         if call is not None and call.given is None:
             answer, machine = (
                 StatusAnswer(status_mapping.STAGING, RetryAdvice.NEVER, status_mapping.RECONCILIATION),
@@ -288,6 +296,6 @@
         else:
             last = call.last() if call is not None else None
             accepted = last is not None and last.step is status_mapping.AttemptStep.ACCEPTED
-            answer = status_mapping.reconciled(None if call is None else call.fate(), accepted)
+            answer = status_mapping.reconciliation_answer(None if call is None else call.fate(), accepted)
             machine = last.machine if last is not None and call is not None and call.placed() else None
-        self._status(framework, task_id, answer, machine, acked=False)
+        self._send_status(framework, task_id, answer, machine, acked=False)
--- a/glencleat/allocator/frameworks.py
+++ b/glencleat/allocator/frameworks.py
@@ -18,12 +18,14 @@
     info: FrameworkInfo
     stream_id: str = ""
     session: object | None = None
-    since: float = 0.0
-    offers: dict[str, float] = field(default_factory=dict)  # id -> when made
-    offer_at: float = 0.0  # when the next offer may be made
-    suppressed: bool = False
-    unacked: OrderedDict[str, tuple[TaskStatus, float]] = field(default_factory=OrderedDict)  # by uuid
-    open: int = 0  # its tasks without an answer
+    session_changed_at_ms: float = 0.0
+    offered_at_ms_by_id: dict[str, float] = field(default_factory=dict)  # id -> when made
+    next_offer_at_ms: float = 0.0  # when the next offer may be made
+    is_suppressed: bool = False
+    unacknowledged_by_uuid: OrderedDict[str, tuple[TaskStatus, float]] = field(
+        default_factory=OrderedDict
+    )  # by uuid
+    open_task_count: int = 0  # its tasks without an answer
 
     def role(self) -> str | None:
         """The tenant: `role`, or the first of `roles` (multi-role frameworks)."""
@@ -37,116 +39,125 @@
 class Frameworks:
     def __init__(
         self,
-        most: int = 20_000,
-        unacked_most: int = 20_000,
-        offers_most: int = 4,
-        retry_ms: float = 10_000.0,
-        failover_most_s: float = 600.0,
+        max_frameworks: int = 20_000,
+        max_unacknowledged: int = 20_000,
+        max_offers: int = 4,
+        update_retry_ms: float = 10_000.0,
+        max_failover_timeout_s: float = 600.0,
     ) -> None:
-        self.most, self.unacked_most, self.offers_most = most, unacked_most, offers_most
-        self.retry_ms, self.failover_most_s = retry_ms, failover_most_s
-        self.known: dict[str, Framework] = {}
+        self.max_frameworks, self.max_unacknowledged, self.max_offers = (
+            max_frameworks,
+            max_unacknowledged,
+            max_offers,
+        )
+        self.update_retry_ms, self.max_failover_timeout_s = update_retry_ms, max_failover_timeout_s
+        self.frameworks_by_id: dict[str, Framework] = {}
 
     def subscribe(
         self, info: FrameworkInfo, new_id: str, stream_id: str, session: object, now: float
     ) -> tuple[Framework, object | None]:
         """The framework, new or come back, and the session that it puts out if one was still open."""
         wanted = info.id.value if info.id is not None and info.id.value else new_id
-        framework = self.known.get(wanted)
+        framework = self.frameworks_by_id.get(wanted)
         if framework is None:
-            self.check_room(wanted)
-            framework = self.known[wanted] = Framework(wanted, info)
+            self.check_capacity(wanted)
+            framework = self.frameworks_by_id[wanted] = Framework(wanted, info)
         replaced, framework.session = framework.session, session
-        framework.info, framework.stream_id, framework.since = info, stream_id, now
-        framework.offers.clear()
-        framework.suppressed, framework.offer_at = False, now
+        framework.info, framework.stream_id, framework.session_changed_at_ms = info, stream_id, now
+        framework.offered_at_ms_by_id.clear()
+        framework.is_suppressed, framework.next_offer_at_ms = False, now
         return framework, replaced
 
-    def check_room(self, framework_id: str | None) -> None:
+    def check_capacity(self, framework_id: str | None) -> None:
         """Raises Refused where a framework of that id, or a new one (None), can't be taken."""
-        if framework_id not in self.known and len(self.known) >= self.most:
-            raise FrameworkLimitError(f"{self.most} frameworks are subscribed; expected no more")
+        if framework_id not in self.frameworks_by_id and len(self.frameworks_by_id) >= self.max_frameworks:
+            raise FrameworkLimitError(f"{self.max_frameworks} frameworks are subscribed; expected no more")
 
-    def closed(self, framework: Framework, session: object, now: float) -> bool:
+    def close_session(self, framework: Framework, session: object, now: float) -> bool:
         """A session ended; False if it was not the one that counts."""
         if framework.session is not session:
             return False
-        framework.session, framework.since = None, now
-        framework.offers.clear()
+        framework.session, framework.session_changed_at_ms = None, now
+        framework.offered_at_ms_by_id.clear()
         return True
 
-    def overdue(self, now: float) -> list[Framework]:
+    def find_expired(self, now: float) -> list[Framework]:
         """Frameworks away for longer than the failover_timeout that they asked for."""
         return [
             f
-            for f in self.known.values()
+            for f in self.frameworks_by_id.values()
             if f.session is None
-            and now - f.since > 1000.0 * min(max(0.0, f.info.failover_timeout), self.failover_most_s)
+            and now - f.session_changed_at_ms
+            > 1000.0 * min(max(0.0, f.info.failover_timeout), self.max_failover_timeout_s)
         ]
 
     def remove(self, framework: Framework) -> None:
-        if self.known.get(framework.id) is framework:
-            del self.known[framework.id]
+        if self.frameworks_by_id.get(framework.id) is framework:
+            del self.frameworks_by_id[framework.id]
 
     # ---- updates ----
 
-    def push(self, framework: Framework, status: TaskStatus, now: float) -> None:
+    def record_update(self, framework: Framework, status: TaskStatus, now: float) -> None:
         """Keeps an update until its uuid is acknowledged."""
         if status.uuid is not None:
-            framework.unacked[status.uuid] = (status, now)
+            framework.unacknowledged_by_uuid[status.uuid] = (status, now)
 
-    def behind(self, framework: Framework) -> bool:
-        return len(framework.unacked) >= self.unacked_most
+    def has_update_backlog(self, framework: Framework) -> bool:
+        return len(framework.unacknowledged_by_uuid) >= self.max_unacknowledged
 
     def acknowledge(self, framework: Framework, uuid: str) -> bool:
-        return framework.unacked.pop(uuid, None) is not None
+        return framework.unacknowledged_by_uuid.pop(uuid, None) is not None
 
-    def unacknowledged(self, framework: Framework) -> list[TaskStatus]:
+    def unacknowledged_statuses(self, framework: Framework) -> list[TaskStatus]:
         """All of them in order, for a session that has just begun."""
-        return [status for status, _ in framework.unacked.values()]
+        return [status for status, _ in framework.unacknowledged_by_uuid.values()]
 
-    def to_repeat(self, framework: Framework, now: float) -> list[TaskStatus]:
+    def take_due_retries(self, framework: Framework, now: float) -> list[TaskStatus]:
         """Updates that were sent a while ago and not acknowledged; their time begins anew."""
         late = list[TaskStatus]()
-        for uuid, (status, at) in framework.unacked.items():
-            if now - at < self.retry_ms:
+        for uuid, (status, at) in framework.unacknowledged_by_uuid.items():
+            if now - at < self.update_retry_ms:
                 break
             late.append(status)
-            framework.unacked[uuid] = (status, now)
+            framework.unacknowledged_by_uuid[uuid] = (status, now)
         return late
 
     # ---- offers ----
 
     def wants_offer(self, framework: Framework, now: float) -> bool:
-        return framework.session is not None and not framework.suppressed and now >= framework.offer_at
+        return (
+            framework.session is not None
+            and not framework.is_suppressed
+            and now >= framework.next_offer_at_ms
+        )
 
-    def offer(self, framework: Framework, offer_id: str, now: float) -> str | None:
+    def record_offer(self, framework: Framework, offer_id: str, now: float) -> str | None:
         """Notes a new offer; gives the oldest, to be rescinded, when there are too many.
 
         An offer stands for the pool and reserves nothing: the next is due only when one was used or
         declined."""
-        framework.offers[offer_id] = now
-        framework.offer_at = float("inf")
-        if len(framework.offers) <= self.offers_most:
+        framework.offered_at_ms_by_id[offer_id] = now
+        framework.next_offer_at_ms = float("inf")
+        if len(framework.offered_at_ms_by_id) <= self.max_offers:
             return None
-        oldest = next(iter(framework.offers))
-        del framework.offers[oldest]
+        oldest = next(iter(framework.offered_at_ms_by_id))
+        del framework.offered_at_ms_by_id[oldest]
         return oldest
 
-    def use(self, framework: Framework, offer_id: str, now: float, again_ms: float) -> bool:
+    def use_offer(self, framework: Framework, offer_id: str, now: float, again_ms: float) -> bool:
         """An ACCEPT of the offer: False if it is not valid. It stays valid, and a fresh one follows for
         clients
         that take it as used up."""
-        if offer_id not in framework.offers:
+        if offer_id not in framework.offered_at_ms_by_id:
             return False
-        framework.offer_at = min(framework.offer_at, now + again_ms)
+        framework.next_offer_at_ms = min(framework.next_offer_at_ms, now + again_ms)
         return True
 
-    def decline(self, framework: Framework, offer_id: str, now: float, refuse_ms: float) -> bool:
-        if framework.offers.pop(offer_id, None) is None:
+    def decline_offer(self, framework: Framework, offer_id: str, now: float, refuse_ms: float) -> bool:
+        if framework.offered_at_ms_by_id.pop(offer_id, None) is None:
             return False
-        framework.offer_at = now + refuse_ms
+        framework.next_offer_at_ms = now + refuse_ms
         return True
 
     def revive(self, framework: Framework, now: float) -> None:
-        framework.suppressed, framework.offer_at = False, now
+        framework.is_suppressed, framework.next_offer_at_ms = False, now
--- a/glencleat/allocator/status_mapping.py
+++ b/glencleat/allocator/status_mapping.py
@@ -27,7 +27,7 @@
 AGENT_DISCONNECTED = "REASON_AGENT_DISCONNECTED"
 AGENT_REMOVED = "REASON_AGENT_REMOVED"
 
-CAUSES = {  # the `cause` label of an agent's TASK_DROPPED
+REJECTION_REASONS = {  # the `cause` label of an agent's TASK_DROPPED
     "cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
     "line": api.OutcomeReason.QUEUE_FULL,
@@ -38,10 +38,10 @@
 class AttemptStep(Enum):
     """How far an attempt has come by what its agent said; a status that goes back is stale."""
 
-    OUT = 0
+    DISPATCHED = 0
     ACCEPTED = 1
-    RUNS = 2
-    OVER = 3
+    RUNNING = 2
+    ENDED = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,8 +50,8 @@
 
     step: AttemptStep
     outcome: api.Outcome = api.Outcome.COMPLETED
-    why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED
-    ran: bool = True  # False: known not to have run
+    reason: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED
+    may_have_run: bool = True  # False: known not to have run
 
 
 def read_status(state: str, reason: str | None, cause: str | None) -> StatusMeaning | None:
@@ -59,30 +59,30 @@
     if state == STARTING:
         return StatusMeaning(AttemptStep.ACCEPTED)
     if state == RUNNING:
-        return StatusMeaning(AttemptStep.RUNS)
+        return StatusMeaning(AttemptStep.RUNNING)
     if state == DROPPED:
         return StatusMeaning(
-            AttemptStep.OVER,
+            AttemptStep.ENDED,
             api.Outcome.REJECTED,
-            CAUSES.get(cause or "", api.OutcomeReason.UNSPECIFIED),
-            ran=False,
+            REJECTION_REASONS.get(cause or "", api.OutcomeReason.UNSPECIFIED),
+            may_have_run=False,
         )
     if state == ERROR:  # the specification: an error in the task's description; it never started
         return StatusMeaning(
-            AttemptStep.OVER, api.Outcome.REJECTED, api.OutcomeReason.NOT_ELIGIBLE, ran=False
+            AttemptStep.ENDED, api.Outcome.REJECTED, api.OutcomeReason.NOT_ELIGIBLE, may_have_run=False
         )
     if state == FINISHED:
-        return StatusMeaning(AttemptStep.OVER, api.Outcome.COMPLETED)
+        return StatusMeaning(AttemptStep.ENDED, api.Outcome.COMPLETED)
     if state == FAILED:
         why = {MEMORY_LIMIT: api.OutcomeReason.EVICTED, PREEMPTED: api.OutcomeReason.PREEMPTED}.get(
             reason or "", api.OutcomeReason.UNSPECIFIED
         )
-        return StatusMeaning(AttemptStep.OVER, api.Outcome.LOST, why)
+        return StatusMeaning(AttemptStep.ENDED, api.Outcome.LOST, why)
     if state == KILLED:
         why = api.OutcomeReason.DRAINED if reason == DRAINING else api.OutcomeReason.UNSPECIFIED
-        return StatusMeaning(AttemptStep.OVER, api.Outcome.STOPPED, why)
+        return StatusMeaning(AttemptStep.ENDED, api.Outcome.STOPPED, why)
     if state in (LOST, GONE, GONE_BY_OPERATOR):
-        return StatusMeaning(AttemptStep.OVER, api.Outcome.LOST)
+        return StatusMeaning(AttemptStep.ENDED, api.Outcome.LOST)
     return None
 
 
@@ -97,17 +97,17 @@
 @dataclass(frozen=True, slots=True)
 class StatusAnswer:
     state: str
-    retry: RetryAdvice
+    retry_advice: RetryAdvice
     reason: str | None = None
 
 
-def refusal(may_have_run: bool) -> StatusAnswer:
+def rejection_answer(may_have_run: bool) -> StatusAnswer:
     """The module's Refuse. TASK_DROPPED promises that nothing ran, so a copy that may have run is
     TASK_LOST."""
     return StatusAnswer(LOST if may_have_run else DROPPED, RetryAdvice.HARMLESS, RESOURCES_UNKNOWN)
 
 
-def failure() -> StatusAnswer:
+def failure_answer() -> StatusAnswer:
     """The module's Fail: an attempt may have run and a second run might do harm."""
     return StatusAnswer(LOST, RetryAdvice.RECONCILE, AGENT_DISCONNECTED)
 
@@ -115,32 +115,32 @@
 class ExecutionStatus(Enum):
     """What is known of a task after its answer; RECONCILE tells it."""
 
-    RUNS = "runs"
+    RUNNING = "runs"
     NEVER_RAN = "never ran"
-    UNSURE = "unsure"  # a machine that may hold it has not been heard
+    UNCERTAIN = "unsure"  # a machine that may hold it has not been heard
     ENDED = "ended"  # ran, or may have run, and is over
 
 
-def reconciled(fate: ExecutionStatus | None, accepted: bool = False) -> StatusAnswer:
+def reconciliation_answer(execution: ExecutionStatus | None, is_accepted: bool = False) -> StatusAnswer:
     """The status that answers RECONCILE; `fate` is None for a task that is not known here."""
-    if fate is ExecutionStatus.RUNS:
-        return StatusAnswer(STARTING if accepted else RUNNING, RetryAdvice.NEVER, RECONCILIATION)
-    if fate is ExecutionStatus.NEVER_RAN:
+    if execution is ExecutionStatus.RUNNING:
+        return StatusAnswer(STARTING if is_accepted else RUNNING, RetryAdvice.NEVER, RECONCILIATION)
+    if execution is ExecutionStatus.NEVER_RAN:
         return StatusAnswer(DROPPED, RetryAdvice.HARMLESS, RECONCILIATION)
-    if fate is ExecutionStatus.UNSURE:
+    if execution is ExecutionStatus.UNCERTAIN:
         return StatusAnswer(UNREACHABLE, RetryAdvice.RECONCILE, RECONCILIATION)
-    if fate is ExecutionStatus.ENDED:
+    if execution is ExecutionStatus.ENDED:
         return StatusAnswer(GONE, RetryAdvice.NEVER, RECONCILIATION)
     return StatusAnswer(UNKNOWN, RetryAdvice.RECONCILE, RECONCILIATION)
 
 
-def ended(outcome: api.Outcome, why: api.OutcomeReason) -> StatusAnswer:
+def end_answer(outcome: api.Outcome, reason: api.OutcomeReason) -> StatusAnswer:
     """The end of a placed task, to its owner; the module is told the same outcome."""
     if outcome is api.Outcome.COMPLETED:
         return StatusAnswer(FINISHED, RetryAdvice.NEVER)
     if outcome is api.Outcome.STOPPED:
         return StatusAnswer(
-            KILLED, RetryAdvice.HARMLESS, DRAINING if why is api.OutcomeReason.DRAINED else None
+            KILLED, RetryAdvice.HARMLESS, DRAINING if reason is api.OutcomeReason.DRAINED else None
         )
     reasons = {api.OutcomeReason.EVICTED: MEMORY_LIMIT, api.OutcomeReason.PREEMPTED: PREEMPTED}
-    return StatusAnswer(FAILED, RetryAdvice.HARMLESS, reasons.get(why))
+    return StatusAnswer(FAILED, RetryAdvice.HARMLESS, reasons.get(reason))
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -219,8 +219,11 @@
             return
         self.config = config
         self.core.options = options(config)
-        self.core.frameworks.most, self.core.members.most = config.limit.frameworks, config.limit.agents
-        self.core.frameworks.unacked_most = config.limit.unacknowledged
+        self.core.frameworks.max_frameworks, self.core.members.max_agents = (
+            config.limit.frameworks,
+            config.limit.agents,
+        )
+        self.core.frameworks.max_unacknowledged = config.limit.unacknowledged
         for server in self.servers.values():
             server.limits = server_limits(config)
             server.listener.most, server.listener.limit = config.limit.connections, server.limits.unsent
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -109,7 +109,7 @@
 def may_ask_again(answer: StatusAnswer, effect: api.Idempotency) -> bool:
     """After a refused round. A task that must not start twice goes again only if nothing of it ran, which
     only TASK_DROPPED promises."""
-    return answer.retry is RetryAdvice.HARMLESS and (
+    return answer.retry_advice is RetryAdvice.HARMLESS and (
         effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == DROPPED
     )
 
@@ -133,7 +133,7 @@
     again = (
         slot.job.spec.when_lost == "again"
         and answer.state != FINISHED
-        and answer.retry is RetryAdvice.HARMLESS
+        and answer.retry_advice is RetryAdvice.HARMLESS
         and slot.job.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
         and not slot.cancelled
     )
--- a/glencleat/rest/reasons.py
+++ b/glencleat/rest/reasons.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from glencleat import interface as api
-from glencleat.allocator.pending_reasons import CAUSES, SAID, PendingReason, PendingReasons
+from glencleat.allocator.pending_reasons import OUTCOME_TEXTS, REASON_TEXTS, PendingReason, PendingReasons
 from glencleat.rest.schema import Cause, Why
 
 Shape = tuple[str, str, float, float]  # class, service, cores, memory
@@ -161,17 +161,17 @@
 
 def said(record: PendingReasons, wall_of: Callable[[float], float]) -> list[Cause]:
     """What machines last said of the task, the newest first."""
-    return [_said(reason, wall_of) for reason in reversed(record.reasons.values())]
+    return [_said(reason, wall_of) for reason in reversed(record.reasons_by_kind.values())]
 
 
 def _said(reason: PendingReason, wall_of: Callable[[float], float]) -> Cause:
     kind = KINDS.get(reason.outcome, reason.outcome.value)
-    if reason.why in CAUSES:
-        kind = f"{kind}-{reason.why.value.replace(' ', '-')}"
-    word = SAID.get(reason.outcome, reason.outcome.value)
-    cause = f" ({CAUSES[reason.why]})" if reason.why in CAUSES else ""
+    if reason.outcome_reason in REASON_TEXTS:
+        kind = f"{kind}-{reason.outcome_reason.value.replace(' ', '-')}"
+    word = OUTCOME_TEXTS.get(reason.outcome, reason.outcome.value)
+    cause = f" ({REASON_TEXTS[reason.outcome_reason]})" if reason.outcome_reason in REASON_TEXTS else ""
     times = f"{reason.count} times, last" if reason.count > 1 else "once,"
-    text, at = f"{word}{cause} {times} by {reason.machine}", round(wall_of(reason.at))
+    text, at = f"{word}{cause} {times} by {reason.machine}", round(wall_of(reason.reported_at_ms))
     return Cause(kind=kind, text=text, count=reason.count, machine=reason.machine, at_ms=at)
 
 
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -56,7 +56,7 @@
     shape: reasons.Shape | None = None  # while it waits
 
     def tell(self, answer: StatusAnswer, text: str | None, machine: str | None) -> None:
-        self.state, self.retry, self.reason = answer.state, answer.retry.value, answer.reason
+        self.state, self.retry, self.reason = answer.state, answer.retry_advice.value, answer.reason
         self.message, self.machine = text, machine
 
     def wait(self) -> None:
@@ -252,7 +252,7 @@
         if slot is not None:
             spec = slot.job.spec
             shape = (slot.job.cls.name, spec.service, spec.cores, spec.memory)
-            attempts = sum(reason.count for reason in slot.record.reasons.values())
+            attempts = sum(reason.count for reason in slot.record.reasons_by_kind.values())
         elif call is not None:
             ask = call.ask
             shape, attempts = (ask.task_class, ask.service, ask.cores, ask.memory), len(call.attempts)
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -38,7 +38,7 @@
     STARTING,
     RetryAdvice,
     StatusAnswer,
-    refusal,
+    rejection_answer,
 )
 from glencleat.allocator.status_mapping import AttemptStep as AttemptStep
 from glencleat.mesos import messages as m
@@ -225,13 +225,13 @@
             self._step(slot, JobStep.OVER)
             self._settled(slot.job)
         elif slot.call is not None:
-            self.core.owners.withdraw(slot.call)  # its answer, or its end, follows
+            self.core.owners.cancel(slot.call)  # its answer, or its end, follows
 
     def cancel_task(self, seen: Seen) -> None:
         if seen.slot is not None:
             self.cancel_slot(seen.slot)
         elif seen.call is not None:
-            self.core.owners.withdraw(seen.call)
+            self.core.owners.cancel(seen.call)
         self.mirror.flush_task(seen.key)
 
     def patch(self, job: JobState, labels: dict[str, str | None]) -> None:
@@ -291,7 +291,7 @@
         core, job = self.core, slot.job
         left = round_ms(slot, core.now(), core.options.answer_margin_ms)
         if left <= 0.0:
-            self._refuse(slot, refusal(False))
+            self._refuse(slot, rejection_answer(False))
             return
         spec, name = job.spec, slot.name()
         key = f"{spec.key}.{slot.number}" if spec.key is not None else f"{name}.{job.uid}"
@@ -306,9 +306,13 @@
             data=spec.data,
         )
         slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
-        taken = core.owners.take_inside(owner_id(job.tenant), job.tenant, info, ask, slot.record)
+        taken = core.owners.take_in_process(owner_id(job.tenant), job.tenant, info, ask, slot.record)
         if isinstance(taken, AdmissionDecision):
-            given = FinalAnswer.REFUSED if taken.answer.retry is RetryAdvice.HARMLESS else FinalAnswer.FAILED
+            given = (
+                FinalAnswer.REFUSED
+                if taken.answer.retry_advice is RetryAdvice.HARMLESS
+                else FinalAnswer.FAILED
+            )
             self._after(
                 slot, after_round(slot, given, taken.answer, core.now(), self.random), taken.answer, given
             )
@@ -338,7 +342,7 @@
     def _refuse(self, slot: Slot, answer: StatusAnswer, text: str | None = None) -> None:
         """The final answer of a task that has no round out."""
         if text is None:
-            text = slot.record.text(len(self.core.listed or ()))
+            text = slot.record.describe(len(self.core.listed or ()))
         self._after(slot, Next(JobStep.OVER), answer, FinalAnswer.REFUSED, text)
 
     def _after(
@@ -443,7 +447,7 @@
         def expire() -> None:
             for slot in slots:
                 if slot.step in (JobStep.QUEUED, JobStep.PAUSED) and slot.until <= until:
-                    self._refuse(slot, refusal(False))
+                    self._refuse(slot, rejection_answer(False))
 
         margin = self.core.options.answer_margin_ms
         self.core.timing.call_in(max(0.0, until - margin - self.core.now()), expire)
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -60,7 +60,7 @@
         if self.task is None:
             self.task = self.loop.spawn(self._run(), "directory")
         elif self.up_at is not None:
-            self._told(self.listing.again())
+            self._told(self.listing.snapshot())
 
     def _run(self) -> Coroutine:
         while True:
@@ -122,11 +122,11 @@
         if event.type == "SUBSCRIBED" and event.subscribed is not None:
             state = event.subscribed.get_state
             agents = state.get_agents.agents if state is not None and state.get_agents is not None else []
-            told = self.listing.whole(agents, now, wall)
+            told = self.listing.replace_all(agents, now, wall)
         elif event.type == "AGENT_ADDED" and event.agent_added is not None:
-            told = self.listing.changed(event.agent_added.agent, now, wall)
+            told = self.listing.record_change(event.agent_added.agent, now, wall)
         elif event.type == "AGENT_REMOVED" and event.agent_removed is not None:
-            told = self.listing.removed(event.agent_removed.agent_id.value)
+            told = self.listing.record_removal(event.agent_removed.agent_id.value)
         if told is not None:
             if self.up_at is None:
                 self.up_at = now
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -89,7 +89,7 @@
 
     def _anew(self) -> None:
         """An empty list is not written: it would take the place of one that was good."""
-        machines = self.listing.known
+        machines = self.listing.machines_by_name
         if not machines:
             return
         self._close()
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -46,17 +46,17 @@
                 link.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(str(error)))))
                 link.close(str(error))
                 return lambda why: None
-            return lambda why: self.core.agents.closed(agent, link, why)
+            return lambda why: self.core.agents.close_session(agent, link, why)
 
         return Subscribe({}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
 
     def _call(self, call: m.ExecutorCall) -> None:
         agents, name = self.core.agents, call.executor_id.value
         if call.type == "UPDATE":
-            agents.update(name, need(call.update, "update").status)
+            agents.handle_update(name, need(call.update, "update").status)
         elif call.type == "MESSAGE":
-            agents.message(name, m.unpack(need(call.message, "message").data))
+            agents.handle_message(name, m.unpack(need(call.message, "message").data))
         elif call.type == "HEARTBEAT":
-            agents.heartbeat(name)
+            agents.record_heartbeat(name)
         else:
             raise HttpError(400, f"type is {call.type[:40]!r}; expected one of {', '.join(TYPES)}")
--- a/glencleat/servers/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -59,12 +59,12 @@
         yield events
         agents = GaugeMetricFamily("glencleat_agents", "Agents by state", labels=["state"])
         for state in AgentState:
-            members = core.members.members.values()
+            members = core.members.members_by_agent.values()
             agents.add_metric([state.value], sum(member.state is state for member in members))
         yield agents
         frameworks = GaugeMetricFamily("glencleat_frameworks", "Owners' frameworks", labels=["connected"])
         for connected in (True, False):
-            known = core.frameworks.known.values()
+            known = core.frameworks.frameworks_by_id.values()
             frameworks.add_metric(
                 [str(connected).lower()], sum((f.session is not None) is connected for f in known)
             )
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -45,7 +45,7 @@
     def _framework(self, call: m.SchedulerCall, request: Request) -> Framework:
         if call.framework_id is None:
             raise HttpError(400, "Expecting 'framework_id' to be present")
-        framework = self.core.frameworks.known.get(call.framework_id.value)
+        framework = self.core.frameworks.frameworks_by_id.get(call.framework_id.value)
         stream_id = request.headers.get("mesos-stream-id")
         if stream_id is None:
             raise HttpError(400, "All non-subscribe calls should include the 'Mesos-Stream-Id' header")
@@ -69,14 +69,14 @@
         if named is not None:
             info.id = m.Value(named)
         try:
-            self.core.frameworks.check_room(named)  # while a status can still tell it
+            self.core.frameworks.check_capacity(named)  # while a status can still tell it
         except FrameworkLimitError as error:
             raise HttpError(503, str(error)) from None
         stream_id = f"{self.core.random.getrandbits(128):032x}"
 
         def begin(link: RecordLink) -> Callable[[str], None]:
             framework = self.core.owners.subscribe(info, stream_id, link)
-            return lambda why: self.core.owners.closed(framework, link, why)
+            return lambda why: self.core.owners.close_session(framework, link, why)
 
         return Subscribe({"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
 
@@ -93,7 +93,7 @@
         elif call.type == "DECLINE":
             owners.decline(framework, need(call.decline, "decline"))
         elif call.type == "SUPPRESS":
-            framework.suppressed = True
+            framework.is_suppressed = True
         elif call.type == "REVIVE":
             core.frameworks.revive(framework, core.now())
         elif call.type == "TEARDOWN":
--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -6,7 +6,7 @@
 import pytest
 
 from glencleat.allocator import reconciliation
-from glencleat.allocator.reconciliation import TURN
+from glencleat.allocator.reconciliation import ANSWERS_PER_TURN
 from glencleat.allocator.startup_gate import StartupGate
 from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
 from glencleat.mesos import messages as m
@@ -212,37 +212,41 @@
     assert (
         {s.state for s in told} == {"TASK_STARTING"}
         and len(told) >= 2
-        and cluster.core.owners.reconciling.waiting == 0
+        and cluster.core.owners.reconciliation_queue.waiting_count == 0
     )
 
 
 def test_a_crowd_that_reconciles_takes_turns_and_none_is_lost():
     cluster = Cluster(1)
     crowd = [Owner(cluster, f"o{i}").subscribe() for i in range(3)]
-    line = cluster.core.owners.reconciling
+    line = cluster.core.owners.reconciliation_queue
     for owner in crowd:
         asks(cluster, owner, *(f"t{i}" for i in range(500)))
-        asks(cluster, owner, *(f"t{i}" for i in range(TURN, 500)))  # it waits: the same question
-    assert line.waiting == 1_500 - TURN
-    assert len(crowd[0].statuses()) == TURN  # it was alone in the first turn
+        asks(cluster, owner, *(f"t{i}" for i in range(ANSWERS_PER_TURN, 500)))  # it waits: the same question
+    assert line.waiting_count == 1_500 - ANSWERS_PER_TURN
+    assert len(crowd[0].statuses()) == ANSWERS_PER_TURN  # it was alone in the first turn
     before = [len(owner.statuses()) for owner in crowd]
     cluster.timing.advance(0.0)
     assert all(len(owner.statuses()) > said for owner, said in zip(crowd, before, strict=True))
     cluster.timing.advance(1.0)
-    assert [len(owner.statuses()) for owner in crowd] == [500] * 3 and not line.lines and line.waiting == 0
+    assert (
+        [len(owner.statuses()) for owner in crowd] == [500] * 3
+        and not line.questions_by_framework
+        and line.waiting_count == 0
+    )
 
 
 def test_questions_are_bounded_and_go_with_their_owner(monkeypatch):
-    monkeypatch.setattr(reconciliation, "MOST", 600)
+    monkeypatch.setattr(reconciliation, "MAX_WAITING", 600)
     cluster = Cluster(1)
     cluster.core.opening.done = False
     owner, other = Owner(cluster).subscribe(), Owner(cluster, "other").subscribe()
     asks(cluster, owner, *(f"t{i}" for i in range(700)))
-    assert cluster.core.owners.reconciling.waiting == 600
+    assert cluster.core.owners.reconciliation_queue.waiting_count == 600
     assert cluster.core.figures.events["reconcile turned away"] == 1
     asks(cluster, other, "t1")
     owner.link.close("gone")
     cluster.core.opening.done = True
     asks(cluster, other, "t2")
-    assert cluster.core.owners.reconciling.waiting == 0 and not owner.statuses()
-    assert not cluster.core.owners.reconciling.lines
+    assert cluster.core.owners.reconciliation_queue.waiting_count == 0 and not owner.statuses()
+    assert not cluster.core.owners.reconciliation_queue.questions_by_framework
--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -199,7 +199,7 @@
     first = agent.link
     twin = Agent(cluster, agent.name, agent.run).subscribe()
     assert first.why == "another connection subscribed under this id" and first.of("ERROR")
-    assert cluster.core.members.session(agent.name) is twin.link
+    assert cluster.core.members.session_of(agent.name) is twin.link
     assert not twin.launches() and owner.states("t1") == ["TASK_LOST"]
     other_run = Agent(cluster, agent.name, "r9").subscribe()
     with pytest.raises(NotSubscribedError):
@@ -431,7 +431,7 @@
     for _ in range(4):
         agent.beat()
         cluster.timing.advance(1_000.0)
-    assert "owner" not in cluster.core.frameworks.known
+    assert "owner" not in cluster.core.frameworks.frameworks_by_id
     assert task.task_id.value in agent.kills()
     late = agent.launches()[1].task_id.value  # of t2, given up long since
     agent.say(late, "TASK_STARTING")
@@ -515,7 +515,7 @@
     cluster.core.owners.decline(owner.framework, m.Decline([offer], m.Filters(4.0)))
     assert later(3_000.0) == 2
     assert later(2_000.0) == 3
-    owner.framework.suppressed = True
+    owner.framework.is_suppressed = True
     owner.launch("t2")
     assert later(3_000.0) == 3
     cluster.core.frameworks.revive(owner.framework, cluster.timing.now())
@@ -666,8 +666,8 @@
     core.module.timers = 5
     core.tell(api.TimerFired(0))
     payload = m.unpack(agent.link.of("MESSAGE")[-1].message.data)
-    core.agents.message(agent.id, m.Payload("report", probe=payload.probe, cores_free=3.0))
-    core.agents.message(agent.id, m.Payload("report", probe=payload.probe))
+    core.agents.handle_message(agent.id, m.Payload("report", probe=payload.probe, cores_free=3.0))
+    core.agents.handle_message(agent.id, m.Payload("report", probe=payload.probe))
     assert not core.module.probes
     core.tell(api.TimerFired(0))
     assert core.module.probes
@@ -701,7 +701,9 @@
     owner.launch("t1")  # so late that the sweep comes before its time-out
     ((first, _),) = cluster.offered()
     (second,) = (agent for agent in cluster.agents.values() if agent is not first)
-    cluster.core.members.members[second.name] = cluster.core.members.members.pop(second.name)  # swept last
+    cluster.core.members.members_by_agent[second.name] = cluster.core.members.members_by_agent.pop(
+        second.name
+    )  # swept last
     second.link.fails = True
     cluster.timing.advance(500.0)
     assert first.link.why == "no heartbeat" and second.link.why == "connection lost"
--- a/tests/allocator/test_decisions.py
+++ b/tests/allocator/test_decisions.py
@@ -7,7 +7,12 @@
 
 from glencleat import interface as api
 from glencleat.allocator import admission, delivery_status, status_mapping
-from glencleat.allocator.agent_membership import AgentLimitError, AgentMembership, AgentState, split_id
+from glencleat.allocator.agent_membership import (
+    AgentLimitError,
+    AgentMembership,
+    AgentState,
+    split_executor_id,
+)
 from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer, TaskRequest
 from glencleat.allocator.contract import Contract, ContractError
 from glencleat.allocator.delivery_status import DeliveryAction, DeliveryStatus, LateAcceptance
@@ -23,62 +28,66 @@
 
 @given(st.integers(0, 100), st.integers(0, 100), st.integers(1, 50))
 def test_a_record_is_whole_only_with_its_last_byte(written, begin, length):
-    told = delivery_status.handed(written, begin, begin + length)
-    assert (told is DeliveryStatus.WHOLE) == (written >= begin + length)
-    assert (told is DeliveryStatus.NOTHING) == (written <= begin)
+    told = delivery_status.classify_delivery(written, begin, begin + length)
+    assert (told is DeliveryStatus.SENT) == (written >= begin + length)
+    assert (told is DeliveryStatus.NOT_SENT) == (written <= begin)
 
 
 @pytest.mark.parametrize("effect", api.Idempotency)
 @pytest.mark.parametrize("step", AttemptStep)
 @pytest.mark.parametrize("out", DeliveryStatus)
 def test_a_lost_session_never_says_not_run_of_what_was_handed_over(step, out, effect):
-    verdict = delivery_status.on_session_lost(step, out, effect)
-    if verdict.do is DeliveryAction.RETURN and out is DeliveryStatus.WHOLE:
+    verdict = delivery_status.decide_on_session_lost(step, out, effect)
+    if verdict.action is DeliveryAction.CONCLUDE and out is DeliveryStatus.SENT:
         assert (
             verdict.may_have_run
             and verdict.outcome is api.Outcome.LOST
             and effect is api.Idempotency.IDEMPOTENT
         )
-    if step is AttemptStep.OUT and out is not DeliveryStatus.WHOLE:
-        assert verdict.do is DeliveryAction.RETURN and not verdict.may_have_run
-    if step is not AttemptStep.OUT:
-        assert verdict.do is DeliveryAction.WAIT
+    if step is AttemptStep.DISPATCHED and out is not DeliveryStatus.SENT:
+        assert verdict.action is DeliveryAction.CONCLUDE and not verdict.may_have_run
+    if step is not AttemptStep.DISPATCHED:
+        assert verdict.action is DeliveryAction.WAIT
 
 
 @pytest.mark.parametrize("step", AttemptStep)
 @pytest.mark.parametrize("out", DeliveryStatus)
 def test_a_time_out_cuts_what_is_not_handed_over(step, out):
-    verdict = delivery_status.on_timeout(step, out)
-    assert (verdict.do is DeliveryAction.IGNORE) == (step is not AttemptStep.OUT)
-    if step is AttemptStep.OUT:
-        assert (verdict.do is DeliveryAction.CUT) == (out is not DeliveryStatus.WHOLE)
-        assert verdict.may_have_run == (out is DeliveryStatus.WHOLE)
+    verdict = delivery_status.decide_on_timeout(step, out)
+    assert (verdict.action is DeliveryAction.IGNORE) == (step is not AttemptStep.DISPATCHED)
+    if step is AttemptStep.DISPATCHED:
+        assert (verdict.action is DeliveryAction.CLOSE_SESSION) == (out is not DeliveryStatus.SENT)
+        assert verdict.may_have_run == (out is DeliveryStatus.SENT)
 
 
-@pytest.mark.parametrize("step", [AttemptStep.OUT, AttemptStep.ACCEPTED, AttemptStep.RUNS])
+@pytest.mark.parametrize("step", [AttemptStep.DISPATCHED, AttemptStep.ACCEPTED, AttemptStep.RUNNING])
 @pytest.mark.parametrize("same", [True, False])
 def test_only_the_same_run_can_say_that_it_never_had_it(step, same):
-    verdict = delivery_status.on_resubscribe(step, False, same)
-    assert verdict.may_have_run == (not (step is AttemptStep.OUT and same))
-    assert delivery_status.on_resubscribe(step, True, same).do is DeliveryAction.IGNORE
+    verdict = delivery_status.decide_on_resubscribe(step, False, same)
+    assert verdict.may_have_run == (not (step is AttemptStep.DISPATCHED and same))
+    assert delivery_status.decide_on_resubscribe(step, True, same).action is DeliveryAction.IGNORE
 
 
 def test_late_yeses():
-    assert delivery_status.on_late_yes("failed", False, False, False, False) is LateAcceptance.ADOPT
-    assert delivery_status.on_late_yes("served", True, False, False, False) is LateAcceptance.ADOPT
     assert (
-        delivery_status.on_late_yes("served", False, False, False, False) is LateAcceptance.KILL
+        delivery_status.decide_late_acceptance("failed", False, False, False, False) is LateAcceptance.ADOPT
+    )
+    assert delivery_status.decide_late_acceptance("served", True, False, False, False) is LateAcceptance.ADOPT
+    assert (
+        delivery_status.decide_late_acceptance("served", False, False, False, False) is LateAcceptance.KILL
     )  # a copy of what ended elsewhere
-    assert delivery_status.on_late_yes("refused", False, False, False, False) is LateAcceptance.KILL
+    assert (
+        delivery_status.decide_late_acceptance("refused", False, False, False, False) is LateAcceptance.KILL
+    )
     for others in ((True, False, False), (False, True, False), (False, False, True)):
-        assert delivery_status.on_late_yes("failed", True, *others) is LateAcceptance.KILL
+        assert delivery_status.decide_late_acceptance("failed", True, *others) is LateAcceptance.KILL
 
 
 @given(st.lists(st.sampled_from(ExecutionStatus)))
 def test_a_task_never_ran_only_if_no_attempt_did(fates):
-    told = delivery_status.merge(fates)
+    told = delivery_status.combine_execution_statuses(fates)
     assert (told is ExecutionStatus.NEVER_RAN) == all(f is ExecutionStatus.NEVER_RAN for f in fates)
-    assert told is ExecutionStatus.RUNS if ExecutionStatus.RUNS in fates else True
+    assert told is ExecutionStatus.RUNNING if ExecutionStatus.RUNNING in fates else True
 
 
 # ---- tables ----
@@ -93,11 +102,11 @@
 @pytest.mark.parametrize("state", STATES)
 def test_only_two_states_say_that_nothing_ran(state):
     told = status_mapping.read_status(state, None, None)
-    if told is not None and told.step is AttemptStep.OVER:
-        assert told.ran == (state not in ("TASK_DROPPED", "TASK_ERROR"))
-        assert (told.outcome is api.Outcome.REJECTED) == (not told.ran)
+    if told is not None and told.step is AttemptStep.ENDED:
+        assert told.may_have_run == (state not in ("TASK_DROPPED", "TASK_ERROR"))
+        assert (told.outcome is api.Outcome.REJECTED) == (not told.may_have_run)
     else:
-        assert told is None or told.ran
+        assert told is None or told.may_have_run
 
 
 @pytest.mark.parametrize(
@@ -110,19 +119,19 @@
     ],
 )
 def test_causes(cause, why):
-    assert status_mapping.read_status("TASK_DROPPED", None, cause).why is why
+    assert status_mapping.read_status("TASK_DROPPED", None, cause).reason is why
 
 
 def test_an_answer_promises_no_more_than_is_known():
     assert (
-        status_mapping.refusal(False).state == "TASK_DROPPED"
-        and status_mapping.refusal(True).state == "TASK_LOST"
+        status_mapping.rejection_answer(False).state == "TASK_DROPPED"
+        and status_mapping.rejection_answer(True).state == "TASK_LOST"
     )
-    assert status_mapping.failure().retry is status_mapping.RetryAdvice.RECONCILE
+    assert status_mapping.failure_answer().retry_advice is status_mapping.RetryAdvice.RECONCILE
     harmless = {
         f
         for f in (*ExecutionStatus, None)
-        if status_mapping.reconciled(f).retry is status_mapping.RetryAdvice.HARMLESS
+        if status_mapping.reconciliation_answer(f).retry_advice is status_mapping.RetryAdvice.HARMLESS
     }
     assert harmless == {ExecutionStatus.NEVER_RAN}
 
@@ -133,38 +142,48 @@
 def test_a_members_life():
     members = AgentMembership(1_000.0, 3, 5_000.0)
     first, second = object(), object()
-    assert not members.subscribe("h", "r1", first, 0.0).same_run
-    assert members.heard("h", "r1", 900.0) and not members.heard("h", "r0", 900.0)
-    assert members.silent(3_900.0) == [] and [x.id for x in members.silent(3_901.0)] == ["h"]
-    assert members.closed("h", first, 4_000.0) and not members.closed("h", first, 4_001.0)
-    assert not members.heard("h", "r1", 4_100.0)
-    assert members.lost(9_000.0) == [] and [x.id for x in members.lost(9_001.0)] == ["h"]
-    assert members.lost(9_999.0) == []
+    assert not members.subscribe("h", "r1", first, 0.0).is_same_incarnation
+    assert members.record_heartbeat("h", "r1", 900.0) and not members.record_heartbeat("h", "r0", 900.0)
+    assert members.find_unresponsive(3_900.0) == [] and [
+        x.id for x in members.find_unresponsive(3_901.0)
+    ] == ["h"]
+    assert members.close_session("h", first, 4_000.0) and not members.close_session("h", first, 4_001.0)
+    assert not members.record_heartbeat("h", "r1", 4_100.0)
+    assert members.mark_lost(9_000.0) == [] and [x.id for x in members.mark_lost(9_001.0)] == ["h"]
+    assert members.mark_lost(9_999.0) == []
     joined = members.subscribe("h", "r1", second, 10_000.0)
-    assert joined.same_run and joined.replaced is None and joined.member.state is AgentState.SUBSCRIBED
+    assert (
+        joined.is_same_incarnation
+        and joined.replaced_session is None
+        and joined.member.state is AgentState.SUBSCRIBED
+    )
     replaced = members.subscribe("h", "r2", first, 10_001.0)
-    assert replaced.replaced is second and not replaced.same_run and replaced.member.runs == 2
-    assert not members.closed("h", second, 10_002.0)  # the old session's end is not the new one's
+    assert (
+        replaced.replaced_session is second
+        and not replaced.is_same_incarnation
+        and replaced.member.incarnation_count == 2
+    )
+    assert not members.close_session("h", second, 10_002.0)  # the old session's end is not the new one's
 
 
 def test_an_unnamed_run_is_never_the_same():
-    assert split_id("h07") == ("h07", "") and split_id("rack.1.r9") == ("rack.1", "r9")
+    assert split_executor_id("h07") == ("h07", "") and split_executor_id("rack.1.r9") == ("rack.1", "r9")
     members = AgentMembership(1_000.0, 3, 5_000.0)
     members.subscribe("h", "", object(), 0.0)
-    assert not members.subscribe("h", "", object(), 1.0).same_run
+    assert not members.subscribe("h", "", object(), 1.0).is_same_incarnation
 
 
 def test_members_are_bounded_and_the_lost_go_first():
-    members = AgentMembership(1_000.0, 3, 100.0, most=2)
+    members = AgentMembership(1_000.0, 3, 100.0, max_agents=2)
     gone = object()
     members.subscribe("a", "r", gone, 0.0)
     members.subscribe("b", "r", object(), 0.0)
     with pytest.raises(AgentLimitError, match="2 agents are known"):
         members.subscribe("c", "r", object(), 0.0)
-    members.closed("a", gone, 0.0)
-    members.lost(200.0)
+    members.close_session("a", gone, 0.0)
+    members.mark_lost(200.0)
     members.subscribe("c", "r", object(), 200.0)
-    assert set(members.members) == {"b", "c"}
+    assert set(members.members_by_agent) == {"b", "c"}
 
 
 # ---- frameworks ----
@@ -175,25 +194,25 @@
 
 
 def test_frameworks_keep_updates_until_acknowledged_and_in_order():
-    frameworks = Frameworks(retry_ms=100.0)
+    frameworks = Frameworks(update_retry_ms=100.0)
     framework, _ = frameworks.subscribe(info(), "x", "s", object(), 0.0)
     for i in range(3):
-        frameworks.push(framework, m.TaskStatus(m.Value("t"), "TASK_RUNNING", uuid=str(i)), 10.0 * i)
+        frameworks.record_update(framework, m.TaskStatus(m.Value("t"), "TASK_RUNNING", uuid=str(i)), 10.0 * i)
     assert frameworks.acknowledge(framework, "1") and not frameworks.acknowledge(framework, "1")
-    assert [s.uuid for s in frameworks.unacknowledged(framework)] == ["0", "2"]
-    assert [s.uuid for s in frameworks.to_repeat(framework, 110.0)] == ["0"]
-    assert [s.uuid for s in frameworks.to_repeat(framework, 120.0)] == []
-    assert [s.uuid for s in frameworks.unacknowledged(framework)] == ["0", "2"]
+    assert [s.uuid for s in frameworks.unacknowledged_statuses(framework)] == ["0", "2"]
+    assert [s.uuid for s in frameworks.take_due_retries(framework, 110.0)] == ["0"]
+    assert [s.uuid for s in frameworks.take_due_retries(framework, 120.0)] == []
+    assert [s.uuid for s in frameworks.unacknowledged_statuses(framework)] == ["0", "2"]
 
 
 def test_frameworks_are_bounded_and_go_when_their_time_is_over():
-    frameworks = Frameworks(most=1, failover_most_s=10.0)
+    frameworks = Frameworks(max_frameworks=1, max_failover_timeout_s=10.0)
     session = object()
     framework, _ = frameworks.subscribe(info(failover=1e9), "x", "s", session, 0.0)
     with pytest.raises(FrameworkRefused, match="1 frameworks"):
         frameworks.subscribe(info("g"), "y", "s", object(), 0.0)
-    assert frameworks.closed(framework, session, 0.0) and frameworks.overdue(10_000.0) == []
-    assert frameworks.overdue(10_001.0) == [framework]
+    assert frameworks.close_session(framework, session, 0.0) and frameworks.find_expired(10_000.0) == []
+    assert frameworks.find_expired(10_001.0) == [framework]
     frameworks.remove(framework)
     frameworks.subscribe(info("g"), "y", "s", object(), 0.0)
 
@@ -223,10 +242,10 @@
 @pytest.mark.parametrize(
     ("step", "ran", "told"),
     [
-        (AttemptStep.OVER, False, None),
-        (AttemptStep.OVER, None, "never"),
-        (AttemptStep.OUT, None, "never"),
-        (AttemptStep.RUNS, None, "never"),
+        (AttemptStep.ENDED, False, None),
+        (AttemptStep.ENDED, None, "never"),
+        (AttemptStep.DISPATCHED, None, "never"),
+        (AttemptStep.RUNNING, None, "never"),
     ],
 )
 def test_an_unsafe_task_starts_again_only_if_it_never_ran(step, ran, told):
@@ -282,19 +301,19 @@
 
 def test_agents_become_machines():
     listing = MachineListing()
-    (told,) = listing.whole([agent(up_ns=int(50e6))], 1_000.0, 60.0).machines
+    (told,) = listing.replace_all([agent(up_ns=int(50e6))], 1_000.0, 60.0).machines
     assert (told.name, told.kind, told.phase) == ("h", "std", api.MachinePhase.SERVING)
     assert told.free_cores == -2.0 and told.free_memory == 60.0 and told.ready_at_ms == 990.0
-    (noisy,) = listing.changed(agent(up_ns=int(50e6)), 2_000.0, 1_061.0).machines
+    (noisy,) = listing.record_change(agent(up_ns=int(50e6)), 2_000.0, 1_061.0).machines
     assert noisy.ready_at_ms == 990.0  # the clocks drifted by a millisecond: no restart
-    (restarted,) = listing.changed(agent(up_ns=int(1_000e6)), 2_000.0, 1_060.0).machines
+    (restarted,) = listing.record_change(agent(up_ns=int(1_000e6)), 2_000.0, 1_060.0).machines
     assert restarted.ready_at_ms == 1_940.0
-    assert listing.changed(agent(drain=True), 0.0, 0.0).machines[0].phase is api.MachinePhase.DRAINING
-    (gone,) = listing.removed("h").machines
+    assert listing.record_change(agent(drain=True), 0.0, 0.0).machines[0].phase is api.MachinePhase.DRAINING
+    (gone,) = listing.record_removal("h").machines
     assert gone.phase is api.MachinePhase.REMOVED and gone.kind == "std"
-    assert listing.removed("never").machines[0].phase is api.MachinePhase.REMOVED
+    assert listing.record_removal("never").machines[0].phase is api.MachinePhase.REMOVED
     assert (
-        listing.whole([agent(up_ns=int(9e15))], 5.0, 6.0).machines[0].ready_at_ms == 5.0
+        listing.replace_all([agent(up_ns=int(9e15))], 5.0, 6.0).machines[0].ready_at_ms == 5.0
     )  # its clock is ahead
 
 
--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -598,9 +598,9 @@
 
 def test_what_machines_said_is_told_as_they_said_it_newest_first():
     record = Reasons()
-    record.note(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h1", 1_000.0)
-    record.note(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h2", 2_000.0)
-    record.note(api.Outcome.TIMED_OUT, api.OutcomeReason.UNSPECIFIED, "h3", 3_000.0)
+    record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h1", 1_000.0)
+    record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h2", 2_000.0)
+    record.record(api.Outcome.TIMED_OUT, api.OutcomeReason.UNSPECIFIED, "h3", 3_000.0)
     common = [s.Cause(kind="no-room", text="3 machines fit")]
     told = reasons.why(reasons.PAUSE, record, common, lambda at: at + 5.0)
     assert [cause.kind for cause in told.causes] == ["pause", "no-answer", "refused-cores", "no-room"]
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -96,7 +96,7 @@
         self.link = link = Link(m.ExecutorEvent)
         agents = self.cluster.core.agents
         name = agents.subscribe(call, link)
-        link.ended = lambda why: agents.closed(name, link, why)
+        link.ended = lambda why: agents.close_session(name, link, why)
         return self
 
     def launches(self):
@@ -116,10 +116,10 @@
         self.tell(self.status(task, state, reason, cause))
 
     def tell(self, status):
-        self.cluster.core.agents.update(self.id, status)
+        self.cluster.core.agents.handle_update(self.id, status)
 
     def beat(self):
-        self.cluster.core.agents.heartbeat(self.id)
+        self.cluster.core.agents.record_heartbeat(self.id)
 
 
 class Owner:
@@ -132,7 +132,7 @@
         self.link = link = Link(m.SchedulerEvent)
         owners = self.cluster.core.owners
         self.framework = framework = owners.subscribe(info, f"stream-{self.name}", link)
-        link.ended = lambda why: owners.closed(framework, link, why)
+        link.ended = lambda why: owners.close_session(framework, link, why)
         return self
 
     def launch(self, task, cls="safe", cores=1.0, memory=100.0, left=8000.0, **more):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -50,7 +50,7 @@
     day.until(lambda: not owner.jobs)
     for i in range(30):
         assert day.states(owner, f"t{i}") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
-    day.until(lambda: not day.core.frameworks.known[owner.framework].unacked)
+    day.until(lambda: not day.core.frameworks.frameworks_by_id[owner.framework].unacknowledged_by_uuid)
     assert not day.core.ledger.calls and not day.core.module.calls
     assert all(not s.unacked for h in day.hosts for s in h.sessions.values())
     assert day.broken() == [] and day.core.figures.mismatch() == {}
@@ -115,14 +115,14 @@
     day.until(lambda: day.core.listed == {stuck.name})
     (session,) = stuck.sessions.values()
     session.pause()
-    link = day.core.members.session(stuck.name)
+    link = day.core.members.session_of(stuck.name)
     link.stream.limit = 1 << 30
     while not link.stream.out:
         link.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
     owner.ask(day.job("t1", "store-compact", "unsafe"))
     day.until(lambda: any(a.machine == stuck.name for a in day.core.ledger.attempts.values()))
-    for member in day.core.members.members.values():
-        member.heard_at = day.loop.now() + 60_000.0  # only the time-out may end it
+    for member in day.core.members.members_by_agent.values():
+        member.last_heard_at_ms = day.loop.now() + 60_000.0  # only the time-out may end it
     other.start(cold=False)
     day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"), 6_000.0)
     session.resume()
@@ -149,7 +149,7 @@
     slow.slow = True
     for i in range(40):
         slow.ask(day.job(f"s{i}", life=60_000.0))
-    framework = day.core.frameworks.known[slow.framework]
+    framework = day.core.frameworks.frameworks_by_id[slow.framework]
     day.until(lambda: day.core.figures.given["pull-front", "served"] == 40)
     stream = framework.session.stream
     stream.limit = 10  # as if its socket had been full for long
@@ -167,7 +167,7 @@
         i += 1
         assert i < 400
     slow.slow = False
-    day.until(lambda: framework.session is not None and not framework.unacked, 20_000.0)
+    day.until(lambda: framework.session is not None and not framework.unacknowledged_by_uuid, 20_000.0)
     assert all("TASK_STARTING" in day.states(slow, f"s{i}") for i in range(40))
     assert day.broken() == []
 
@@ -515,7 +515,7 @@
 def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
     day = world(hosts=1)
     with pytest.raises(NotSubscribedError):
-        day.core.agents.heartbeat("stranger.r")
+        day.core.agents.record_heartbeat("stranger.r")
 
 
 # ---- an unmodified client library ----
@@ -532,7 +532,10 @@
     code = code.replace("127.0.0.1:5050", "{}:{}".format(*day.bound["owners"]))
     thread = threading.Thread(target=exec, args=(code, {"print": states.append}), daemon=True)
     thread.start()
-    day.until(lambda: states and states[-1] == "TASK_FINISHED" and not day.core.frameworks.known, 10_000.0)
+    day.until(
+        lambda: states and states[-1] == "TASK_FINISHED" and not day.core.frameworks.frameworks_by_id,
+        10_000.0,
+    )
     assert states == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
 
 
--- a/tests/test_endpoint_snapshot.py
+++ b/tests/test_endpoint_snapshot.py
@@ -100,11 +100,11 @@
         )
 
     def whole(self, *machines):
-        self.listing.known = {one.name: one for one in machines}
+        self.listing.machines_by_name = {one.name: one for one in machines}
         self.told(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, machines))
 
     def change(self, one):
-        self.listing.known[one.name] = one
+        self.listing.machines_by_name[one.name] = one
         self.told(api.MachineListUpdated(api.ListUpdateKind.DELTA, (one,)))
 
 
