--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -83,7 +83,9 @@
         text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
         return AdmissionDecision(
             status_mapping.StatusAnswer(
-                status_mapping.ERROR, status_mapping.RetryAdvice.NEVER, status_mapping.TASK_INVALID
+                status_mapping.TaskState.ERROR,
+                status_mapping.RetryAdvice.NEVER,
+                status_mapping.StatusReason.TASK_INVALID,
             ),
             text,
         )
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -1,316 +1,410 @@
-"""The agents' half of the core: subscriptions, updates, messages, absence.
+"""Agents' half of the core: their subscriptions, status updates, messages and absence.
 
-Called by the executor front and the core. What an agent says is read by `tables`, what it means for an
-attempt in doubt is decided by `late`."""
+Called by the server of the executor API and by the core. `status_mapping` reads what an agent says,
+`delivery_status` decides what it means for an attempt whose execution is uncertain.
+"""
 
 from __future__ import annotations
 
-from typing import Any
-
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
 from glencleat.allocator.agent_membership import AgentState, split_executor_id
 from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
+from glencleat.allocator.delivery_status import DeliveryAction, LateAcceptance, LateAcceptanceCase
 from glencleat.allocator.domain_events import AgentStateChanged, CallTaken
+from glencleat.allocator.errors import AllocatorError
 from glencleat.allocator.ports import CorePort
-from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus, StatusMeaning
+from glencleat.allocator.session_stream import SessionStream
+from glencleat.allocator.status_mapping import (
+    AttemptStep,
+    ExecutionStatus,
+    RetryAdvice,
+    StatusAnswer,
+    StatusMeaning,
+    StatusReason,
+    TaskState,
+)
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
+SETTLED_STATUSES = (ExecutionStatus.NEVER_RAN, ExecutionStatus.ENDED)
+
+
+class NotSubscribedError(AllocatorError):
+    """A call of an agent's incarnation that has no session.
+
+    Attributes:
+        executor_id: the ExecutorID of the call.
 
-class NotSubscribedError(Exception):
-    """A call of an agent's run that has no session."""
+    """
+
+    def __init__(self, executor_id: str) -> None:
+        super().__init__(f"{executor_id} is not subscribed")
+        self.executor_id = executor_id
 
 
 def to_load_report(payload: m.Payload) -> api.LoadReport:
+    """The load report of an agent's message."""
     return api.LoadReport(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
 
 
 class AgentSessions:
+    """Handles what agents say, and that they stop to say anything."""
+
     def __init__(self, core: CorePort) -> None:
         self.core = core
 
     # ---- sessions ----
 
-    def subscribe(self, call: m.ExecutorCall, session: Any) -> str:
-        """A session begins; gives the agent's id. Updates that it still held are handled as if just sent."""
-        core, now = self.core, self.core.now()
-        agent, run = split_executor_id(call.executor_id.value)
-        told = call.subscribe or m.SubscribeExecutor()
-        joined = core.members.subscribe(agent, run, session, now)
+    def subscribe(self, call: m.ExecutorCall, session: SessionStream) -> str:
+        """Begins a session and returns the agent's id; raises AgentLimitError.
+
+        Updates that the agent still holds are handled as if just sent.
+        """
+        core = self.core
+        agent, incarnation = split_executor_id(call.executor_id.value)
+        reported = call.subscribe or m.SubscribeExecutor()
+        subscription = core.members.subscribe(agent, incarnation, session, core.now())
         core.happened(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
-        core.log("agent subscribed", agent=agent, run=run, tasks=len(told.unacknowledged_tasks))
-        # An old stream that was still open may hold a LAUNCH which this run has yet to read.
-        whole_truth = joined.is_same_incarnation and joined.replaced_session is None
-        if joined.replaced_session is not None:
-            text = "another connection subscribed under this id"
-            old: Any = joined.replaced_session
-            old.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(text))))
-            old.close(text)
-            self._resolve_lost_session(agent, old)
+        core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
+        # An old stream that was still open may hold a LAUNCH which this incarnation has yet to read.
+        is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
+        if subscription.replaced_session is not None:
+            self._end_replaced_session(agent, subscription.replaced_session)
         self._send_subscribed(call, agent, session)
-        for update in told.unacknowledged_updates:
+        for update in reported.unacknowledged_updates:
             self.handle_update(call.executor_id.value, update.status)
-        listed = {task.task_id.value for task in told.unacknowledged_tasks}
-        listed |= {update.status.task_id.value for update in told.unacknowledged_updates}
-        for attempt in core.ledger.at(agent):
-            if attempt.session is not session:
-                self._compare_with_listed(attempt, attempt.id in listed, whole_truth)
-        for task in told.unacknowledged_tasks:
+        self._compare_with_reported(agent, session, reported, is_list_complete=is_list_complete)
+        for task in reported.unacknowledged_tasks:
             self._handle_listed_task(agent, task)
         core.open_up()
         return agent
 
-    def _send_subscribed(self, call: m.ExecutorCall, agent: str, session: Any) -> None:
-        framework = m.FrameworkInfo(name="glencleat", id=call.framework_id)
-        info = m.AgentInfo(hostname=agent, id=m.Value(agent))
+    def _end_replaced_session(self, agent: str, session: SessionStream) -> None:
+        text = "another connection subscribed under this id"
+        session.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(text))))
+        session.close(text)
+        self._resolve_lost_session(agent, session)
+
+    def _send_subscribed(self, call: m.ExecutorCall, agent: str, session: SessionStream) -> None:
         subscribed = m.SubscribedExecutor(
-            m.ExecutorInfo(call.executor_id, call.framework_id), framework, info
+            m.ExecutorInfo(call.executor_id, call.framework_id),
+            m.FrameworkInfo(name="glencleat", id=call.framework_id),
+            m.AgentInfo(hostname=agent, id=m.Value(agent)),
         )
         session.send(m.encode(m.ExecutorEvent("SUBSCRIBED", subscribed=subscribed)))
 
-    def close_session(self, agent: str, session: Any, why: str) -> None:
-        """A session's connection ended."""
+    def close_session(self, agent: str, session: SessionStream, why: str) -> None:
+        """Handles the end of a session's connection."""
         core = self.core
         if core.members.close_session(agent, session, core.now()):
             core.happened(AgentStateChanged(agent, AgentState.AWAY.value))
             core.log("agent away", agent=agent, why=why)
         self._resolve_lost_session(agent, session)
 
-    def _resolve_lost_session(self, agent: str, session: Any) -> None:
+    def _resolve_lost_session(self, agent: str, session: SessionStream) -> None:
+        """Decides about each attempt whose LAUNCH went to a session that ended."""
         for attempt in self.core.ledger.at(agent):
             if attempt.session is not session or attempt.back:
                 continue
-            verdict = delivery_status.decide_on_session_lost(
+            decision = delivery_status.decide_on_session_lost(
                 attempt.step, self.core.handed(attempt), attempt.call.effect
             )
-            if verdict.action is delivery_status.DeliveryAction.CONCLUDE:
-                self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
+            if decision.action is DeliveryAction.CONCLUDE:
+                self.core.give_up(attempt, decision.outcome, decision.may_have_run)
 
-    def _compare_with_listed(self, attempt: Attempt, listed: bool, same_run: bool) -> None:
-        """An attempt of an earlier session, against what the agent says it holds."""
-        verdict = delivery_status.decide_on_resubscribe(attempt.step, listed, same_run)
-        if verdict.action is delivery_status.DeliveryAction.IGNORE:
-            return
-        never = not verdict.may_have_run
+    def _compare_with_reported(
+        self, agent: str, session: SessionStream, reported: m.SubscribeExecutor, *, is_list_complete: bool
+    ) -> None:
+        """Compares the attempts of earlier sessions with the tasks and updates that the agent reports."""
+        listed_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
+        listed_ids |= {update.status.task_id.value for update in reported.unacknowledged_updates}
+        for attempt in self.core.ledger.at(agent):
+            if attempt.session is not session:
+                decision = delivery_status.decide_on_resubscribe(
+                    attempt.step, is_listed=attempt.id in listed_ids, is_same_incarnation=is_list_complete
+                )
+                if decision.action is not DeliveryAction.IGNORE:
+                    self._conclude_not_listed(attempt, decision)
+
+    def _conclude_not_listed(self, attempt: Attempt, decision: delivery_status.DeliveryDecision) -> None:
         if attempt.back:
-            attempt.ran, attempt.step = (False, attempt.step) if never else (attempt.ran, AttemptStep.ENDED)
+            if decision.may_have_run:
+                attempt.step = AttemptStep.ENDED
+            else:
+                attempt.ran = False
             self.core.ledger.settle(attempt)
         elif attempt.step is AttemptStep.DISPATCHED:
-            attempt.step = attempt.step if never else AttemptStep.ENDED
-            self.core.give_up(attempt, verdict.outcome, verdict.may_have_run)
+            if decision.may_have_run:
+                attempt.step = AttemptStep.ENDED
+            self.core.give_up(attempt, decision.outcome, decision.may_have_run)
         else:
-            self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, verdict.outcome), None)
+            self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, decision.outcome), None)
+
+    # ---- tasks that an agent lists ----
 
     def _handle_listed_task(self, agent: str, task: m.TaskInfo) -> None:
-        """A task that the agent holds: known, or placed by a former incarnation of ours."""
-        core = self.core
-        attempt = core.ledger.attempts.get(task.task_id.value)
-        if attempt is not None:
-            if not attempt.back and attempt.step is AttemptStep.DISPATCHED:
+        """A task that the agent holds: known, or placed by a former incarnation of this allocator."""
+        attempt = self.core.ledger.attempts.get(task.task_id.value)
+        if attempt is None:
+            self._handle_unknown_task(agent, task)
+        elif not attempt.back:
+            if attempt.step is AttemptStep.DISPATCHED:
                 self._record_accepted(attempt)
-            elif attempt.back and attempt.step in (
-                AttemptStep.DISPATCHED,
-                AttemptStep.ACCEPTED,
-                AttemptStep.RUNNING,
-            ):
-                attempt.step = (
-                    AttemptStep.ACCEPTED if attempt.step is AttemptStep.DISPATCHED else attempt.step
-                )
-                self._handle_late_acceptance(attempt, attempt.placed)
-            return
-        framework, name = m.label(task.labels, "framework"), m.label(task.labels, "task")
+        elif attempt.step is not AttemptStep.ENDED:
+            if attempt.step is AttemptStep.DISPATCHED:
+                attempt.step = AttemptStep.ACCEPTED
+            self._handle_late_acceptance(attempt, was_placed=attempt.placed)
+
+    def _handle_unknown_task(self, agent: str, task: m.TaskInfo) -> None:
+        core = self.core
         try:
-            if framework is None or name is None:
-                raise TaskRequestError("labels framework and task are missing")
-            ask = read_task_request(task, core.classes, None, 0.0)
+            attempt = self._read_unknown_task(agent, task)
         except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
-        before = core.ledger.task(framework, name)
-        elsewhere = before is not None and (before.given is None or before.placed())
-        effect = core.classes[ask.task_class].idempotency
-        call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
-        attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=AttemptStep.ACCEPTED)
-        if delivery_status.decide_unknown_task(elsewhere) is delivery_status.LateAcceptance.KILL:
+        before = core.ledger.task(attempt.call.framework, attempt.call.task_id)
+        is_live_elsewhere = before is not None and (before.given is None or before.placed())
+        decision = delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere)
+        if decision is LateAcceptance.KILL:
             core.kill(attempt)
         else:
-            self._adopt(attempt, call)
+            self._adopt(attempt, attempt.call)
+
+    def _read_unknown_task(self, agent: str, task: m.TaskInfo) -> Attempt:
+        """An attempt and its call, made from the labels of a LAUNCH; raises TaskRequestError."""
+        core = self.core
+        framework = m.label(task.labels, "framework")
+        task_id = m.label(task.labels, "task")
+        if framework is None or task_id is None:
+            raise TaskRequestError("labels framework and task are missing")
+        request = read_task_request(task, core.classes, default_class=None, answer_margin_ms=0.0)
+        now_ms = core.now()
+        call = Call(
+            number=0,
+            framework=framework,
+            task_id=task_id,
+            info=task,
+            ask=request,
+            effect=core.classes[request.task_class].idempotency,
+            tenant=m.label(task.labels, "tenant"),
+            taken_at=now_ms,
+        )
+        return Attempt(
+            call=call,
+            number=0,
+            machine=agent,
+            id=task.task_id.value,
+            sent_at=now_ms,
+            step=AttemptStep.ACCEPTED,
+        )
 
     def _adopt(self, attempt: Attempt, call: Call) -> None:
-        """Makes a task that runs already a call of its own, ours from here on."""
+        """Makes a task that runs already a call of its own, which this allocator follows from here on."""
         core = self.core
         call.number = next(core.numbers)
-        call.given, call.adopted = FinalAnswer.SERVED, True
+        call.given = FinalAnswer.SERVED
+        call.adopted = True
         call.attempts.clear()
-        attempt.call, attempt.number, attempt.back, attempt.ran = call, 0, False, None
+        attempt.call = call
+        attempt.number = 0
+        attempt.back = False
+        attempt.ran = None
         attempt.placed = True
         core.ledger.take(call)
         core.ledger.bind(attempt)
         core.figures.adopted[call.ask.task_class] += 1
         core.happened(CallTaken(call))
         core.tell_asked(call, 0.0, attempt.machine)
-        core.told.status(
-            call, status_mapping.reconciliation_answer(attempt.fate(), attempt.step is AttemptStep.ACCEPTED)
-        )
+        is_accepted = attempt.step is AttemptStep.ACCEPTED
+        core.told.status(call, status_mapping.reconciliation_answer(attempt.fate(), is_accepted=is_accepted))
 
-    # ---- updates ----
+    # ---- status updates ----
 
     def handle_update(self, executor_id: str, status: m.TaskStatus) -> None:
-        """An UPDATE; acknowledged whatever it says, as its agent repeats it until then."""
-        core, agent = self.core, self.record_heartbeat(executor_id)
+        """Handles an UPDATE; raises NotSubscribedError.
+
+        It is acknowledged whatever it says, as its agent repeats it until then.
+        """
+        core = self.core
+        agent = self.record_heartbeat(executor_id)
         payload = m.unpack(status.data) if status.data else None
         attempt = core.ledger.attempts.get(status.task_id.value)
         if status.uuid is not None:
-            link: Any = core.members.session_of(agent)
-            done = m.Acknowledged(status.task_id, status.uuid)
-            link.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=done)))
-        told = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
-        if attempt is None or told is None or attempt.machine != agent:
+            self._acknowledge(agent, status.task_id, status.uuid)
+        meaning = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
+        if attempt is None or meaning is None or attempt.machine != agent:
             core.figures.events["update unknown"] += 1
             return
-        if attempt.seen(status.uuid) or told.step.value <= attempt.step.value:
+        if attempt.seen(status.uuid) or meaning.step.value <= attempt.step.value:
             core.figures.events["update stale"] += 1  # a duplicate, or overtaken by a later one
             return
-        self._apply_status(attempt, told, None if payload is None else to_load_report(payload))
+        self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
+
+    def _acknowledge(self, agent: str, task_id: m.Value, uuid: str) -> None:
+        session = self.core.members.session_of(agent)
+        if session is not None:
+            acknowledged = m.Acknowledged(task_id, uuid)
+            session.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=acknowledged)))
 
-    def _apply_status(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
+    def _apply_status(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
         if attempt.back:
-            self._apply_late_status(attempt, told)
+            self._apply_late_status(attempt, meaning)
             return
-        if told.step is AttemptStep.ENDED and not told.may_have_run:
-            attempt.step, attempt.ran = AttemptStep.ENDED, False
-            self.core.ledger.settle(attempt)
-            self.core.returned(attempt, told.outcome, attempt.call.left, told.reason, report)
+        if meaning.step is AttemptStep.ENDED and not meaning.may_have_run:
+            self._record_rejected(attempt, meaning, report)
             return
         if attempt.step is AttemptStep.DISPATCHED:
             self._record_accepted(attempt)
-        if told.step is AttemptStep.RUNNING and not attempt.back:
-            attempt.step = AttemptStep.RUNNING
-            self.core.tell(
-                api.TaskObserved(attempt.call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
-            )
-            if attempt.call.given is not None:
-                self.core.told.status(
-                    attempt.call,
-                    status_mapping.StatusAnswer(status_mapping.RUNNING, status_mapping.RetryAdvice.NEVER),
-                )
-        elif told.step is AttemptStep.ENDED:
-            self._record_end(attempt, told, report)
-
-    def _apply_late_status(self, attempt: Attempt, told: StatusMeaning) -> None:
-        """A status of an attempt that was given up; what it settles, an owner left in doubt is told."""
-        # Not by its step: a late yes moves that on too, and its next status would pass for a placed task's.
-        call, was_placed = attempt.call, attempt.placed
-        attempt.step = told.step
-        if told.step is not AttemptStep.ENDED:
-            self._handle_late_acceptance(attempt, was_placed)
+        if meaning.step is AttemptStep.RUNNING and not attempt.back:
+            self._record_running(attempt)
+        elif meaning.step is AttemptStep.ENDED:
+            self._record_end(attempt, meaning, report)
+
+    def _apply_late_status(self, attempt: Attempt, meaning: StatusMeaning) -> None:
+        """Applies a status of an attempt that was concluded; reports what it settles to an owner in doubt."""
+        # Not by its step: a late acceptance moves that on too, and its next status would pass for a placed
+        # task's.
+        was_placed = attempt.placed
+        call = attempt.call
+        attempt.step = meaning.step
+        if meaning.step is not AttemptStep.ENDED:
+            self._handle_late_acceptance(attempt, was_placed=was_placed)
             return
-        attempt.ran = attempt.ran if told.may_have_run else False
+        if not meaning.may_have_run:
+            attempt.ran = False
         self.core.ledger.settle(attempt)
         if self.core.ledger.task(call.framework, call.task_id) is not call:
             return  # it was asked for again since
         if was_placed and call.given is FinalAnswer.SERVED and attempt is call.last():
-            self.core.told.status(call, status_mapping.end_answer(told.outcome, told.reason))
-        elif call.given is FinalAnswer.FAILED and call.fate() in (
-            ExecutionStatus.NEVER_RAN,
-            ExecutionStatus.ENDED,
-        ):
+            self.core.told.status(call, status_mapping.end_answer(meaning.outcome, meaning.reason))
+        elif call.given is FinalAnswer.FAILED and call.fate() in SETTLED_STATUSES:
             self.core.told.status(call, status_mapping.reconciliation_answer(call.fate()))
 
+    def _record_rejected(
+        self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None
+    ) -> None:
+        """The agent dropped the task: it is known not to have run."""
+        attempt.step = AttemptStep.ENDED
+        attempt.ran = False
+        self.core.ledger.settle(attempt)
+        self.core.returned(
+            attempt, meaning.outcome, over=attempt.call.left, why=meaning.reason, report=report
+        )
+
     def _record_accepted(self, attempt: Attempt) -> None:
-        """The agent's yes: the task is placed, which is its answer."""
-        core, call = self.core, attempt.call
+        """The agent accepted the task: it is placed, which is its answer."""
+        core = self.core
+        call = attempt.call
         core.stop_timer(attempt)
-        attempt.step, attempt.placed = AttemptStep.ACCEPTED, True
-        spent = max(0.0, core.now() - attempt.sent_at)
-        core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent))
-        core.answer(
-            call,
-            FinalAnswer.SERVED,
-            status_mapping.StatusAnswer(status_mapping.STARTING, status_mapping.RetryAdvice.NEVER),
-        )
+        attempt.step = AttemptStep.ACCEPTED
+        attempt.placed = True
+        spent_ms = max(0.0, core.now() - attempt.sent_at)
+        core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
+        core.answer(call, FinalAnswer.SERVED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
         if call.left:
-            core.kill(attempt)  # its owner gave up just as the machine said yes
+            core.kill(attempt)  # its owner cancelled it just as the machine accepted
+
+    def _record_running(self, attempt: Attempt) -> None:
+        call = attempt.call
+        attempt.step = AttemptStep.RUNNING
+        self.core.tell(api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0))
+        if call.given is not None:
+            self.core.told.status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
 
-    def _record_end(self, attempt: Attempt, told: StatusMeaning, report: api.LoadReport | None) -> None:
+    def _record_end(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
-        core, call = self.core, attempt.call
         attempt.step = AttemptStep.ENDED
-        core.ledger.settle(attempt)
-        core.returned(attempt, told.outcome, True, told.reason, report)
-        core.told.status(call, status_mapping.end_answer(told.outcome, told.reason))
+        self.core.ledger.settle(attempt)
+        self.core.returned(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
+        self.core.told.status(attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason))
+
+    # ---- late acceptances ----
 
-    def _handle_late_acceptance(self, attempt: Attempt, was_placed: bool) -> None:
-        """An agent holds a task of which the module was told that the attempt came to nothing."""
-        core, call = self.core, attempt.call
+    def _handle_late_acceptance(self, attempt: Attempt, *, was_placed: bool) -> None:
+        """An agent holds a task whose attempt was concluded."""
+        core = self.core
+        call = attempt.call
         latest = core.ledger.task(call.framework, call.task_id) or call
-        placed = latest.placed()
-        answered = latest.given.value if latest.given is not None else None
-        gone = call.left or not core.wanted(call)
+        is_latest_placed = latest.placed()
+        is_owner_gone = call.left or not core.wanted(call)
         core.figures.events["late yes"] += 1
-        verdict = delivery_status.decide_late_acceptance(
-            answered, was_placed, latest.out() is not None and not placed, placed, gone
-        )
-        core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=verdict.value)
-        if verdict is delivery_status.LateAcceptance.ADOPT:
-            call.attempts.remove(attempt)
-            core.ledger.forget(latest)
-            again = Call(
-                0, call.framework, call.task_id, call.info, call.ask, call.effect, call.tenant, core.now()
+        decision = delivery_status.decide_late_acceptance(
+            LateAcceptanceCase(
+                answer=latest.given,
+                was_placed=was_placed,
+                has_other_dispatched=latest.out() is not None and not is_latest_placed,
+                has_other_placed=is_latest_placed,
+                is_owner_gone=is_owner_gone,
             )
-            self._adopt(attempt, again)
-        else:
+        )
+        core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=decision.value)
+        if decision is LateAcceptance.KILL:
             core.kill(attempt)
+            return
+        call.attempts.remove(attempt)
+        core.ledger.forget(latest)
+        self._adopt(attempt, self._copy_call(call))
+
+    def _copy_call(self, call: Call) -> Call:
+        """A fresh call of the same task, for an attempt that is adopted."""
+        return Call(
+            number=0,
+            framework=call.framework,
+            task_id=call.task_id,
+            info=call.info,
+            ask=call.ask,
+            effect=call.effect,
+            tenant=call.tenant,
+            taken_at=self.core.now(),
+        )
 
     # ---- messages ----
 
     def handle_message(self, executor_id: str, payload: m.Payload) -> None:
-        """A MESSAGE: a report, an answer to a probe, what our tasks use."""
-        core, agent = self.core, self.record_heartbeat(executor_id)
+        """Handles a MESSAGE: an answer to a probe, and what tasks use; raises NotSubscribedError."""
+        agent = self.record_heartbeat(executor_id)
         if payload.probe is not None:
-            core.probe_back(agent, payload.probe, to_load_report(payload))
+            self.core.probe_back(agent, payload.probe, to_load_report(payload))
         for use in payload.tasks:
             self._observe_task(agent, use, payload.memory_used)
 
     def _observe_task(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
         attempt = self.core.ledger.attempts.get(use.task_id)
-        if (
-            attempt is None
-            or attempt.back
-            or attempt.machine != agent
-            or attempt.step is AttemptStep.DISPATCHED
-        ):
+        if attempt is None or attempt.back or attempt.machine != agent:
+            return
+        if attempt.step is AttemptStep.DISPATCHED:
             return
-        kinds = api.ObservationKind
-        for kind, value in (
-            (kinds.CORES_IN_USE, use.cores),
-            (kinds.MEMORY_IN_USE, use.memory),
-            (kinds.SERVICE_LEVEL, use.served),
-            (kinds.MACHINE_MEMORY_IN_USE, memory_used),
-        ):
+        observations = (
+            (api.ObservationKind.CORES_IN_USE, use.cores),
+            (api.ObservationKind.MEMORY_IN_USE, use.memory),
+            (api.ObservationKind.SERVICE_LEVEL, use.served),
+            (api.ObservationKind.MACHINE_MEMORY_IN_USE, memory_used),
+        )
+        for kind, value in observations:
             if value is not None:
                 self.core.tell(api.TaskObserved(attempt.call.number, agent, kind, value))
 
     def record_heartbeat(self, executor_id: str) -> str:
-        """A sign of life, which every call is; gives the agent's id, raises NotSubscribed."""
-        agent, run = split_executor_id(executor_id)
-        if not self.core.members.record_heartbeat(agent, run, self.core.now()):
-            raise NotSubscribedError(f"{executor_id} is not subscribed")
+        """Records a sign of life, which every call is, and returns the agent's id.
+
+        Raises NotSubscribedError where the call is not of the incarnation that is subscribed.
+        """
+        agent, incarnation = split_executor_id(executor_id)
+        if not self.core.members.record_heartbeat(agent, incarnation, self.core.now()):
+            raise NotSubscribedError(executor_id)
         return agent
 
     # ---- absence ----
 
     def handle_lost_agent(self, agent: str) -> None:
-        """The agent stayed away too long: its placed tasks are over for us, their fate is unsure."""
+        """Ends the placed tasks of an agent that was away for too long; whether they run is uncertain."""
         for attempt in self.core.ledger.at(agent):
             if attempt.back or attempt.step is AttemptStep.DISPATCHED:
                 continue
             call = attempt.call
             self.core.returned(attempt, api.Outcome.LOST, over=True)
-            safe = call.effect is api.Idempotency.IDEMPOTENT
-            retry = status_mapping.RetryAdvice.HARMLESS if safe else status_mapping.RetryAdvice.RECONCILE
-            answer = status_mapping.StatusAnswer(
-                status_mapping.UNREACHABLE, retry, status_mapping.AGENT_REMOVED
-            )
+            is_idempotent = call.effect is api.Idempotency.IDEMPOTENT
+            retry_advice = RetryAdvice.HARMLESS if is_idempotent else RetryAdvice.RECONCILE
+            answer = StatusAnswer(TaskState.UNREACHABLE, retry_advice, StatusReason.AGENT_REMOVED)
             self.core.told.status(call, answer)
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -12,9 +12,8 @@
 from enum import Enum
 
 from glencleat import interface as api
-from glencleat.allocator.delivery_status import combine_execution_statuses
 from glencleat.allocator.pending_reasons import PendingReasons
-from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
+from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus, combine_execution_statuses
 from glencleat.mesos.messages import TaskInfo
 
 UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -329,7 +329,7 @@
             self.answer(
                 call,
                 FinalAnswer.REFUSED,
-                StatusAnswer(status_mapping.KILLED, status_mapping.RetryAdvice.HARMLESS),
+                StatusAnswer(status_mapping.TaskState.KILLED, status_mapping.RetryAdvice.HARMLESS),
             )
 
     def stop_timer(self, attempt: Attempt) -> None:
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -36,7 +36,10 @@
         """A session begins; raises frameworks.Refused. What was not acknowledged is sent again."""
         core, now = self.core, self.core.now()
         new_id = f"{core.options.name}-{core.random.getrandbits(64):016x}"
-        framework, replaced = core.frameworks.subscribe(info, new_id, stream_id, session, now)
+        subscription = core.frameworks.subscribe(
+            info, new_id=new_id, stream_id=stream_id, session=session, now_ms=now
+        )
+        framework, replaced = subscription.framework, subscription.replaced_session
         if replaced is not None:
             old: Any = replaced
             old.send(m.encode(m.SchedulerEvent("ERROR", error=m.ErrorEvent("Framework failed over"))))
@@ -106,7 +109,7 @@
         seconds = decline.filters.refuse_seconds if decline.filters is not None else 5.0
         for offer in decline.offer_ids:
             wait = 1000.0 * min(max(0.0, seconds), 31_536_000.0)
-            self.core.frameworks.decline_offer(framework, offer.value, self.core.now(), wait)
+            self.core.frameworks.decline_offer(framework, offer.value, self.core.now(), refuse_ms=wait)
 
     # ---- tasks ----
 
@@ -114,7 +117,9 @@
         """ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
         core, now = self.core, self.core.now()
         again = core.options.offer_again_ms
-        valid = [core.frameworks.use_offer(framework, o.value, now, again) for o in accept.offer_ids]
+        valid = [
+            core.frameworks.use_offer(framework, o.value, now, offer_again_ms=again) for o in accept.offer_ids
+        ]
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
                 core.log("operation ignored", framework=framework.id, type=operation.type[:40])
@@ -125,7 +130,9 @@
                 else:
                     text = "the offer is not valid any more; expected one that was made in this session"
                     answer = StatusAnswer(
-                        status_mapping.DROPPED, RetryAdvice.HARMLESS, status_mapping.INVALID_OFFERS
+                        status_mapping.TaskState.DROPPED,
+                        RetryAdvice.HARMLESS,
+                        status_mapping.StatusReason.INVALID_OFFERS,
                     )
                     self._reject_launch(framework, info, answer, text)
 
@@ -148,7 +155,9 @@
                 info, core.classes, core.options.default_class, core.options.answer_margin_ms
             )
         except TaskRequestError as error:
-            answer = StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER, status_mapping.TASK_INVALID)
+            answer = StatusAnswer(
+                status_mapping.TaskState.ERROR, RetryAdvice.NEVER, status_mapping.StatusReason.TASK_INVALID
+            )
             self._reject_launch(framework, info, answer, str(error))
             return
         taken = self._admit(framework.id, framework.role(), info, ask)
@@ -169,7 +178,11 @@
             core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending
         )
         why = admission.refuses(load, core.options.limits)
-        return AdmissionDecision(status_mapping.rejection_answer(False), why) if why is not None else None
+        return (
+            AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
+            if why is not None
+            else None
+        )
 
     def _admit(
         self, owner: str, tenant: str | None, info: m.TaskInfo, ask: TaskRequest
@@ -225,7 +238,9 @@
         call = self.core.ledger.task(framework.id, task_id)
         if call is None:
             answer = StatusAnswer(
-                status_mapping.UNKNOWN, RetryAdvice.RECONCILE, status_mapping.RECONCILIATION
+                status_mapping.TaskState.UNKNOWN,
+                RetryAdvice.RECONCILE,
+                status_mapping.StatusReason.RECONCILIATION,
             )
             self._send_status(framework, task_id, answer, None, "no such task here", acked=False)
         else:
@@ -247,7 +262,9 @@
                 core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
             else:
                 core.answer(
-                    call, FinalAnswer.REFUSED, StatusAnswer(status_mapping.KILLED, RetryAdvice.HARMLESS)
+                    call,
+                    FinalAnswer.REFUSED,
+                    StatusAnswer(status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS),
                 )
 
     # ---- updates ----
@@ -290,12 +307,18 @@
     def _send_reconciliation(self, framework: Framework, task_id: str, call: Call | None) -> None:
         if call is not None and call.given is None:
             answer, machine = (
-                StatusAnswer(status_mapping.STAGING, RetryAdvice.NEVER, status_mapping.RECONCILIATION),
+                StatusAnswer(
+                    status_mapping.TaskState.STAGING,
+                    RetryAdvice.NEVER,
+                    status_mapping.StatusReason.RECONCILIATION,
+                ),
                 None,
             )
         else:
             last = call.last() if call is not None else None
             accepted = last is not None and last.step is status_mapping.AttemptStep.ACCEPTED
-            answer = status_mapping.reconciliation_answer(None if call is None else call.fate(), accepted)
+            answer = status_mapping.reconciliation_answer(
+                None if call is None else call.fate(), is_accepted=accepted
+            )
             machine = last.machine if last is not None and call is not None and call.placed() else None
         self._send_status(framework, task_id, answer, machine, acked=False)
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -16,7 +16,7 @@
 from glencleat import interface as api
 from glencleat.allocator.call_table import Call, FinalAnswer
 from glencleat.allocator.pending_reasons import PendingReasons
-from glencleat.allocator.status_mapping import DROPPED, FINISHED, UNREACHABLE, RetryAdvice, StatusAnswer
+from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer, TaskState
 from glencleat.rest.schema import JobSpec, JobStatus
 
 PAUSE_MS, PAUSE_MOST_MS = 250.0, 4_000.0  # after the first refused round; doubled up to
@@ -110,7 +110,7 @@
     """After a refused round. A task that must not start twice goes again only if nothing of it ran, which
     only TASK_DROPPED promises."""
     return answer.retry_advice is RetryAdvice.HARMLESS and (
-        effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == DROPPED
+        effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == TaskState.DROPPED
     )
 
 
@@ -132,14 +132,14 @@
     does no harm and is wanted: should the first come back, the core stops it."""
     again = (
         slot.job.spec.when_lost == "again"
-        and answer.state != FINISHED
+        and answer.state != TaskState.FINISHED
         and answer.retry_advice is RetryAdvice.HARMLESS
         and slot.job.cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
         and not slot.cancelled
     )
     if again:
         return Next(JobStep.PAUSED, PAUSE_MS * 2.0)
-    return Next(JobStep.PLACED if answer.state == UNREACHABLE else JobStep.OVER)
+    return Next(JobStep.PLACED if answer.state == TaskState.UNREACHABLE else JobStep.OVER)
 
 
 def round_ms(slot: Slot, now: float, margin_ms: float) -> float:
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -26,14 +26,14 @@
 from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.allocator.status_mapping import RUNNING, STAGING, STARTING, UNREACHABLE, StatusAnswer
+from glencleat.allocator.status_mapping import StatusAnswer, TaskState
 from glencleat.rest import reasons
 from glencleat.rest import schema as s
 from glencleat.rest.jobs import JobState, JobStep, Slot
 from glencleat.rest.version_store import Key, VersionEvent, Versions
 from glencleat.rest.watches import WatchChannels
 
-LIVE = (STAGING, STARTING, RUNNING, UNREACHABLE)
+LIVE = (TaskState.STAGING, TaskState.STARTING, TaskState.RUNNING, TaskState.UNREACHABLE)
 NO_TENANT = "*"  # Mesos' default role
 
 
@@ -46,7 +46,7 @@
     created_wall: float
     call: Call | None = None
     slot: Slot | None = None
-    state: str = STAGING
+    state: str = TaskState.STAGING
     answer: str | None = None
     retry: str | None = None
     reason: str | None = None
@@ -61,7 +61,7 @@
 
     def wait(self) -> None:
         """It waits for a place, for the first time or again."""
-        self.state, self.answer, self.retry = STAGING, None, None
+        self.state, self.answer, self.retry = TaskState.STAGING, None, None
         self.reason = self.message = self.machine = None
 
 
@@ -154,7 +154,7 @@
             return
         last = call.last()
         seen.tell(answer, text, last.machine if last is not None and answer.state in LIVE else None)
-        if last is not None and answer.state in (STARTING, RUNNING):
+        if last is not None and answer.state in (TaskState.STARTING, TaskState.RUNNING):
             self.silent.pop(last.machine, None)
         if seen.state not in LIVE and seen.slot is None:
             self.ended[seen.key] = None
@@ -258,9 +258,13 @@
             shape, attempts = (ask.task_class, ask.service, ask.cores, ask.memory), len(call.attempts)
         else:
             return
-        waits = seen.state == STAGING
+        waits = seen.state == TaskState.STAGING
         self._wait(seen, shape if waits else None)
-        placed = call is not None and seen.state in (STARTING, RUNNING) and seen.machine is not None
+        placed = (
+            call is not None
+            and seen.state in (TaskState.STARTING, TaskState.RUNNING)
+            and seen.machine is not None
+        )
         at = seen.machine if placed else None
         if waits:
             self._count(seen, (shape[1], "waiting", ""))
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -30,17 +30,8 @@
     PlacementOpened,
     TaskStatusReported,
 )
-from glencleat.allocator.status_mapping import (
-    DROPPED,
-    FINISHED,
-    KILLED,
-    RUNNING,
-    STARTING,
-    RetryAdvice,
-    StatusAnswer,
-    rejection_answer,
-)
 from glencleat.allocator.status_mapping import AttemptStep as AttemptStep
+from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer, TaskState, rejection_answer
 from glencleat.mesos import messages as m
 from glencleat.rest import overload
 from glencleat.rest import schema as s
@@ -220,7 +211,7 @@
             return
         slot.cancelled = True
         if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
-            self._refuse(slot, StatusAnswer(KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
+            self._refuse(slot, StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
         elif slot.call is not None and slot.call.over:  # out of sight; stopped should it come back
             self._step(slot, JobStep.OVER)
             self._settled(slot.job)
@@ -328,7 +319,7 @@
             slot.placed_once, slot.given = True, FinalAnswer.SERVED
             last = call.last()
             starting = last is None or last.step is AttemptStep.ACCEPTED
-            answer = StatusAnswer(STARTING if starting else RUNNING, RetryAdvice.NEVER)
+            answer = StatusAnswer(TaskState.STARTING if starting else TaskState.RUNNING, RetryAdvice.NEVER)
             self.seen(slot).answer = FinalAnswer.SERVED.value
             self.seen(slot).tell(answer, None, last.machine if last is not None else None)
         self.mirror.touch(self.seen(slot).key)
@@ -408,7 +399,7 @@
             then = after_round(slot, given, answer, self.core.now(), self.random)
             slot.placed_once |= then.step is JobStep.PLACED
             self._after(slot, then, answer, given, what.text)
-        elif answer.state in (STARTING, RUNNING):
+        elif answer.state in (TaskState.STARTING, TaskState.RUNNING):
             # Also one that was told as failed, or that was to be placed anew, and is found to run: it is
             # placed from here on, and nothing more is asked for it.
             self.mirror.told(what.call, answer, what.text)
@@ -425,7 +416,7 @@
                 self._again(slot, then)
                 return
             self.mirror.told(what.call, answer, what.text)
-            slot.finished = answer.state == FINISHED
+            slot.finished = answer.state == TaskState.FINISHED
             self._step(slot, then.step)
             if then.step is JobStep.OVER:
                 self._settled(slot.job)
@@ -436,7 +427,7 @@
         """A task that was placed and lost is asked for anew, with its whole time before it."""
         now = self.core.now()
         slot.until, slot.rounds, slot.given = now + then.pause_ms + slot.job.wait_ms(), 0, None
-        self._after(slot, then, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
+        self._after(slot, then, StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
         self._expire_later([slot])
 
     # ---- time ----
@@ -523,7 +514,9 @@
             for slot in job.slots:
                 if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
                     self._refuse(
-                        slot, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), "the allocator is shutting down"
+                        slot,
+                        StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS),
+                        "the allocator is shutting down",
                     )
 
 
--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -227,7 +227,7 @@
     agent.say(attempt, "TASK_STARTING")
     assert not agent.kills()
     told = owner.statuses("t1")[-1]
-    assert told.state == "TASK_STARTING" and told.reason == status_mapping.RECONCILIATION
+    assert told.state == "TASK_STARTING" and told.reason == status_mapping.StatusReason.RECONCILIATION
     agent.say(attempt, "TASK_RUNNING")
     assert owner.reconcile("t1").state == "TASK_RUNNING"
     agent.say(attempt, "TASK_FINISHED")
@@ -494,7 +494,7 @@
     operation = m.Operation("LAUNCH", m.Launch([info]))
     cluster.core.owners.accept(owner.framework, m.Accept([m.Value("old")], [operation]))
     (status,) = owner.statuses("t1")
-    assert (status.state, status.reason) == ("TASK_DROPPED", status_mapping.INVALID_OFFERS)
+    assert (status.state, status.reason) == ("TASK_DROPPED", status_mapping.StatusReason.INVALID_OFFERS)
     cluster.check()
 
 
--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -283,9 +283,9 @@
     return made
 
 
-DROPPED = StatusAnswer(status_mapping.DROPPED, RetryAdvice.HARMLESS)
-MAYBE = StatusAnswer(status_mapping.LOST, RetryAdvice.HARMLESS)
-LOST = StatusAnswer(status_mapping.LOST, RetryAdvice.RECONCILE)
+DROPPED = StatusAnswer(status_mapping.TaskState.DROPPED, RetryAdvice.HARMLESS)
+MAYBE = StatusAnswer(status_mapping.TaskState.LOST, RetryAdvice.HARMLESS)
+LOST = StatusAnswer(status_mapping.TaskState.LOST, RetryAdvice.RECONCILE)
 U, K, S = api.Idempotency.NON_IDEMPOTENT, api.Idempotency.IDEMPOTENCY_KEY, api.Idempotency.IDEMPOTENT
 
 
@@ -304,7 +304,7 @@
         (
             S,
             FinalAnswer.REFUSED,
-            StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER),
+            StatusAnswer(status_mapping.TaskState.ERROR, RetryAdvice.NEVER),
             0.0,
             False,
             JobStep.OVER,
@@ -338,16 +338,16 @@
 @pytest.mark.parametrize(
     ("effect", "lost", "state", "retry", "cancelled", "step"),
     [
-        (S, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
-        (K, "again", status_mapping.FAILED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
-        (U, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
-        (S, "leave", status_mapping.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
-        (S, "again", status_mapping.FINISHED, RetryAdvice.NEVER, False, JobStep.OVER),
-        (S, "again", status_mapping.KILLED, RetryAdvice.HARMLESS, True, JobStep.OVER),
-        (S, "again", status_mapping.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
-        (S, "leave", status_mapping.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PLACED),
-        (K, "again", status_mapping.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
-        (U, "again", status_mapping.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
+        (S, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (K, "again", status_mapping.TaskState.FAILED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (U, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
+        (S, "leave", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
+        (S, "again", status_mapping.TaskState.FINISHED, RetryAdvice.NEVER, False, JobStep.OVER),
+        (S, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, True, JobStep.OVER),
+        (S, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
+        (S, "leave", status_mapping.TaskState.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PLACED),
+        (K, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
+        (U, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
     ],
 )
 def test_what_follows_a_placed_tasks_end(effect, lost, state, retry, cancelled, step):
