--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -1,11 +1,10 @@
-"""The owners' half of the core: the Scheduler API's calls on frameworks and tasks, and their updates.
+"""Frameworks' half of the core: the calls of the Scheduler API on frameworks and tasks, and their updates.
 
-Called by the scheduler front and the core; sessions are links to write to."""
+Called by the server of the scheduler API, by owners within the process and by the core.
+"""
 
 from __future__ import annotations
 
-from typing import Any
-
 from glencleat import interface as api
 from glencleat.allocator import admission, status_mapping
 from glencleat.allocator.call_table import Call, FinalAnswer, TaskRequest
@@ -15,16 +14,32 @@
     CallTaken,
     TaskStatusReported,
 )
-from glencleat.allocator.frameworks import Framework
+from glencleat.allocator.frameworks import MS_PER_S, Framework
 from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.reconciliation import ReconciliationQueue
-from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer
+from glencleat.allocator.session_stream import SessionStream
+from glencleat.allocator.status_mapping import (
+    AttemptStep,
+    RetryAdvice,
+    StatusAnswer,
+    StatusReason,
+    TaskState,
+)
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
+DEFAULT_REFUSE_S = 5.0  # of a DECLINE without filters, as the specification of the API has it
+MAX_REFUSE_S = 31_536_000.0  # a year
+MAX_LOGGED_TYPE_CHARACTERS = 40  # of an operation's type that is not known here
+UNKNOWN_CLASS = "-"  # in the counters, for a task whose class is not known
+
+INVALID_OFFERS_TEXT = "the offer is not valid any more; expected one that was made in this session"
+
 
 class FrameworkSessions:
+    """Handles what frameworks call, and reports to them what became of their tasks."""
+
     def __init__(self, core: CorePort) -> None:
         self.core = core
         self.last_offer_number = 0
@@ -32,109 +47,136 @@
 
     # ---- sessions ----
 
-    def subscribe(self, info: m.FrameworkInfo, stream_id: str, session: Any) -> Framework:
-        """A session begins; raises frameworks.Refused. What was not acknowledged is sent again."""
-        core, now = self.core, self.core.now()
-        new_id = f"{core.options.name}-{core.random.getrandbits(64):016x}"
+    def subscribe(self, info: m.FrameworkInfo, stream_id: str, session: SessionStream) -> Framework:
+        """Begins a session and returns its framework; raises FrameworkLimitError.
+
+        Updates that were not acknowledged are sent again.
+        """
+        core = self.core
+        now_ms = core.now()
         subscription = core.frameworks.subscribe(
-            info, new_id=new_id, stream_id=stream_id, session=session, now_ms=now
+            info,
+            new_id=f"{core.options.name}-{core.random.getrandbits(64):016x}",
+            stream_id=stream_id,
+            session=session,
+            now_ms=now_ms,
         )
-        framework, replaced = subscription.framework, subscription.replaced_session
-        if replaced is not None:
-            old: Any = replaced
-            old.send(m.encode(m.SchedulerEvent("ERROR", error=m.ErrorEvent("Framework failed over"))))
-            old.close("framework failed over")
-        told = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / 1000.0)
-        session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=told)))
+        framework = subscription.framework
+        if subscription.replaced_session is not None:
+            self._end_replaced_session(subscription.replaced_session)
+        subscribed = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / MS_PER_S)
+        session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=subscribed)))
         for status in core.frameworks.unacknowledged_statuses(framework):
-            self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-        self._send_offer(framework, now)
+            self._send_update(framework, status)
+        self._send_due_offer(framework, now_ms)
         core.log("framework subscribed", framework=framework.id, role=framework.role())
         return framework
 
-    def close_session(self, framework: Framework, session: Any, why: str) -> None:
+    def _end_replaced_session(self, session: SessionStream) -> None:
+        error = m.ErrorEvent("Framework failed over")
+        session.send(m.encode(m.SchedulerEvent("ERROR", error=error)))
+        session.close("framework failed over")
+
+    def close_session(self, framework: Framework, session: SessionStream, why: str) -> None:
+        """Handles the end of a session's connection."""
         core = self.core
         if core.frameworks.close_session(framework, session, core.now()):
             core.log("framework away", framework=framework.id, why=why)
 
     def teardown(self, framework: Framework, why: str) -> None:
-        """The framework is gone: its tasks are stopped, and nobody waits for their updates."""
+        """Removes a framework: its tasks are cancelled, and nobody waits for their updates."""
         core = self.core
         for call in core.ledger.of(framework.id):
             self.cancel(call)
         core.frameworks.remove(framework)
-        session: Any = framework.session
+        session = framework.session
         framework.session = None
         if session is not None:
             session.close(why)
         core.log("framework removed", framework=framework.id, why=why)
 
-    def sweep(self, now: float) -> None:
-        core = self.core
-        for framework in core.frameworks.find_expired(now):
+    def sweep(self, now_ms: float) -> None:
+        """Removes frameworks that stay away, sends unacknowledged updates again and makes due offers."""
+        frameworks = self.core.frameworks
+        for framework in frameworks.find_expired(now_ms):
             self.teardown(framework, "failover timeout")
-        for framework in list(core.frameworks.frameworks_by_id.values()):
+        for framework in list(frameworks.frameworks_by_id.values()):
             if framework.session is None:
                 continue
-            for status in (
-                core.frameworks.take_due_retries(framework, now) if framework.unacknowledged_by_uuid else ()
-            ):
-                self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-            self._send_offer(framework, now)
+            if framework.unacknowledged_by_uuid:
+                for status in frameworks.take_due_retries(framework, now_ms):
+                    self._send_update(framework, status)
+            self._send_due_offer(framework, now_ms)
 
     # ---- offers ----
 
-    def _send_offer(self, framework: Framework, now: float) -> None:
+    def _send_due_offer(self, framework: Framework, now_ms: float) -> None:
         core = self.core
-        if core.ending or not core.frameworks.wants_offer(framework, now):
+        if core.ending or not core.frameworks.wants_offer(framework, now_ms):
             return
         self.last_offer_number += 1
         offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
-        cores = sum(size.cores for size in core.settings.machine_sizes.values())
-        memory = sum(size.memory for size in core.settings.machine_sizes.values())
-        offer = m.Offer(
+        offer = self._make_offer(framework, offer_id)
+        rescinded_id = core.frameworks.record_offer(framework, offer_id, now_ms)
+        if rescinded_id is not None:
+            rescind = m.Rescind(m.Value(rescinded_id))
+            self._send(framework, m.SchedulerEvent("RESCIND", rescind=rescind))
+        self._send(framework, m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
+
+    def _make_offer(self, framework: Framework, offer_id: str) -> m.Offer:
+        """An offer of the whole pool, as if it were one agent: the capacity of one machine of each kind."""
+        core = self.core
+        sizes = core.settings.machine_sizes.values()
+        cores = sum(size.cores for size in sizes)
+        memory_mb = sum(size.memory for size in sizes)
+        return m.Offer(
             m.Value(offer_id),
             m.Value(framework.id),
             m.Value(core.options.pool),
             core.options.pool,
-            m.resources(cores, memory),
+            m.resources(cores, memory_mb),
             [m.Attribute("zone", text=m.Text(core.settings.zone))],
         )
-        rescinded = core.frameworks.record_offer(framework, offer_id, now)
-        if rescinded is not None:
-            self._send(framework, m.SchedulerEvent("RESCIND", rescind=m.Rescind(m.Value(rescinded))))
-        self._send(framework, m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
 
     def decline(self, framework: Framework, decline: m.Decline) -> None:
-        seconds = decline.filters.refuse_seconds if decline.filters is not None else 5.0
-        for offer in decline.offer_ids:
-            wait = 1000.0 * min(max(0.0, seconds), 31_536_000.0)
-            self.core.frameworks.decline_offer(framework, offer.value, self.core.now(), refuse_ms=wait)
+        """Handles a DECLINE of offers."""
+        refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
+        refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
+        for offer_id in decline.offer_ids:
+            self.core.frameworks.decline_offer(
+                framework, offer_id.value, self.core.now(), refuse_ms=refuse_ms
+            )
 
-    # ---- tasks ----
+    # ---- launches ----
 
     def accept(self, framework: Framework, accept: m.Accept) -> None:
-        """ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
-        core, now = self.core, self.core.now()
-        again = core.options.offer_again_ms
-        valid = [
-            core.frameworks.use_offer(framework, o.value, now, offer_again_ms=again) for o in accept.offer_ids
-        ]
+        """Handles an ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
+        has_valid_offers = self._use_offers(framework, accept)
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
-                core.log("operation ignored", framework=framework.id, type=operation.type[:40])
+                type_text = operation.type[:MAX_LOGGED_TYPE_CHARACTERS]
+                self.core.log("operation ignored", framework=framework.id, type=type_text)
                 continue
             for info in operation.launch.task_infos:
-                if valid and all(valid):
+                if has_valid_offers:
                     self._launch(framework, info)
                 else:
-                    text = "the offer is not valid any more; expected one that was made in this session"
                     answer = StatusAnswer(
-                        status_mapping.TaskState.DROPPED,
-                        RetryAdvice.HARMLESS,
-                        status_mapping.StatusReason.INVALID_OFFERS,
+                        TaskState.DROPPED, RetryAdvice.HARMLESS, StatusReason.INVALID_OFFERS
                     )
-                    self._reject_launch(framework, info, answer, text)
+                    self._reject_launch(framework, info, answer, INVALID_OFFERS_TEXT)
+
+    def _use_offers(self, framework: Framework, accept: m.Accept) -> bool:
+        """Whether all offers of an ACCEPT are valid, and there is one."""
+        core = self.core
+        now_ms = core.now()
+        used = [
+            core.frameworks.use_offer(
+                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_again_ms
+            )
+            for offer_id in accept.offer_ids
+        ]
+        return bool(used) and all(used)
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
@@ -144,57 +186,79 @@
             if before.given is not None:
                 self._send_reconciliation(framework, before.task_id, before)
             return
-        verdict = self._check_admission(
-            before, framework.open_task_count, core.frameworks.has_update_backlog(framework)
+        decision = self._check_admission(
+            before,
+            open_task_count=framework.open_task_count,
+            has_update_backlog=core.frameworks.has_update_backlog(framework),
         )
-        if verdict is not None:
-            self._reject_launch(framework, info, verdict.answer, verdict.text)
+        if decision is not None:
+            self._reject_launch(framework, info, decision.answer, decision.text)
             return
         try:
-            ask = read_task_request(
-                info, core.classes, core.options.default_class, core.options.answer_margin_ms
+            request = read_task_request(
+                info,
+                core.classes,
+                default_class=core.options.default_class,
+                answer_margin_ms=core.options.answer_margin_ms,
             )
         except TaskRequestError as error:
-            answer = StatusAnswer(
-                status_mapping.TaskState.ERROR, RetryAdvice.NEVER, status_mapping.StatusReason.TASK_INVALID
-            )
+            answer = StatusAnswer(TaskState.ERROR, RetryAdvice.NEVER, StatusReason.TASK_INVALID)
             self._reject_launch(framework, info, answer, str(error))
             return
-        taken = self._admit(framework.id, framework.role(), info, ask)
-        if isinstance(taken, AdmissionDecision):
-            self._reject_launch(framework, info, taken.answer, taken.text)
+        admitted = self._admit(framework.id, framework.role(), info, request)
+        if isinstance(admitted, AdmissionDecision):
+            self._reject_launch(framework, info, admitted.answer, admitted.text)
             return
         framework.open_task_count += 1
-        core.ask(taken)
+        core.ask(admitted)
+
+    def _check_admission(
+        self, before: Call | None, *, open_task_count: int, has_update_backlog: bool
+    ) -> AdmissionDecision | None:
+        """Why a task is not taken, before what it asks for is looked at; None where it may be.
 
-    def _check_admission(self, before: Call | None, open_here: int, behind: bool) -> AdmissionDecision | None:
-        """Why a task that is no repeat of one in hand is not taken, before what it asks for is looked at."""
+        `before` is the latest call of the same task, if there is one: no repeat that is still open or placed.
+        """
         core = self.core
         if admission.repeats(before) == "never" and before is not None:
-            return AdmissionDecision(
-                status_mapping.reconciliation_answer(before.fate()), "it may have run before"
-            )
+            answer = status_mapping.reconciliation_answer(before.fate())
+            return AdmissionDecision(answer, "it may have run before")
         load = admission.AdmissionLoad(
-            core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending
+            open=core.ledger.open,
+            open_here=open_task_count,
+            known=len(core.ledger.calls),
+            behind=has_update_backlog,
+            ending=core.ending,
         )
         why = admission.refuses(load, core.options.limits)
-        return (
-            AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
-            if why is not None
-            else None
-        )
+        if why is None:
+            return None
+        return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
 
     def _admit(
-        self, owner: str, tenant: str | None, info: m.TaskInfo, ask: TaskRequest
+        self, owner: str, tenant: str | None, info: m.TaskInfo, request: TaskRequest
     ) -> Call | AdmissionDecision:
+        """Takes a task as a new call, unless the admission chain decides against it."""
         core = self.core
-        effect = core.classes[ask.task_class].idempotency
-        verdict = core.decide(AdmissionRequest(owner, tenant, info.task_id.value, effect, ask))
-        if verdict is not None:
-            return verdict
-        call = Call(next(core.numbers), owner, info.task_id.value, info, ask, effect, tenant, core.now())
+        task_id = info.task_id.value
+        idempotency = core.classes[request.task_class].idempotency
+        decision = core.decide(
+            AdmissionRequest(owner=owner, tenant=tenant, task_id=task_id, effect=idempotency, ask=request)
+        )
+        if decision is not None:
+            return decision
+        call = Call(
+            number=next(core.numbers),
+            framework=owner,
+            task_id=task_id,
+            info=info,
+            ask=request,
+            effect=idempotency,
+            tenant=tenant,
+            taken_at=core.now(),
+        )
         core.ledger.take(call)
-        core.figures.take(ask.task_class)
+        core.figures.take(request.task_class)
         core.happened(CallTaken(call))
         return call
 
@@ -203,122 +267,133 @@
         owner: str,
         tenant: str,
         info: m.TaskInfo,
-        ask: TaskRequest,
-        record: PendingReasons | None = None,
+        request: TaskRequest,
+        pending_reasons: PendingReasons | None = None,
     ) -> Call | AdmissionDecision:
-        """A task of an insider, as a LAUNCH of a framework; a Verdict where it was not taken.
+        """Takes a task of an owner within the process, as a LAUNCH of a framework.
+
+        Args:
+            owner: the owner's id.
+            tenant: whose work it is.
+            info: the task.
+            request: what it asks for.
+            pending_reasons: the reasons of its earlier rounds, to which this one's are added.
 
-        `record`: the reasons of its earlier rounds, to which this one's are added. A task that is open or
-        placed already is given as it is: the same ask again, or adopted from a former incarnation."""
+        Returns:
+            The call, or why the task is not taken. A task that is open or placed already is returned as it
+            is: it is the same request again, or was adopted from a former incarnation.
+
+        """
         core = self.core
         before = core.ledger.task(owner, info.task_id.value)
         if admission.repeats(before) == "same" and before is not None:
             core.figures.events["launch repeated"] += 1
             return before
-        verdict = self._check_admission(before, 0, False)
-        if verdict is not None:
-            return verdict
-        taken = self._admit(owner, tenant, info, ask)
-        if isinstance(taken, Call):
-            if record is not None:
-                taken.why = record
-            core.ask(taken)
-        return taken
+        decision = self._check_admission(before, open_task_count=0, has_update_backlog=False)
+        if decision is not None:
+            return decision
+        admitted = self._admit(owner, tenant, info, request)
+        if isinstance(admitted, Call):
+            if pending_reasons is not None:
+                admitted.why = pending_reasons
+            core.ask(admitted)
+        return admitted
 
     def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
-        """An answer without a call: the module was never asked. Counted as taken and refused or failed."""
-        name = m.label(info.labels, "class") or "-"
-        name = name if name in self.core.classes else "-"
-        given = FinalAnswer.FAILED if answer.retry_advice is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
-        self.core.figures.take(name)
-        self.core.figures.give(name, given)
-        self._send_status(framework, info.task_id.value, answer, None, text)
+        """Answers without a call: the module was never asked. Counted as taken, and as refused or failed."""
+        label = m.label(info.labels, "class")
+        task_class = label if label in self.core.classes else UNKNOWN_CLASS
+        is_harmless = answer.retry_advice is RetryAdvice.HARMLESS
+        self.core.figures.take(task_class)
+        self.core.figures.give(task_class, FinalAnswer.REFUSED if is_harmless else FinalAnswer.FAILED)
+        self._send_status(framework, info.task_id.value, answer, text=text)
+
+    # ---- cancellation ----
 
     def kill(self, framework: Framework, task_id: str) -> None:
+        """Handles a KILL of a task."""
         call = self.core.ledger.task(framework.id, task_id)
-        if call is None:
-            answer = StatusAnswer(
-                status_mapping.TaskState.UNKNOWN,
-                RetryAdvice.RECONCILE,
-                status_mapping.StatusReason.RECONCILIATION,
-            )
-            self._send_status(framework, task_id, answer, None, "no such task here", acked=False)
-        else:
+        if call is not None:
             self.cancel(call)
+            return
+        answer = StatusAnswer(TaskState.UNKNOWN, RetryAdvice.RECONCILE, StatusReason.RECONCILIATION)
+        self._send_status(framework, task_id, answer, text="no such task here", is_acknowledged=False)
 
     def cancel(self, call: Call) -> None:
-        """The owner wants no more of the task; with an attempt out, the answer waits for its end."""
+        """The owner wants no more of the task; with an attempt dispatched, the answer waits for its end."""
         core = self.core
         if call.over or call.left:
             return
-        out = call.out()
+        attempt = call.out()
         call.left = True
         if call.told:
             core.tell(api.CallAbandoned(call.number))
-        if out is not None:
-            core.kill(out)
+        if attempt is not None:
+            core.kill(attempt)
         elif call.given is None:
-            if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
-                core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
-            else:
-                core.answer(
-                    call,
-                    FinalAnswer.REFUSED,
-                    StatusAnswer(status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS),
-                )
+            self._answer_cancelled(call)
+
+    def _answer_cancelled(self, call: Call) -> None:
+        if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
+            self.core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
+        else:
+            answer = StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS)
+            self.core.answer(call, FinalAnswer.REFUSED, answer)
 
     # ---- updates ----
 
     def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
-        """A status of a call's task to its owner, if that is still known."""
+        """Reports a status of a call's task to its owner, if that is still known."""
         self.core.happened(TaskStatusReported(call, answer, text))
         framework = self.core.framework_of(call)
         if framework is not None:
-            out = call.last()
-            machine = out.machine if out is not None and call.given is FinalAnswer.SERVED else None
-            self._send_status(framework, call.task_id, answer, machine, text)
+            last = call.last()
+            is_placed = last is not None and call.given is FinalAnswer.SERVED
+            machine = last.machine if last is not None and is_placed else None
+            self._send_status(framework, call.task_id, answer, machine=machine, text=text)
 
     def _send_status(
         self,
         framework: Framework,
         task_id: str,
         answer: StatusAnswer,
-        machine: str | None,
+        *,
+        machine: str | None = None,
         text: str | None = None,
-        acked: bool = True,
+        is_acknowledged: bool = True,
     ) -> None:
-        status = self.core.status(task_id, answer, machine, text, acked)
+        """Sends a status; it is stored and repeated until the framework acknowledges it, if it has to be."""
+        status = self.core.status(task_id, answer, machine, text, is_acknowledged)
         self.core.frameworks.record_update(framework, status, self.core.now())
+        self._send_update(framework, status)
+
+    def _send_update(self, framework: Framework, status: m.TaskStatus) -> None:
         self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
 
     def _send(self, framework: Framework, event: m.SchedulerEvent) -> None:
-        session: Any = framework.session
-        if session is not None:
-            session.send(m.encode(event))
+        if framework.session is not None:
+            framework.session.send(m.encode(event))
 
     def acknowledge(self, framework: Framework, uuid: str) -> None:
+        """Handles an ACKNOWLEDGE of an update."""
         if not self.core.frameworks.acknowledge(framework, uuid):
             self.core.figures.events["acknowledge unknown"] += 1
 
+    # ---- reconciliation ----
+
     def reconcile(self, framework: Framework, tasks: list[m.ReconcileTask]) -> None:
-        """RECONCILE: explicit for the named tasks, implicit (all that are not over) for none."""
+        """Handles a RECONCILE: explicit for the named tasks, implicit (all that are placed) for none."""
         self.reconciliation_queue.enqueue(framework, [task.task_id.value for task in tasks])
 
     def _send_reconciliation(self, framework: Framework, task_id: str, call: Call | None) -> None:
-        if call is not None and call.given is None:
-            answer, machine = (
-                StatusAnswer(
-                    status_mapping.TaskState.STAGING,
-                    RetryAdvice.NEVER,
-                    status_mapping.StatusReason.RECONCILIATION,
-                ),
-                None,
-            )
+        machine = None
+        if call is None:
+            answer = status_mapping.reconciliation_answer(None)
+        elif call.given is None:
+            answer = StatusAnswer(TaskState.STAGING, RetryAdvice.NEVER, StatusReason.RECONCILIATION)
         else:
-            last = call.last() if call is not None else None
-            accepted = last is not None and last.step is status_mapping.AttemptStep.ACCEPTED
-            answer = status_mapping.reconciliation_answer(
-                None if call is None else call.fate(), is_accepted=accepted
-            )
-            machine = last.machine if last is not None and call is not None and call.placed() else None
-        self._send_status(framework, task_id, answer, machine, acked=False)
+            last = call.last()
+            is_accepted = last is not None and last.step is AttemptStep.ACCEPTED
+            answer = status_mapping.reconciliation_answer(call.fate(), is_accepted=is_accepted)
+            machine = last.machine if last is not None and call.placed() else None
+        self._send_status(framework, task_id, answer, machine=machine, is_acknowledged=False)
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -1,10 +1,11 @@
-"""RECONCILE in turns: who asked what is out, answered as fast as the loop bears, once it can be told.
+"""Answers to RECONCILE, a bounded number in each turn of the event loop, once they can be true.
 
-After a start every owner asks for all of its tasks in the same second, and agents have yet to tell what runs:
-an answer then says 'unknown' of tasks that run, and all ask again. So nothing is answered before the opening
-(`recovery.Opening`), and then a bounded number in each turn of the loop, owners in turn. A question that
-waits already is the same question; what is beyond the bound is not kept, and its owner, who gets no answer,
-asks again, as the API has it."""
+After a start every framework asks for all of its tasks in the same second, and agents have yet to report what
+runs: an answer then says 'unknown' of tasks that run, and all ask again. So nothing is answered before the
+startup gate opens, and then a bounded number in each turn, frameworks in rotation. A question that waits
+already is the same question; what is beyond the bound is dropped, and its framework, which gets no answer,
+asks again, as the API has it.
+"""
 
 from __future__ import annotations
 
@@ -18,38 +19,54 @@
 if TYPE_CHECKING:
     from glencleat.allocator.ports import CorePort
 
-ANSWERS_PER_TURN = 200  # answers in one turn of the loop: some 5 ms
-ANSWERS_PER_FRAMEWORK = 50  # of one owner before the next has its turn
-MAX_WAITING = 50_000  # questions that wait, of all owners
-ALL_TASKS = ""  # a question for every task that is out; no task has an empty id
+ANSWERS_PER_TURN = 200  # some 5 ms
+ANSWERS_PER_FRAMEWORK = 50  # of one framework, before the next has its turn
+MAX_WAITING = 50_000  # questions that wait, of all frameworks
+ALL_TASKS = ""  # a question for every task that is placed; no task has an empty id
+
+Questions = dict[str, None]  # task ids, each once, in the order asked
 
 
 class ReconciliationQueue:
+    """Questions that wait for their answer, by framework."""
+
     def __init__(self, core: CorePort, answer: Callable[[Framework, str, Call | None], None]) -> None:
-        self.core, self.answer = core, answer
-        self.questions_by_framework: dict[
-            str, dict[str, None]
-        ] = {}  # framework -> tasks, each once, in the order asked
+        """An empty queue.
+
+        Args:
+            core: whose call table has the answers.
+            answer: sends the answer about a task, by its id; the call is None where the task is not known.
+
+        """
+        self.core = core
+        self.answer = answer
+        self.questions_by_framework: dict[str, Questions] = {}
         self.waiting_count = 0
         self.is_scheduled = False
         core.hear(self._on_domain_event)
 
-    def enqueue(self, framework: Framework, tasks: Iterable[str]) -> None:
-        """The named tasks; none named: all that are out."""
-        line = self.questions_by_framework.setdefault(framework.id, {})
-        for task in list(tasks) or [ALL_TASKS]:
-            if task in line:
+    def enqueue(self, framework: Framework, task_ids: Iterable[str]) -> None:
+        """Adds a question for each of the tasks; for none, one for all that are placed."""
+        questions = self.questions_by_framework.setdefault(framework.id, {})
+        for task_id in list(task_ids) or [ALL_TASKS]:
+            if task_id in questions:
                 continue
-            if self.waiting_count >= MAX_WAITING:
-                self.core.figures.events["reconcile turned away"] += 1
+            if not self._add_question(questions, task_id):
                 break
-            line[task] = None
-            self.waiting_count += 1
         if not self.is_scheduled:
-            self._answer_turn()  # few are answered before the call returns
+            self._answer_turn()  # a small number is answered before the call returns
 
-    def _on_domain_event(self, what: Happened) -> None:
-        if isinstance(what, PlacementOpened):
+    def _add_question(self, questions: Questions, task_id: str) -> bool:
+        """Adds a question; returns False, and counts it, where too many wait."""
+        if self.waiting_count >= MAX_WAITING:
+            self.core.figures.events["reconcile turned away"] += 1
+            return False
+        questions[task_id] = None
+        self.waiting_count += 1
+        return True
+
+    def _on_domain_event(self, event: Happened) -> None:
+        if isinstance(event, PlacementOpened):
             self._schedule()
 
     def _schedule(self) -> None:
@@ -59,39 +76,40 @@
 
     def _answer_turn(self) -> None:
         self.is_scheduled = False
-        left = ANSWERS_PER_TURN if self.core.opening.done else 0
-        while left > 0 and self.questions_by_framework:
-            name, line = next(iter(self.questions_by_framework.items()))
-            del self.questions_by_framework[name]
-            framework = self.core.frameworks.frameworks_by_id.get(name)
+        if not self.core.opening.done:
+            return
+        remaining = ANSWERS_PER_TURN
+        while remaining > 0 and self.questions_by_framework:
+            framework_id, questions = next(iter(self.questions_by_framework.items()))
+            del self.questions_by_framework[framework_id]
+            framework = self.core.frameworks.frameworks_by_id.get(framework_id)
             if framework is None or framework.session is None:
-                self.waiting_count -= len(line)  # it asks anew when it is back
+                self.waiting_count -= len(questions)  # it asks anew when it is back
                 continue
-            left -= self._answer_framework(framework, line, min(left, ANSWERS_PER_FRAMEWORK))
-            if line:
-                self.questions_by_framework[name] = line  # behind the others
-        if self.core.opening.done:
-            self._schedule()
+            limit = min(remaining, ANSWERS_PER_FRAMEWORK)
+            remaining -= self._answer_framework(framework, questions, limit)
+            if questions:
+                self.questions_by_framework[framework_id] = questions  # behind the others
+        self._schedule()
 
-    def _answer_framework(self, framework: Framework, line: dict[str, None], most: int) -> int:
-        """Answers up to `most` of its questions; how many."""
+    def _answer_framework(self, framework: Framework, questions: Questions, limit: int) -> int:
+        """Answers up to `limit` questions of a framework; returns how many."""
         count = 0
-        while line and count < most:
-            task = next(iter(line))
-            del line[task]
+        while questions and count < limit:
+            task_id = next(iter(questions))
+            del questions[task_id]
             self.waiting_count -= 1
-            if task == ALL_TASKS:
-                self._enqueue_all_tasks(framework, line)
+            if task_id == ALL_TASKS:
+                self._enqueue_all_tasks(framework, questions)
                 continue
-            self.answer(framework, task, self.core.ledger.task(framework.id, task))
+            self.answer(framework, task_id, self.core.ledger.task(framework.id, task_id))
             count += 1
         return count
 
-    def _enqueue_all_tasks(self, framework: Framework, line: dict[str, None]) -> None:
+    def _enqueue_all_tasks(self, framework: Framework, questions: Questions) -> None:
         for call in self.core.ledger.of(framework.id):
             if self.waiting_count >= MAX_WAITING:
                 self.core.figures.events["reconcile turned away"] += 1
                 return
-            if call.placed() and not call.over and call.task_id not in line:
-                line[call.task_id] = None
-                self.waiting_count += 1
+            if call.placed() and not call.over and call.task_id not in questions:
+                self._add_question(questions, call.task_id)
