--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -177,7 +177,7 @@
         framework = m.label(task.labels, "framework")
         task_id = m.label(task.labels, "task")
         if framework is None or task_id is None:
-            raise TaskRequestError("labels framework and task are missing")
+            raise TaskRequestError("labels framework and task", "are missing")
         request = read_task_request(task, core.classes, default_class=None, answer_margin_ms=0.0)
         now_ms = core.now()
         call = Call(
--- a/tests/allocator/test_endpoint_list.py
+++ b/tests/allocator/test_endpoint_list.py
@@ -1,35 +1,69 @@
 """Agents of the Operator API as machines, and the list that removals are reported from."""
 
+import pytest
+
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
 from glencleat.mesos import messages as m
 
+NS_PER_MS = 1_000_000
+READY_AT_MS = 990.0  # of an agent that came up at 50 ms of the wall's clock, heard at 60 ms, at 1_000 ms
+
 
-def agent(name="h", up_ns=0, drain=False, **more):
+def make_agent(name="h", up_ms=0, *, is_draining=False, **more):
     info = m.AgentInfo(name, m.Value(name), [], [m.Attribute("kind", text=m.Text("std"))])
     return m.Agent(
         info,
-        registered_time=m.TimeInfo(up_ns),
-        drain_info=m.DrainInfo("DRAINING") if drain else None,
+        registered_time=m.TimeInfo(up_ms * NS_PER_MS),
+        drain_info=m.DrainInfo("DRAINING") if is_draining else None,
         total_resources=m.resources(16.0, 100.0),
         allocated_resources=m.resources(18.0, 40.0),
         **more,
     )
 
 
-def test_agents_become_machines():
+@pytest.fixture
+def listing():
+    """A list with one agent."""
     listing = MachineListing()
-    (told,) = listing.replace_all([agent(up_ns=int(50e6))], 1_000.0, 60.0).machines
-    assert (told.name, told.kind, told.phase) == ("h", "std", api.MachinePhase.SERVING)
-    assert told.free_cores == -2.0 and told.free_memory == 60.0 and told.ready_at_ms == 990.0
-    (noisy,) = listing.record_change(agent(up_ns=int(50e6)), 2_000.0, 1_061.0).machines
-    assert noisy.ready_at_ms == 990.0  # the clocks drifted by a millisecond: no restart
-    (restarted,) = listing.record_change(agent(up_ns=int(1_000e6)), 2_000.0, 1_060.0).machines
-    assert restarted.ready_at_ms == 1_940.0
-    assert listing.record_change(agent(drain=True), 0.0, 0.0).machines[0].phase is api.MachinePhase.DRAINING
-    (gone,) = listing.record_removal("h").machines
-    assert gone.phase is api.MachinePhase.REMOVED and gone.kind == "std"
-    assert listing.record_removal("never").machines[0].phase is api.MachinePhase.REMOVED
-    assert (
-        listing.replace_all([agent(up_ns=int(9e15))], 5.0, 6.0).machines[0].ready_at_ms == 5.0
-    )  # its clock is ahead
+    listing.replace_all([make_agent(up_ms=50)], 1_000.0, 60.0)
+    return listing
+
+
+def test_an_agent_becomes_a_machine():
+    (machine,) = MachineListing().replace_all([make_agent(up_ms=50)], 1_000.0, 60.0).machines
+    assert (machine.name, machine.kind, machine.phase) == ("h", "std", api.MachinePhase.SERVING)
+    assert machine.free_cores == -2.0
+    assert machine.free_memory == 60.0
+    assert machine.ready_at_ms == READY_AT_MS
+
+
+def test_a_drift_of_the_clocks_is_no_restart(listing):
+    (machine,) = listing.record_change(make_agent(up_ms=50), 2_000.0, 1_061.0).machines
+    assert machine.ready_at_ms == READY_AT_MS  # the clocks drifted by a millisecond
+
+
+def test_a_later_start_is_a_restart(listing):
+    (machine,) = listing.record_change(make_agent(up_ms=1_000), 2_000.0, 1_060.0).machines
+    assert machine.ready_at_ms == 1_940.0
+
+
+def test_an_agent_whose_clock_is_ahead_came_up_now():
+    (machine,) = MachineListing().replace_all([make_agent(up_ms=9_000_000_000)], 5.0, 6.0).machines
+    assert machine.ready_at_ms == 5.0
+
+
+def test_an_agent_with_drain_info_is_draining(listing):
+    (machine,) = listing.record_change(make_agent(is_draining=True), 0.0, 0.0).machines
+    assert machine.phase is api.MachinePhase.DRAINING
+
+
+def test_a_removed_machine_keeps_its_kind(listing):
+    (machine,) = listing.record_removal("h").machines
+    assert machine.phase is api.MachinePhase.REMOVED
+    assert machine.kind == "std"
+
+
+def test_a_removal_of_an_unknown_machine_is_reported(listing):
+    (machine,) = listing.record_removal("never").machines
+    assert machine.phase is api.MachinePhase.REMOVED
