--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -1,4 +1,4 @@
-"""A core on a clock of its own, with links that show what was sent: no sockets, no real time."""
+"""A core on a clock of its own, with sessions that record what was sent: no sockets, no real time."""
 
 from glencleat import Scheduler
 from glencleat import interface as api
@@ -23,10 +23,12 @@
 
 
 class Timing:
-    """The kernel's Loop as far as the core needs it."""
+    """The event loop as far as the core needs it; time passes only by `advance`."""
 
     def __init__(self):
-        self.at, self.timers, self.clock = 1_000_000.0, TimerHeap(), self
+        self.at = 1_000_000.0
+        self.timers = TimerHeap()
+        self.clock = self
 
     def now(self):
         return self.at
@@ -38,6 +40,7 @@
         return self.timers.add(self.at + in_ms, call)
 
     def advance(self, ms):
+        """Lets that many milliseconds pass, with the timers that become due."""
         until = self.at + ms
         while (due := self.timers.next_due()) is not None and due <= until:
             self.at = max(self.at, due)
@@ -48,12 +51,21 @@
 
 
 class Link:
-    """A session: keeps its records; `hold` leaves them in our buffer, whole or in part."""
+    """A session that stores its records.
+
+    While `hold` is set, what is sent stays in the allocator's buffer; `sent` may be set to a part of it. With
+    `fails` the session breaks at the next record. `ended` is called with the reason when it closes.
+    """
 
     def __init__(self, kind):
-        self.kind, self.records, self.queued, self.sent = kind, [], 0, 0
-        self.hold = self.fails = False
-        self.ended, self.why = None, None
+        self.kind = kind
+        self.records = []
+        self.queued = 0
+        self.sent = 0
+        self.hold = False
+        self.fails = False
+        self.ended = None
+        self.why = None
 
     def send(self, record):
         begin = self.queued
@@ -62,7 +74,8 @@
         if self.why is None:
             self.records.append(m.decode(self.kind, record))
             self.queued += len(record)
-            self.sent = self.sent if self.hold else self.queued
+            if not self.hold:
+                self.sent = self.queued
         return begin, begin + len(record)
 
     def written(self):
@@ -75,14 +88,17 @@
                 self.ended(why)
 
     def of(self, kind):
+        """The records of one type."""
         return [record for record in self.records if record.type == kind]
 
 
 class Agent:
-    """An agent as the executor front would let it speak."""
+    """An agent whose calls reach the core as from the server of the executor API."""
 
     def __init__(self, cluster, name, run="r1"):
-        self.cluster, self.name, self.run = cluster, name, run
+        self.cluster = cluster
+        self.name = name
+        self.run = run
         self.link = None
         self.uuids = 0
 
@@ -93,7 +109,8 @@
     def subscribe(self, tasks=(), updates=()):
         told = m.SubscribeExecutor(list(tasks), [m.UpdateCall(status) for status in updates])
         call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=told)
-        self.link = link = Link(m.ExecutorEvent)
+        link = Link(m.ExecutorEvent)
+        self.link = link
         agents = self.cluster.core.agents
         name = agents.subscribe(call, link)
         link.ended = lambda why: agents.close_session(name, link, why)
@@ -123,15 +140,22 @@
 
 
 class Owner:
+    """A framework whose calls reach the core as from the server of the scheduler API."""
+
     def __init__(self, cluster, name="owner", failover_s=60.0):
-        self.cluster, self.name, self.failover_s = cluster, name, failover_s
-        self.link = self.framework = None
+        self.cluster = cluster
+        self.name = name
+        self.failover_s = failover_s
+        self.link = None
+        self.framework = None
 
     def subscribe(self):
         info = m.FrameworkInfo("u", self.name, m.Value(self.name), "tenant", failover_timeout=self.failover_s)
-        self.link = link = Link(m.SchedulerEvent)
+        link = Link(m.SchedulerEvent)
+        self.link = link
         owners = self.cluster.core.owners
-        self.framework = framework = owners.subscribe(info, f"stream-{self.name}", link)
+        framework = owners.subscribe(info, f"stream-{self.name}", link)
+        self.framework = framework
         link.ended = lambda why: owners.close_session(framework, link, why)
         return self
 
