--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -1,10 +1,11 @@
-"""RECONCILE in turns: who asked what is out, answered as fast as the loop bears, once it can be told.
+"""Answers to RECONCILE, a bounded number in each turn of the event loop, once they can be true.
 
-After a start every owner asks for all of its tasks in the same second, and agents have yet to tell what runs:
-an answer then says 'unknown' of tasks that run, and all ask again. So nothing is answered before the opening
-(`recovery.Opening`), and then a bounded number in each turn of the loop, owners in turn. A question that
-waits already is the same question; what is beyond the bound is not kept, and its owner, who gets no answer,
-asks again, as the API has it."""
+After a start every framework asks for all of its tasks in the same second, and agents have yet to report what
+runs: an answer then says 'unknown' of tasks that run, and all ask again. So nothing is answered before the
+startup gate opens, and then a bounded number in each turn, frameworks in rotation. A question that waits
+already is the same question; what is beyond the bound is dropped, and its framework, which gets no answer,
+asks again, as the API has it.
+"""
 
 from __future__ import annotations
 
@@ -18,78 +19,97 @@
 if TYPE_CHECKING:
     from glencleat.allocator.ports import CorePort
 
-TURN = 200  # answers in one turn of the loop: some 5 ms
-SHARE = 50  # of one owner before the next has its turn
-MOST = 50_000  # questions that wait, of all owners
-ALL = ""  # a question for every task that is out; no task has an empty id
+ANSWERS_PER_TURN = 200  # some 5 ms
+ANSWERS_PER_FRAMEWORK = 50  # of one framework, before the next has its turn
+MAX_WAITING = 50_000  # questions that wait, of all frameworks
+ALL_TASKS = ""  # a question for every task that is placed; no task has an empty id
+
+Questions = dict[str, None]  # task ids, each once, in the order asked
 
 
 class ReconciliationQueue:
+    """Questions that wait for their answer, by framework."""
+
     def __init__(self, core: CorePort, answer: Callable[[Framework, str, Call | None], None]) -> None:
-        self.core, self.answer = core, answer
-        self.lines: dict[str, dict[str, None]] = {}  # framework -> tasks, each once, in the order asked
-        self.waiting = 0
-        self.pumping = False
-        core.hear(self._heard)
-
-    def ask(self, framework: Framework, tasks: Iterable[str]) -> None:
-        """The named tasks; none named: all that are out."""
-        line = self.lines.setdefault(framework.id, {})
-        for task in list(tasks) or [ALL]:
-            if task in line:
+        """An empty queue.
+
+        Args:
+            core: whose call table has the answers.
+            answer: sends the answer about a task, by its id; the call is None where the task is not known.
+
+        """
+        self.core = core
+        self.answer = answer
+        self.questions_by_framework: dict[str, Questions] = {}
+        self.waiting_count = 0
+        self.is_scheduled = False
+        core.hear(self._on_domain_event)
+
+    def enqueue(self, framework: Framework, task_ids: Iterable[str]) -> None:
+        """Adds a question for each of the tasks; for none, one for all that are placed."""
+        questions = self.questions_by_framework.setdefault(framework.id, {})
+        for task_id in list(task_ids) or [ALL_TASKS]:
+            if task_id in questions:
                 continue
-            if self.waiting >= MOST:
-                self.core.figures.events["reconcile turned away"] += 1
+            if not self._add_question(questions, task_id):
                 break
-            line[task] = None
-            self.waiting += 1
-        if not self.pumping:
-            self._pump()  # few are answered before the call returns
-
-    def _heard(self, what: Happened) -> None:
-        if isinstance(what, PlacementOpened):
-            self._soon()
-
-    def _soon(self) -> None:
-        if not self.pumping and self.lines:
-            self.pumping = True
-            self.core.timing.call_in(0.0, self._pump)
-
-    def _pump(self) -> None:
-        self.pumping = False
-        left = TURN if self.core.opening.done else 0
-        while left > 0 and self.lines:
-            name, line = next(iter(self.lines.items()))
-            del self.lines[name]
-            framework = self.core.frameworks.known.get(name)
+        if not self.is_scheduled:
+            self._answer_turn()  # a small number is answered before the call returns
+
+    def _add_question(self, questions: Questions, task_id: str) -> bool:
+        """Adds a question; returns False, and counts it, where too many wait."""
+        if self.waiting_count >= MAX_WAITING:
+            self.core.figures.events["reconcile turned away"] += 1
+            return False
+        questions[task_id] = None
+        self.waiting_count += 1
+        return True
+
+    def _on_domain_event(self, event: Happened) -> None:
+        if isinstance(event, PlacementOpened):
+            self._schedule()
+
+    def _schedule(self) -> None:
+        if not self.is_scheduled and self.questions_by_framework:
+            self.is_scheduled = True
+            self.core.timing.call_in(0.0, self._answer_turn)
+
+    def _answer_turn(self) -> None:
+        self.is_scheduled = False
+        if not self.core.opening.done:
+            return
+        remaining = ANSWERS_PER_TURN
+        while remaining > 0 and self.questions_by_framework:
+            framework_id, questions = next(iter(self.questions_by_framework.items()))
+            del self.questions_by_framework[framework_id]
+            framework = self.core.frameworks.frameworks_by_id.get(framework_id)
             if framework is None or framework.session is None:
-                self.waiting -= len(line)  # it asks anew when it is back
+                self.waiting_count -= len(questions)  # it asks anew when it is back
                 continue
-            left -= self._some(framework, line, min(left, SHARE))
-            if line:
-                self.lines[name] = line  # behind the others
-        if self.core.opening.done:
-            self._soon()
-
-    def _some(self, framework: Framework, line: dict[str, None], most: int) -> int:
-        """Answers up to `most` of its questions; how many."""
+            limit = min(remaining, ANSWERS_PER_FRAMEWORK)
+            remaining -= self._answer_framework(framework, questions, limit)
+            if questions:
+                self.questions_by_framework[framework_id] = questions  # behind the others
+        self._schedule()
+
+    def _answer_framework(self, framework: Framework, questions: Questions, limit: int) -> int:
+        """Answers up to `limit` questions of a framework; returns how many."""
         count = 0
-        while line and count < most:
-            task = next(iter(line))
-            del line[task]
-            self.waiting -= 1
-            if task == ALL:
-                self._all(framework, line)
+        while questions and count < limit:
+            task_id = next(iter(questions))
+            del questions[task_id]
+            self.waiting_count -= 1
+            if task_id == ALL_TASKS:
+                self._enqueue_all_tasks(framework, questions)
                 continue
-            self.answer(framework, task, self.core.ledger.task(framework.id, task))
+            self.answer(framework, task_id, self.core.ledger.task(framework.id, task_id))
             count += 1
         return count
 
-    def _all(self, framework: Framework, line: dict[str, None]) -> None:
+    def _enqueue_all_tasks(self, framework: Framework, questions: Questions) -> None:
         for call in self.core.ledger.of(framework.id):
-            if self.waiting >= MOST:
+            if self.waiting_count >= MAX_WAITING:
                 self.core.figures.events["reconcile turned away"] += 1
                 return
-            if call.placed() and not call.over and call.task_id not in line:
-                line[call.task_id] = None
-                self.waiting += 1
+            if call.placed() and not call.over and call.task_id not in questions:
+                self._add_question(questions, call.task_id)
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -30,17 +30,8 @@
     PlacementOpened,
     TaskStatusReported,
 )
-from glencleat.allocator.status_mapping import (
-    DROPPED,
-    FINISHED,
-    KILLED,
-    RUNNING,
-    STARTING,
-    RetryAdvice,
-    StatusAnswer,
-    refusal,
-)
 from glencleat.allocator.status_mapping import AttemptStep as AttemptStep
+from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer, TaskState, rejection_answer
 from glencleat.mesos import messages as m
 from glencleat.rest import overload
 from glencleat.rest import schema as s
@@ -220,18 +211,18 @@
             return
         slot.cancelled = True
         if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
-            self._refuse(slot, StatusAnswer(KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
+            self._refuse(slot, StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
         elif slot.call is not None and slot.call.over:  # out of sight; stopped should it come back
             self._step(slot, JobStep.OVER)
             self._settled(slot.job)
         elif slot.call is not None:
-            self.core.owners.withdraw(slot.call)  # its answer, or its end, follows
+            self.core.owners.cancel(slot.call)  # its answer, or its end, follows
 
     def cancel_task(self, seen: Seen) -> None:
         if seen.slot is not None:
             self.cancel_slot(seen.slot)
         elif seen.call is not None:
-            self.core.owners.withdraw(seen.call)
+            self.core.owners.cancel(seen.call)
         self.mirror.flush_task(seen.key)
 
     def patch(self, job: JobState, labels: dict[str, str | None]) -> None:
@@ -291,7 +282,7 @@
         core, job = self.core, slot.job
         left = round_ms(slot, core.now(), core.options.answer_margin_ms)
         if left <= 0.0:
-            self._refuse(slot, refusal(False))
+            self._refuse(slot, rejection_answer(False))
             return
         spec, name = job.spec, slot.name()
         key = f"{spec.key}.{slot.number}" if spec.key is not None else f"{name}.{job.uid}"
@@ -306,9 +297,13 @@
             data=spec.data,
         )
         slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
-        taken = core.owners.take_inside(owner_id(job.tenant), job.tenant, info, ask, slot.record)
+        taken = core.owners.take_in_process(owner_id(job.tenant), job.tenant, info, ask, slot.record)
         if isinstance(taken, AdmissionDecision):
-            given = FinalAnswer.REFUSED if taken.answer.retry is RetryAdvice.HARMLESS else FinalAnswer.FAILED
+            given = (
+                FinalAnswer.REFUSED
+                if taken.answer.retry_advice is RetryAdvice.HARMLESS
+                else FinalAnswer.FAILED
+            )
             self._after(
                 slot, after_round(slot, given, taken.answer, core.now(), self.random), taken.answer, given
             )
@@ -324,7 +319,7 @@
             slot.placed_once, slot.given = True, FinalAnswer.SERVED
             last = call.last()
             starting = last is None or last.step is AttemptStep.ACCEPTED
-            answer = StatusAnswer(STARTING if starting else RUNNING, RetryAdvice.NEVER)
+            answer = StatusAnswer(TaskState.STARTING if starting else TaskState.RUNNING, RetryAdvice.NEVER)
             self.seen(slot).answer = FinalAnswer.SERVED.value
             self.seen(slot).tell(answer, None, last.machine if last is not None else None)
         self.mirror.touch(self.seen(slot).key)
@@ -338,7 +333,7 @@
     def _refuse(self, slot: Slot, answer: StatusAnswer, text: str | None = None) -> None:
         """The final answer of a task that has no round out."""
         if text is None:
-            text = slot.record.text(len(self.core.listed or ()))
+            text = slot.record.describe(len(self.core.listed or ()))
         self._after(slot, Next(JobStep.OVER), answer, FinalAnswer.REFUSED, text)
 
     def _after(
@@ -404,7 +399,7 @@
             then = after_round(slot, given, answer, self.core.now(), self.random)
             slot.placed_once |= then.step is JobStep.PLACED
             self._after(slot, then, answer, given, what.text)
-        elif answer.state in (STARTING, RUNNING):
+        elif answer.state in (TaskState.STARTING, TaskState.RUNNING):
             # Also one that was told as failed, or that was to be placed anew, and is found to run: it is
             # placed from here on, and nothing more is asked for it.
             self.mirror.told(what.call, answer, what.text)
@@ -421,7 +416,7 @@
                 self._again(slot, then)
                 return
             self.mirror.told(what.call, answer, what.text)
-            slot.finished = answer.state == FINISHED
+            slot.finished = answer.state == TaskState.FINISHED
             self._step(slot, then.step)
             if then.step is JobStep.OVER:
                 self._settled(slot.job)
@@ -432,7 +427,7 @@
         """A task that was placed and lost is asked for anew, with its whole time before it."""
         now = self.core.now()
         slot.until, slot.rounds, slot.given = now + then.pause_ms + slot.job.wait_ms(), 0, None
-        self._after(slot, then, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
+        self._after(slot, then, StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
         self._expire_later([slot])
 
     # ---- time ----
@@ -443,7 +438,7 @@
         def expire() -> None:
             for slot in slots:
                 if slot.step in (JobStep.QUEUED, JobStep.PAUSED) and slot.until <= until:
-                    self._refuse(slot, refusal(False))
+                    self._refuse(slot, rejection_answer(False))
 
         margin = self.core.options.answer_margin_ms
         self.core.timing.call_in(max(0.0, until - margin - self.core.now()), expire)
@@ -519,7 +514,9 @@
             for slot in job.slots:
                 if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
                     self._refuse(
-                        slot, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), "the allocator is shutting down"
+                        slot,
+                        StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS),
+                        "the allocator is shutting down",
                     )
 
 
