--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -101,7 +101,10 @@
         self.hosts = ConnectionPool(loop, self.channel, self.descriptors, *limits, random, log)
         self.started = loop.now()
         self.owners.ready = self._ready
-        self.hosts.peers, self.hosts.cold_ms = config.settings.allocator_count, config.settings.warm_up_ms
+        self.hosts.allocator_count, self.hosts.warm_up_ms = (
+            config.settings.allocator_count,
+            config.settings.warm_up_ms,
+        )
         module = Scheduler(config.settings, config.seed)
         self.exchange = Exchange(config.settings, module, self, config.connect_ms)
         self.exchange.machines = self.channel.machines
@@ -141,19 +144,19 @@
         self.owners.proves(owner)
 
     def offer(self, attempt: SetupAttempt) -> None:
-        self.hosts.offer(attempt)
+        self.hosts.offer_attempt(attempt)
 
     def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
-        return self.hosts.cancel(attempt)
+        return self.hosts.cancel_attempt(attempt)
 
     def unread(self, attempt: SetupAttempt) -> bool:
-        return self.hosts.unread(attempt)
+        return self.hosts.has_unread_bytes(attempt)
 
     def cut(self, host: str, task: int) -> None:
-        self.hosts.cut(host, task)
+        self.hosts.release_task(host, task)
 
     def test(self, host: str, token: int) -> bool:
-        return self.hosts.test(host, token)
+        return self.hosts.request_load_report(host, token)
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
         return self.loop.call_in(in_ms, call)
@@ -166,7 +169,7 @@
     def list_told(self, news: ListChange) -> None:
         # The module first: what stood at a host that was replaced is then bound anew by the newer list.
         self.exchange.list_told(news)
-        self.hosts.list_told(news)
+        self.hosts.apply_list_change(news)
 
     # ---- signals ----
 
@@ -201,7 +204,7 @@
         seen = ShutdownObservation(
             unanswered=bool(self.exchange.open),
             unhandled=came or half or self.owners.unsent,
-            undelivered=bool(self.owners.owed) or self.hosts.cutting,
+            undelivered=bool(self.owners.owed) or self.hosts.has_unsent_releases,
         )
         state = self.draining.look(self.loop.now(), seen)
         if state is not ShutdownState.DRAINING:
@@ -221,9 +224,11 @@
         self.log(
             f"taken {x.taken} open {x.open} standing {stood} bad {x.bad} late {x.late} came to"
             f" nothing: {nothing}; owners"
-            f" {len(self.owners.owners)} links {self.hosts.links} hosts {len(self.hosts.hosts)} descriptors"
-            f" {d.held} most {d.most} of {d.room} refused {d.turned_away} waited {self.hosts.waited} paced"
-            f" {self.hosts.connecting.turned_away} cursor"
+            f" {len(self.owners.owners)} links {self.hosts.connection_count}"
+            f" hosts {len(self.hosts.hosts_by_name)} descriptors"
+            f" {d.held} most {d.most} of {d.room} refused {d.turned_away}"
+            f" waited {self.hosts.queued_attempt_count} paced"
+            f" {self.hosts.connection_limiter.turned_away} cursor"
             f" {self.channel.cursor} channel breaks {self.feed.breaks} longest round {self.lag:.0f} ms"
             f" module {x.contract.module_s:.2f} s cpu {time.process_time():.2f} s faults {self.faults}"
             f" rss {resident()}"
--- a/tests/platform_server/test_failure_detector.py
+++ b/tests/platform_server/test_failure_detector.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glencleat.platform_server.failure_detector import NEVER, NEVER_UP_MS, DetectorAction, FailureDetector
+from glencleat.platform_server.failure_detector import NEVER, UNREACHABLE_MS, DetectorAction, FailureDetector
 
 SWEEP_MS, STEP_MS, TRY_MS, CONNECT_MS, TOLD_MS = 200.0, 1_000.0, 1_000.0, 250.0, 8_000.0
 
@@ -31,18 +31,18 @@
     """One host's Life, driven as `hosts.py` drives it: a sweep each 200 ms, tries at most a second apart."""
 
     def __init__(self):
-        self.now, self.life, self.up, self.again_at = 0.0, FailureDetector(0.0), True, 0.0
+        self.now, self.detector, self.up, self.again_at = 0.0, FailureDetector(0.0), True, 0.0
         self.word = 0.0  # last sign that its releases reach us: its own word, or a connection that came up
         self.pending = []  # a try under way: when it ends, and how
 
     def begin(self, phase):
         if phase.listed == "gone":
-            self.life.leaves(self.now)
+            self.detector.record_removed(self.now)
         else:
-            self.life.listed(phase.listed == "draining")
+            self.detector.record_listed(phase.listed == "draining")
         if self.up and not phase.link:
             self.up = False
-            if self.life.breaks(self.now, idle=False, alone=True):
+            if self.detector.record_connection_lost(self.now, idle=False, alone=True):
                 self.again_at = self.now
 
     def sweep(self, phase):
@@ -52,21 +52,21 @@
             at, how = self.pending.pop()
             if how == "up":
                 self.up, self.word = True, at
-                self.life.up(at)
+                self.detector.record_connected(at)
             else:
-                self.life.fails(at, how == "refused", alone=not self.up)
+                self.detector.record_connect_failure(at, how == "refused", alone=not self.up)
                 self.again_at = at + TRY_MS
         if self.up and phase.says == "own":
             self.word = self.now
-            self.life.hears(self.now)
-            self.life.speaks(self.now)
-        do, why = self.life.look(self.now, True, self.up or bool(self.pending), 500.0)
+            self.detector.record_bytes(self.now)
+            self.detector.record_unsolicited_message(self.now)
+        do, why = self.detector.assess(self.now, True, self.up or bool(self.pending), 500.0)
         if self.up and phase.says == "tests":  # of the module's, as ours are no more
-            self.life.hears(self.now)
-        if do is DetectorAction.LAST:
+            self.detector.record_bytes(self.now)
+        if do is DetectorAction.CONNECT_NOW:
             self.again_at = self.now
         if (
-            do in (DetectorAction.LOOK, DetectorAction.LAST)
+            do in (DetectorAction.CONNECT, DetectorAction.CONNECT_NOW)
             and not self.pending
             and self.now >= self.again_at
         ):
@@ -84,12 +84,12 @@
         for phase in before:
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                over = over or run.sweep(phase)[0] is DetectorAction.OVER
+                over = over or run.sweep(phase)[0] is DetectorAction.DECLARE_DEAD
         if over:
             continue  # it was given up before
         run.begin(end)
-        while run.sweep(end)[0] is not DetectorAction.OVER:
-            assert run.now - run.word < TOLD_MS, (before, run.life.__dict__)
+        while run.sweep(end)[0] is not DetectorAction.DECLARE_DEAD:
+            assert run.now - run.word < TOLD_MS, (before, run.detector.__dict__)
 
 
 def test_a_host_that_is_heard_on_an_open_link_is_never_over():
@@ -101,10 +101,10 @@
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
                 do, why = run.sweep(phase)
-                over |= do is DetectorAction.OVER
+                over |= do is DetectorAction.DECLARE_DEAD
                 heard = run.up and phase.says == "own" and phase.listed != "gone"
                 tried += heard
-                assert not (heard and do is DetectorAction.OVER), (before, why)
+                assert not (heard and do is DetectorAction.DECLARE_DEAD), (before, why)
             if over:
                 break
     assert tried > 100_000
@@ -115,9 +115,9 @@
     run = Run()
     drains = Phase("refused", "tests", True, "draining")
     run.begin(drains)
-    while run.sweep(drains)[0] is not DetectorAction.OVER:
+    while run.sweep(drains)[0] is not DetectorAction.DECLARE_DEAD:
         assert run.now < TOLD_MS
-    assert run.now >= NEVER_UP_MS and run.life.heard > run.now - 4_000.0
+    assert run.now >= UNREACHABLE_MS and run.detector.last_heard_at_ms > run.now - 4_000.0
 
 
 @pytest.mark.parametrize(("gone", "ms"), [(False, 8_000.0), (True, 1_600.0)])
@@ -126,31 +126,31 @@
     run, drains = Run(), Phase("refused", "nothing", True, "draining")
     run.begin(drains)
     for _ in range(10):
-        assert run.sweep(drains)[0] is not DetectorAction.OVER
+        assert run.sweep(drains)[0] is not DetectorAction.DECLARE_DEAD
     ends = Phase("refused", "nothing", True, "gone" if gone else "draining")
     run.begin(ends)
     began = run.now
-    while run.sweep(ends)[0] is not DetectorAction.OVER:
+    while run.sweep(ends)[0] is not DetectorAction.DECLARE_DEAD:
         assert run.now - began < ms
     assert gone == (run.now - began < 1_600.0)
 
 
 def test_what_the_list_says_waits_for_a_refusal_of_its_own():
-    life = FailureDetector(0.0)
-    life.listed(draining=True)
-    life.fails(1_000.0, refused=True, alone=False)
-    life.leaves(1_100.0)
-    assert life.look(1_200.0, True, True, 500.0)[0] is not DetectorAction.OVER
-    life.fails(1_300.0, refused=True, alone=False)
-    assert life.look(1_400.0, True, True, 500.0)[0] is DetectorAction.OVER
+    detector = FailureDetector(0.0)
+    detector.record_listed(draining=True)
+    detector.record_connect_failure(1_000.0, refused=True, alone=False)
+    detector.record_removed(1_100.0)
+    assert detector.assess(1_200.0, True, True, 500.0)[0] is not DetectorAction.DECLARE_DEAD
+    detector.record_connect_failure(1_300.0, refused=True, alone=False)
+    assert detector.assess(1_400.0, True, True, 500.0)[0] is DetectorAction.DECLARE_DEAD
 
 
 def test_a_quiet_host_that_takes_connections_is_not_over_at_its_first_refusal():
-    life = FailureDetector(0.0)
+    detector = FailureDetector(0.0)
     for at in range(1_000, 20_000, 1_000):
-        life.up(float(at))
-    life.fails(20_000.0, refused=True, alone=False)
-    assert life.look(20_100.0, True, True, 500.0)[0] is DetectorAction.LOOK
+        detector.record_connected(float(at))
+    detector.record_connect_failure(20_000.0, refused=True, alone=False)
+    assert detector.assess(20_100.0, True, True, 500.0)[0] is DetectorAction.CONNECT
 
 
 def test_a_draining_host_whose_idle_link_ends_is_over_in_seconds_and_others_at_once():
@@ -159,17 +159,17 @@
         (True, False, 100.0, 400.0),
         (False, True, 100.0, 400.0),
     ):
-        life = FailureDetector(0.0)
-        life.listed(draining=drains)
-        life.breaks(0.0, idle=idle, alone=True)
+        detector = FailureDetector(0.0)
+        detector.record_listed(draining=drains)
+        detector.record_connection_lost(0.0, idle=idle, alone=True)
         assert (
-            life.look(1.0, True, False, 500.0)[0] is DetectorAction.LOOK
+            detector.assess(1.0, True, False, 500.0)[0] is DetectorAction.CONNECT
         )  # a release may have been on its way
-        life.fails(10.0, refused=True, alone=True)
+        detector.record_connect_failure(10.0, refused=True, alone=True)
         times = [
             at
             for at in range(0, 3_000, 50)
-            if life.look(10.0 + at, True, False, 500.0)[0] is DetectorAction.OVER
+            if detector.assess(10.0 + at, True, False, 500.0)[0] is DetectorAction.DECLARE_DEAD
         ]
         assert least < times[0] <= most
 
@@ -178,29 +178,29 @@
     """A connection may come up late, and a refusal beside a link that lives is a drain."""
     for refused, alone, heard, away in ((False, False, False, True), (False, False, True, False),
                                         (True, False, False, False), (True, True, False, True)):  # fmt: skip
-        life = FailureDetector(0.0)
-        life.fails(1_000.0, refused, alone)
-        assert not life.unreached(CONNECT_MS, alone)
+        detector = FailureDetector(0.0)
+        detector.record_connect_failure(1_000.0, refused, alone)
+        assert not detector.is_unreachable(CONNECT_MS, alone)
         if heard:
-            life.hears(1_900.0)
-            life.speaks(1_900.0)
-        life.fails(2_000.0, refused, alone)
-        assert life.unreached(CONNECT_MS, alone) is away
-        life.up(2_100.0)
-        assert not life.unreached(CONNECT_MS, alone)
+            detector.record_bytes(1_900.0)
+            detector.record_unsolicited_message(1_900.0)
+        detector.record_connect_failure(2_000.0, refused, alone)
+        assert detector.is_unreachable(CONNECT_MS, alone) is away
+        detector.record_connected(2_100.0)
+        assert not detector.is_unreachable(CONNECT_MS, alone)
 
 
-def due_is_exact(life, now, addressed, linked, look_ms):
+def due_is_exact(detector, now, addressed, linked, look_ms):
     """`look` says NOTHING at every instant from now on before `due`, and something as soon as it is past."""
-    due = life.due(addressed, linked, look_ms)
-    at = lambda when: life.look(when, addressed, linked, look_ms)[0]  # noqa: E731
+    due = detector.next_assessment_ms(addressed, linked, look_ms)
+    at = lambda when: detector.assess(when, addressed, linked, look_ms)[0]  # noqa: E731
     told = (now, now + 1.0, now + 199.0, (now + due) / 2.0, due - 1.0, math.nextafter(due, -NEVER))
     said = [(when, at(when)) for when in told if now <= when < due and when < NEVER]
-    assert all(do is DetectorAction.NOTHING for _, do in said), (said, due, vars(life))
+    assert all(do is DetectorAction.NOTHING for _, do in said), (said, due, vars(detector))
     if due < NEVER:
-        assert at(max(due + 0.01, now)) is not DetectorAction.NOTHING, (due, vars(life))
+        assert at(max(due + 0.01, now)) is not DetectorAction.NOTHING, (due, vars(detector))
     else:
-        assert at(now + 1e9) is DetectorAction.NOTHING, vars(life)
+        assert at(now + 1e9) is DetectorAction.NOTHING, vars(detector)
 
 
 def test_before_it_is_due_a_look_would_have_said_nothing():
@@ -212,18 +212,18 @@
         for number, phase in enumerate(before):
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                if run.sweep(phase)[0] is DetectorAction.OVER:
+                if run.sweep(phase)[0] is DetectorAction.DECLARE_DEAD:
                     break
-                life = run.life
-                state = (run.now, life.since, life.gone, life.draining, life.gone_at, life.spoke, life.refused,
-                         life.failing, life.failed_at, life.refusing, life.fell)  # fmt: skip
+                detector = run.detector
+                state = (run.now, detector.created_at_ms, detector.is_removed, detector.is_draining, detector.removed_at_ms, detector.last_unsolicited_at_ms, detector.refused_since_ms,
+                         detector.failing_since_ms, detector.last_failure_at_ms, detector.is_refusing, detector.has_process_ended)  # fmt: skip
                 if number < 2 or state in states:
                     continue
                 states.add(state)
                 for addressed, linked, look_ms, given_up in asked:
-                    kept, life.given_up = life.given_up, given_up
-                    due_is_exact(life, run.now, addressed, linked, look_ms)
-                    life.given_up = kept
+                    kept, detector.is_connection_evicted = detector.is_connection_evicted, given_up
+                    due_is_exact(detector, run.now, addressed, linked, look_ms)
+                    detector.is_connection_evicted = kept
     assert len(states) > 1_000
 
 
@@ -238,24 +238,24 @@
     st.floats(0.0, 3_000.0),
 )
 def test_due_by_drawn_histories(seen, addressed, linked, look_ms):
-    now, life = 0.0, FailureDetector(0.0)
+    now, detector = 0.0, FailureDetector(0.0)
     for ms, what in seen:
         now += ms
         match what.split():
             case ["leaves"]:
-                life.leaves(now)
+                detector.record_removed(now)
             case ["serves"] | ["drains"]:
-                life.listed(what == "drains")
+                detector.record_listed(what == "drains")
             case ["up"]:
-                life.up(now)
+                detector.record_connected(now)
             case ["says"] | ["answers"]:
-                life.hears(now)
+                detector.record_bytes(now)
                 if what == "says":
-                    life.speaks(now)
+                    detector.record_unsolicited_message(now)
             case ["refused" | "nothing" as how, *alone]:
-                life.fails(now, how == "refused", bool(alone))
+                detector.record_connect_failure(now, how == "refused", bool(alone))
             case ["breaks", *how]:
-                life.breaks(now, how == ["idle"], how == ["alone"])
+                detector.record_connection_lost(now, how == ["idle"], how == ["alone"])
             case _:
-                life.given_up = True
-        due_is_exact(life, math.nextafter(now, NEVER), addressed, linked, look_ms)
+                detector.is_connection_evicted = True
+        due_is_exact(detector, math.nextafter(now, NEVER), addressed, linked, look_ms)
--- a/tests/platform_server/test_garbage.py
+++ b/tests/platform_server/test_garbage.py
@@ -120,10 +120,10 @@
 
 
 def opens_a_link(world, number):
-    host = world.hosts.hosts["h1"]
-    link = world.hosts._new(host)
+    host = world.hosts.hosts_by_name["h1"]
+    link = world.hosts._open_connection(host)
     world.until(lambda: link.stream is not None)
-    link.drop("of no further use")
+    link.abort("of no further use")
     settled(world, 6)
     world.peer.streams.clear()
 
--- a/tests/platform_server/test_platform_server.py
+++ b/tests/platform_server/test_platform_server.py
@@ -74,7 +74,9 @@
         patch.setattr(streams.socket, "socket", none_left)
         world.ask(owner, 1)
         assert world.back() == [api.Outcome.NOT_SENT]
-    assert not world.hosts.hosts["h1"].links and world.hosts.hosts["h1"].failing == float("inf")
+    assert not world.hosts.hosts_by_name["h1"].connections and world.hosts.hosts_by_name[
+        "h1"
+    ].failing_since_ms == float("inf")
     world.ask(owner, 2)
     world.until(lambda: "h1" in world.exchange.standing)
 
@@ -116,14 +118,14 @@
     world.hosts.connect_ms = 10.0
     (peer,), owner = standing(world, 1)
     cut_off(monkeypatch)
-    host = world.hosts.hosts["h0"]
-    world.until(lambda: host.failed_at > host.heard + 20.0)
+    host = world.hosts.hosts_by_name["h0"]
+    world.until(lambda: host.last_failure_at_ms > host.last_heard_at_ms + 20.0)
     for count in (1, 2):  # by a try of its own, or by one that has just failed
         world.ask(owner, 1 + count, host="h0", timeout=1_000.0)
         assert world.back(count, ms=700.0) == [api.Outcome.UNREACHABLE] * count
     assert [message.task for _, message in peer.got] == [1] and live(world)
     peer.streams[0].send(m.encode(m.PROGRESS, 99))  # it is heard after all: only new connections fail
-    world.until(lambda: host.heard > host.failed_at)
+    world.until(lambda: host.last_heard_at_ms > host.last_failure_at_ms)
     world.ask(owner, 4, host="h0")
     world.until(lambda: [message.task for _, message in peer.got] == [1, 4])
 
@@ -154,21 +156,23 @@
 def test_a_cut_ends_what_stands_only_when_its_release_is_nearly_due(world, monkeypatch, heals):
     """3.5 s of failed connections ended thousands of tasks that ran on behind a cut of 6 s."""
     monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
-    for name, ms in (("QUIET_MS", 20.0), ("NEVER_UP_MS", 900.0)):
+    for name, ms in (("QUIET_MS", 20.0), ("UNREACHABLE_MS", 900.0)):
         monkeypatch.setattr(failure_detector, name, ms)
     (peer,), _ = standing(world, 1)
-    cut, host = cut_off(monkeypatch), world.hosts.hosts["h0"]
-    heard = host.heard
-    world.until(lambda: host.failing < world.loop.now() - 200.0)
+    cut, host = cut_off(monkeypatch), world.hosts.hosts_by_name["h0"]
+    heard = host.last_heard_at_ms
+    world.until(lambda: host.failing_since_ms < world.loop.now() - 200.0)
     assert "h0" in world.exchange.standing
     if heals:
         cut[0] = False
-        world.until(lambda: host.heard > heard)
+        world.until(lambda: host.last_heard_at_ms > heard)
         world.until(lambda: world.loop.now() > heard + 1_300.0)
         assert "h0" in world.exchange.standing
     else:
         assert world.back() == [api.Outcome.LOST]
-        assert host.failed_at > host.heard + 900.0  # by a try that could have told of a heal until then
+        assert (
+            host.last_failure_at_ms > host.last_heard_at_ms + 900.0
+        )  # by a try that could have told of a heal until then
 
 
 def test_a_host_that_no_list_names_is_sent_nothing(world):
@@ -240,7 +244,7 @@
     world.until(lambda: len(world.exchange.standing.get("h1", ())) == 2)
     world.list(("h1", peer.address), phase=api.MachinePhase.DRAINING)
     peer.die()
-    assert world.back(2, ms=0.6 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST] * 2
+    assert world.back(2, ms=0.6 * failure_detector.DRAINING_REFUSAL_PROOF_MS) == [api.Outcome.LOST] * 2
 
 
 @pytest.mark.parametrize("idle", [False, True])
@@ -267,7 +271,7 @@
 
     Nor is it asked: that had a price, and told nothing that the list and the links don't."""
     monkeypatch.setattr(failure_detector, "QUIET_MS", 50.0)
-    monkeypatch.setattr(failure_detector, "NEVER_UP_MS", 600.0 if "nothing" not in says else 60_000.0)
+    monkeypatch.setattr(failure_detector, "UNREACHABLE_MS", 600.0 if "nothing" not in says else 60_000.0)
 
     words = {"notes": m.encode(m.NOTE, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
              "tests passed": m.caused(m.TESTED, 9, 0)}  # fmt: skip
@@ -347,7 +351,7 @@
     world.ask(owner, 2, host="h2")
     world.until(lambda: "h2" in world.exchange.standing)
     assert len(peer.streams) == 2
-    world.until(lambda: set(world.hosts.hosts) == {"h2"})  # and h1 is forgotten
+    world.until(lambda: set(world.hosts.hosts_by_name) == {"h2"})  # and h1 is forgotten
 
 
 @pytest.mark.parametrize("moved", ["elsewhere", "replaced"])
@@ -368,7 +372,7 @@
     world.until(lambda: begun == [peer.address])
     world.list(("h1", other.address) if moved == "elsewhere" else ("h2", peer.address))
     assert world.back() == [api.Outcome.NOT_SENT]
-    assert not world.hosts.links
+    assert not world.hosts.connection_count
     held[0] = False
     world.until(lambda: len(peer.streams) == 1 and world.descriptors.held == 1)
     assert not peer.got
@@ -381,10 +385,10 @@
     world.ask(owner, 1, timeout=300.0)
     assert world.back() == [api.Outcome.TIMED_OUT]
     world.until(lambda: kinds(peer) == [m.SETUP, m.RELEASE])
-    (link,) = world.hosts.hosts["h1"].links
-    assert link.doubtful
+    (link,) = world.hosts.hosts_by_name["h1"].connections
+    assert link.is_unresponsive
     peer.streams[0].send(m.encode(m.PROGRESS, 99))
-    world.until(lambda: not link.doubtful)
+    world.until(lambda: not link.is_unresponsive)
     world.module.next.append([api.Bind(1, "h1", 2000.0)])
     world.exchange.list_told(ListChange(False, ()))
     world.until(lambda: len(peer.got) == 3)
@@ -404,7 +408,7 @@
     world.list(("h1", peer.address))
     world.ask(owner, 1)
     world.until(lambda: "h1" in world.exchange.standing)
-    for link in list(world.hosts.hosts["h1"].links):
+    for link in list(world.hosts.hosts_by_name["h1"].connections):
         link.stream.close()
     owner.send(m.caused(m.RELEASE, 1, 16))
     world.until(lambda: m.RELEASE in kinds(peer))
@@ -425,7 +429,7 @@
 
 
 def live(world, host="h0"):
-    return [link for link in world.hosts.hosts[host].links if link.stream is not None]
+    return [link for link in world.hosts.hosts_by_name[host].connections if link.stream is not None]
 
 
 def test_an_attempt_waits_for_a_descriptor_within_its_time(world):
@@ -455,11 +459,13 @@
     for task in (1, 2):
         world.ask(owner, task, host=f"h{task - 1}")
     first, second = world.hosts.wait_queue
-    world.hosts.hosts["h0"].address = ("", 0)
-    world.exchange.failed = lambda attempt, fact: world.hosts.cancel(second)
+    world.hosts.hosts_by_name["h0"].address = ("", 0)
+    world.exchange.failed = lambda attempt, fact: world.hosts.cancel_attempt(second)
     world.descriptors.room = 9
     world.hosts._serve_queue()
-    assert not world.hosts.wait_queue and second.link is None and not world.hosts.hosts["h1"].links
+    assert (
+        not world.hosts.wait_queue and second.link is None and not world.hosts.hosts_by_name["h1"].connections
+    )
 
 
 def test_a_host_that_takes_connections_and_ends_them_is_asked_in_growing_steps(world, monkeypatch):
@@ -487,9 +493,9 @@
     """A host that is slow to take connections is not helped by eight that knock."""
     held, began = cut_off(monkeypatch), []
     world.list(("h1", ("127.0.0.1", 9)))
-    monkeypatch.setattr(world.hosts.connecting, "began", lambda address, now: began.append(address))
-    monkeypatch.setattr(world.hosts.connecting, "shared", lambda address: len(began) >= 2)
-    monkeypatch.setattr(world.hosts.connecting, "ended", lambda address: None)
+    monkeypatch.setattr(world.hosts.connection_limiter, "began", lambda address, now: began.append(address))
+    monkeypatch.setattr(world.hosts.connection_limiter, "shared", lambda address: len(began) >= 2)
+    monkeypatch.setattr(world.hosts.connection_limiter, "ended", lambda address: None)
     owner = world.client()
     for task in range(1, 6):
         world.ask(owner, task)
@@ -505,7 +511,7 @@
     real, most = host_connections.connect, []
 
     def connect(loop, address, timeout_ms):
-        most.append(world.hosts.connecting.coming)
+        most.append(world.hosts.connection_limiter.coming)
         yield from loop.sleep(20.0)
         return (yield from real(loop, address, timeout_ms))
 
@@ -513,12 +519,16 @@
     for i in range(6):
         world.ask(owner, i + 1, host=f"h{i}")
     world.until(lambda: sum(map(len, world.exchange.standing.values())) == 6)
-    assert max(most) <= 3 and world.hosts.waited >= 3 and world.hosts.connecting.coming == 0
-    assert world.hosts.connecting.turned_away > 0 and not world.hosts.connecting.at
+    assert (
+        max(most) <= 3
+        and world.hosts.queued_attempt_count >= 3
+        and world.hosts.connection_limiter.coming == 0
+    )
+    assert world.hosts.connection_limiter.turned_away > 0 and not world.hosts.connection_limiter.at
 
 
 def test_the_line_is_bounded(world, monkeypatch):
-    monkeypatch.setattr(connection_pool, "MOST_WAITING", 1)
+    monkeypatch.setattr(connection_pool, "MAX_QUEUED_ATTEMPTS", 1)
     peer, owner = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.until(lambda: world.owners.owners)
@@ -544,8 +554,8 @@
 def test_more_hosts_than_descriptors_take_turns(world, monkeypatch):
     """Every release is heard, though two links serve six hosts."""
     monkeypatch.setattr(connection_pool, "TICK_MS", 10.0)
-    monkeypatch.setattr(failure_detector, "HEAR_MS", 100.0)
-    monkeypatch.setattr(host_connections, "VISIT_MS", 20.0)
+    monkeypatch.setattr(failure_detector, "EVICTED_QUIET_MS", 100.0)
+    monkeypatch.setattr(host_connections, "LIVENESS_CHECK_MS", 20.0)
     world.descriptors.room, world.descriptors.rights = 3, {Side.OWNERS: 1, Side.LINKS: 2}
     peers, owner = standing(world, 6)
     owed = {}
@@ -582,11 +592,11 @@
     monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     (peer,), _ = standing(world, 1)
     world.until(lambda: len(live(world)) == 2)
-    host = world.hosts.hosts["h0"]
+    host = world.hosts.hosts_by_name["h0"]
     world.list(("h0", peer.address), phase=api.MachinePhase.DRAINING)
     peer.listener.close()
     kept = set(live(world))
-    world.until(lambda: host.failing < world.loop.now() - 300.0 and not world.descriptors.leaving)
+    world.until(lambda: host.failing_since_ms < world.loop.now() - 300.0 and not world.descriptors.leaving)
     assert kept and kept == set(live(world))  # a host that drains takes no other
 
 
@@ -610,19 +620,19 @@
     (peer,), owner = standing(world, 1)
     assert world.says(owner)
     (link,) = live(world)
-    link.leave("room is wanted")
+    link.close_gracefully("room is wanted")
     peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
     assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
     world.until(lambda: not world.descriptors.leaving)
 
 
 def test_a_host_that_never_closes_a_link_that_we_end(world, monkeypatch):
-    monkeypatch.setattr(host_connections, "LEAVE_MS", 30.0)
+    monkeypatch.setattr(host_connections, "CLOSE_TIMEOUT_MS", 30.0)
     (peer,), _ = standing(world, 1)
     peer.serve = lambda stream: iter(())
     (link,) = live(world)
     monkeypatch.setattr(link.stream, "shut", lambda: None)
-    link.leave("room is wanted")
+    link.close_gracefully("room is wanted")
     assert world.descriptors.leaving == {link}
     world.until(lambda: link.stream.closed == "room is wanted" and not world.descriptors.leaving)
 
@@ -639,11 +649,11 @@
     world.until(lambda: len(world.exchange.standing.get("h0", ())) == 2)
     world.list(("h0", peer.address), phase=api.MachinePhase.DRAINING)
     peer.listener.close()
-    host = world.hosts.hosts["h0"]
+    host = world.hosts.hosts_by_name["h0"]
     for link in live(world):
-        link.leave("for the test")
-    world.until(lambda: not world.descriptors.leaving and host.refused < world.loop.now() - 200.0)
-    assert not host.fell and "h0" in world.exchange.standing
+        link.close_gracefully("for the test")
+    world.until(lambda: not world.descriptors.leaving and host.refused_since_ms < world.loop.now() - 200.0)
+    assert not host.has_process_ended and "h0" in world.exchange.standing
 
 
 def test_the_only_link_to_a_draining_host_is_never_given_up(world):
@@ -658,14 +668,14 @@
 
 def test_a_host_whose_link_we_gave_up_may_have_begun_to_drain(world, monkeypatch):
     """The list may not tell it yet, and it refuses new connections while its tasks run."""
-    monkeypatch.setattr(failure_detector, "HEAR_MS", 50.0)
+    monkeypatch.setattr(failure_detector, "EVICTED_QUIET_MS", 50.0)
     (peer,), _ = standing(world, 1)
     live(world)[0].give_up()
     peer.listener.close()
-    host = world.hosts.hosts["h0"]
-    world.until(lambda: host.refused < world.loop.now() - 5.0 * failure_detector.REFUSED_MS)
+    host = world.hosts.hosts_by_name["h0"]
+    world.until(lambda: host.refused_since_ms < world.loop.now() - 5.0 * failure_detector.REFUSAL_PROOF_MS)
     assert "h0" in world.exchange.standing
-    assert world.back(ms=2.0 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST]
+    assert world.back(ms=2.0 * failure_detector.DRAINING_REFUSAL_PROOF_MS) == [api.Outcome.LOST]
 
 
 def test_the_last_owner_that_releases_can_go_by_stays(world):
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -100,13 +100,13 @@
 def test_a_client_that_left_while_it_waited_for_a_descriptor_is_not_served(world, how):
     """Held: the descriptor is free before the loop has told of the client's leaving."""
     peer, sock = linked(world)
-    (link,) = world.hosts.hosts["h1"].links
+    (link,) = world.hosts.hosts_by_name["h1"].connections
     peer.script = lambda stream, message: None
     world.ask(sock, 5)  # which keeps the link
-    link.doubtful, world.descriptors.room = True, 0  # it takes nothing more, and there is no other
+    link.is_unresponsive, world.descriptors.room = True, 0  # it takes nothing more, and there is no other
     world.ask(sock, 1)
     assert len(world.hosts.wait_queue) == 1
-    link.doubtful = False
+    link.is_unresponsive = False
     leave(sock, how)
     world.hosts._serve_queue()
     settled(world)
@@ -203,9 +203,9 @@
     """It would meet the turn of another allocator there."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
-    monkeypatch.setattr(world.hosts, "cold", lambda host: True)
+    monkeypatch.setattr(world.hosts, "is_warming_up", lambda host: True)
     world.ask(sock, 1)
-    (attempt,) = (a for link in world.hosts.hosts["h1"].links for a in link.waiting)
+    (attempt,) = (a for link in world.hosts.hosts_by_name["h1"].connections for a in link.waiting_attempts)
     attempt.began -= 1.0
     world.exchange.settings = replace(SETTINGS, warm_up_window_ms=1.0)
     settled(world)
@@ -230,7 +230,7 @@
     world.list(("h1", peer.address))
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
-    (link,) = world.hosts.hosts["h1"].links
+    (link,) = world.hosts.hosts_by_name["h1"].connections
     link.stream.out += b"\0"  # as if the socket had taken no more
     world.ask(sock, 2)
     world.until(lambda: len(peer.streams) == 2 and m.SETUP in kinds(peer)[1:])
@@ -282,7 +282,7 @@
     tower = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
     asking = Backoff(BackoffPolicy(1.0, 1.0, 9e9), world.hosts.random)
     watch_client.WatchClient(
-        world.loop, world.channel, asking, tower.address, world.hosts.list_told, world.logs.append
+        world.loop, world.channel, asking, tower.address, world.hosts.apply_list_change, world.logs.append
     )
     world.until(lambda: tower.got)
     sock.send(setup(1))  # the module holds it
@@ -301,8 +301,8 @@
     """Held: a word of it lies unread, and a sweep is due that last heard of it eight seconds ago."""
     peer, _ = linked(world)
     peer.listener.close()
-    host = world.hosts.hosts["h1"]
-    host.fails(world.loop.now(), refused=True, alone=False)
+    host = world.hosts.hosts_by_name["h1"]
+    host.record_connect_failure(world.loop.now(), refused=True, alone=False)
     peer.streams[0].send(m.encode(m.NOTE, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
     standstill(world, 8_000.0)
     settled(world)
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -20,19 +20,19 @@
     def _tick(self):
         self.loop.call_in(connection_pool.TICK_MS, self._tick)
         now = self.loop.now()
-        late, self.ticked = now - self.ticked > connection_pool.LATE_MS, now
+        late, self.last_tick_at_ms = now - self.last_tick_at_ms > connection_pool.STANDSTILL_MS, now
         if late:
             return
-        self._freed()
-        for name in [name for name in self.exchange.standing if name not in self.hosts]:
-            self._add(name).leaves(now)
-        for host in sorted(self.hosts.values(), key=lambda host: host.heard):
+        self._on_capacity_freed()
+        for name in [name for name in self.exchange.standing if name not in self.hosts_by_name]:
+            self._add_host(name).record_removed(now)
+        for host in sorted(self.hosts_by_name.values(), key=lambda host: host.last_heard_at_ms):
             if host.name in self.exchange.standing:
-                self._look(host, now)
-            elif host.uncut:
-                self._again(host, Demand.ATTEMPT)
-            self._tidy(host, now)
-            self._file(host)
+                self._assess_host(host, now)
+            elif host.unsent_releases:
+                self._reconnect(host, Demand.ATTEMPT)
+            self._close_unneeded(host, now)
+            self._refile(host)
 
 
 class Script:
@@ -152,17 +152,26 @@
     """What there is at the end, beside the record."""
     found = {
         name: (
-            host.again_at,
-            host.heard,
-            host.spoke,
-            host.away,
-            [(li.used, li.visit, li.load) for li in host.links],
+            host.next_connect_at_ms,
+            host.last_heard_at_ms,
+            host.last_unsolicited_at_ms,
+            host.is_reported_unreachable,
+            [(li.last_used_at_ms, li.is_liveness_check, li.open_attempt_count) for li in host.connections],
         )
-        for name, host in world.hosts.hosts.items()
+        for name, host in world.hosts.hosts_by_name.items()
     }
-    d, c = world.descriptors, world.hosts.connecting
+    d, c = world.descriptors, world.hosts.connection_limiter
     standing = {name: list(tasks) for name, tasks in world.exchange.standing.items()}
-    return found, standing, d.held, d.most, d.turned_away, c.turned_away, c.coming, world.hosts.waited
+    return (
+        found,
+        standing,
+        d.held,
+        d.most,
+        d.turned_away,
+        c.turned_away,
+        c.coming,
+        world.hosts.queued_attempt_count,
+    )
 
 
 @pytest.mark.parametrize("first", range(0, STREAMS, BATCH))
@@ -176,7 +185,7 @@
             around = slice(max(0, differs - 4), differs + 3)
             pytest.fail(f"seed {seed}:\n{plain.record[around]}\n{due.record[around]}")
         assert len(plain.record) == len(due.record) and left(plain) == left(due), seed
-        assert plain.hosts.links == due.hosts.links or not plain.hosts.linked
+        assert plain.hosts.connection_count == due.hosts.connection_count or not plain.hosts.connected_hosts
 
 
 # ---- what a tick costs, as counts of work ----
@@ -197,9 +206,9 @@
 
 def looked(world, ms):
     """Hosts looked at in so long, and ticks."""
-    before = world.hosts.turns.taken, world.hosts.ticks
+    before = world.hosts.due_hosts.taken, world.hosts.tick_count
     world.advance(ms)
-    return world.hosts.turns.taken - before[0], world.hosts.ticks - before[1]
+    return world.hosts.due_hosts.taken - before[0], world.hosts.tick_count - before[1]
 
 
 def test_idle_hosts_cost_nothing_whatever_their_number(monkeypatch):
@@ -228,7 +237,7 @@
     else:
         world.told(*everyone[60:], whole=True)
     assert looked(world, 1_000.0)[0] == 60
-    assert len(world.hosts.hosts) == 340 and looked(world, 1_000.0)[0] == 0
+    assert len(world.hosts.hosts_by_name) == 340 and looked(world, 1_000.0)[0] == 0
 
 
 def test_what_is_forgotten_leaves_nothing_behind(monkeypatch):
@@ -238,9 +247,14 @@
         peer.mode = "refuses"
         peer.breaks()
     world.advance(10_000.0)
-    turns = world.hosts.turns
-    assert not (world.hosts.hosts or world.exchange.standing or world.hosts.linked or world.hosts.releasing)
-    assert not turns.dirty and not len(turns.due) and world.hosts.links == 0
+    turns = world.hosts.due_hosts
+    assert not (
+        world.hosts.hosts_by_name
+        or world.exchange.standing
+        or world.hosts.connected_hosts
+        or world.hosts.releasing_hosts
+    )
+    assert not turns.dirty and not len(turns.due) and world.hosts.connection_count == 0
 
 
 # ---- marks that drawn streams seldom need ----
@@ -252,12 +266,12 @@
     for task in (8, 10):  # the second has no answer, nor has its end: its link is doubtful
         world.ask(task, "h0", "unsafe")
     world.advance(1_500.0)
-    host = world.hosts.hosts["h0"]
-    (doubtful,) = (link for link in host.links if link.doubtful)
+    host = world.hosts.hosts_by_name["h0"]
+    (doubtful,) = (link for link in host.connections if link.is_unresponsive)
     world.advance(500.0)
     doubtful.stream.bring(m.encode(m.PROGRESS, 10))
     world.advance(100.0)
-    assert not doubtful.doubtful and host in world.hosts.turns.dirty
+    assert not doubtful.is_unresponsive and host in world.hosts.due_hosts.dirty
     world.advance(200.0)
 
 
@@ -267,7 +281,7 @@
     world.peers["127.0.0.1", 1].breaks()
     world.advance(20.0)
     world.release(1)
-    assert world.hosts.cutting
+    assert world.hosts.has_unsent_releases
     world.peers["127.0.0.1", 1].mode = "up"
     world.advance(3_000.0)
-    assert not world.hosts.cutting and not world.hosts.releasing
+    assert not world.hosts.has_unsent_releases and not world.hosts.releasing_hosts
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -129,9 +129,9 @@
         return {**self.entries[i], "free": [8.0 + i % 4, 16.0], **more}
 
     def close(self):
-        for host in list(self.process.hosts.hosts.values()):
-            for link in list(host.links):
-                link.drop("the end")
+        for host in list(self.process.hosts.hosts_by_name.values()):
+            for link in list(host.connections):
+                link.abort("the end")
         self.process.owners.close()
         if self.client is not None:
             self.client.close()
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -174,7 +174,7 @@
 
     def _back(self, event):
         if not event.is_call_closed:
-            names = sorted(self.world.hosts.hosts)
+            names = sorted(self.world.hosts.hosts_by_name)
             if event.attempt < 2 and names:
                 return [api.Bind(event.call_id, names[(event.call_id + event.attempt) % len(names)], 900.0)]
             return [api.Reject(event.call_id)]
@@ -202,8 +202,12 @@
         for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
             self._spy(name)
         self.owner, self.peers, self.target, self.no_files = Owner(), {}, "", False
-        self.offer, self.cancel, self.unread = self.hosts.offer, self.hosts.cancel, self.hosts.unread
-        self.cut, self.test = self.hosts.cut, self.hosts.test
+        self.offer, self.cancel, self.unread = (
+            self.hosts.offer_attempt,
+            self.hosts.cancel_attempt,
+            self.hosts.has_unread_bytes,
+        )
+        self.cut, self.test = self.hosts.release_task, self.hosts.request_load_report
         if patch is not None:
             patch.setattr(host_connections, "connect", lambda loop, address, ms: self.connect(address, ms))
 
@@ -270,7 +274,7 @@
             HostEntry(api.Machine(name, "std", "a", 0, phase), ("127.0.0.1", port), started)
             for name, port, phase, started in entries
         ]
-        self.hosts.list_told(ListChange(whole, tuple(found)))
+        self.hosts.apply_list_change(ListChange(whole, tuple(found)))
 
     def ask(self, task, host, cls="safe", **more):
         self.target = host
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -69,9 +69,17 @@
         self.hosts.exchange = self.owners.exchange = self.exchange
         self.address = self.owners.listen(("127.0.0.1", 0))
         self.clients, self.calls = [], 0
-        self.to_owner, self.proves, self.offer = self.owners.to_owner, self.owners.proves, self.hosts.offer
-        self.waits, self.unread = self.owners.waits, self.hosts.unread
-        self.cancel, self.cut, self.test = self.hosts.cancel, self.hosts.cut, self.hosts.test
+        self.to_owner, self.proves, self.offer = (
+            self.owners.to_owner,
+            self.owners.proves,
+            self.hosts.offer_attempt,
+        )
+        self.waits, self.unread = self.owners.waits, self.hosts.has_unread_bytes
+        self.cancel, self.cut, self.test = (
+            self.hosts.cancel_attempt,
+            self.hosts.release_task,
+            self.hosts.request_load_report,
+        )
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
@@ -79,7 +87,7 @@
             HostEntry(api.Machine(x[0], "std", "a", 0, phase), x[1], x[2] if len(x) > 2 else 0.0)
             for x in told
         ]
-        self.hosts.list_told(ListChange(whole, tuple(made)))
+        self.hosts.apply_list_change(ListChange(whole, tuple(made)))
 
     def client(self):
         sock = socket.create_connection(self.address)
