--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -293,9 +293,9 @@
                 f"host {host.name}: connection {how}, {len(host.connections)} others,"
                 f" heard {quiet:.0f} ms ago"
             )
-        host.record_connect_failure(now, refused, host.is_disconnected)
+        host.record_connect_failure(now, refused=refused, disconnected=host.is_disconnected)
         host.next_connect_at_ms = now + host.backoff.again()
-        if host.is_unreachable(self.connect_ms, host.is_disconnected):
+        if host.is_unreachable(self.connect_ms, disconnected=host.is_disconnected):
             host.is_reported_unreachable = True
             self.exchange.reached(host.name, up=False)
         self._on_capacity_freed()
@@ -309,7 +309,9 @@
     def on_connection_lost(self, host: PooledHost, link: HostConnection, why: str) -> None:
         """A release that was on its way comes again on the next connection opened: it is opened at once."""
         now = self.loop.now()
-        if host.record_connection_lost(now, now - link.last_used_at_ms > self.idle_ms, host.is_disconnected):
+        if host.record_connection_lost(
+            now, idle=now - link.last_used_at_ms > self.idle_ms, disconnected=host.is_disconnected
+        ):
             host.next_connect_at_ms = now  # earlier refusals, as of a host that drains, say nothing of this
         lasted = now - link.connected_at_ms
         if lasted < HOST.steady_ms:
@@ -447,7 +449,9 @@
         due = NEVER
         if stands:
             due = host.next_assessment_ms(
-                bool(host.address[1]), bool(links_of), look_ms(self.allocator_count)
+                has_address=bool(host.address[1]),
+                has_connection=bool(links_of),
+                quiet_limit_ms=look_ms(self.allocator_count),
             )
         elif host.unsent_releases and host.address[1] and all(link.stream for link in links_of):
             due = host.next_connect_at_ms
@@ -484,15 +488,18 @@
 
     def _assess_host(self, host: PooledHost, now: float) -> None:
         """Whether a host with standing tasks lives: `life.py` says what is to be done."""
-        do, why = host.assess(
-            now, bool(host.address[1]), bool(host.connections), look_ms(self.allocator_count)
+        assessment = host.assess(
+            now,
+            has_address=bool(host.address[1]),
+            has_connection=bool(host.connections),
+            quiet_limit_ms=look_ms(self.allocator_count),
         )
-        if do is DetectorAction.DECLARE_DEAD:
-            self._declare_tasks_lost(host, why)
+        if assessment.action is DetectorAction.DECLARE_DEAD:
+            self._declare_tasks_lost(host, assessment.reason)
             return
-        if do is DetectorAction.CONNECT_NOW:
+        if assessment.action is DetectorAction.CONNECT_NOW:
             host.next_connect_at_ms = now
-        if do is not DetectorAction.NOTHING:
+        if assessment.action is not DetectorAction.NOTHING:
             self._reconnect(host)
 
     def _close_unneeded(self, host: PooledHost, now: float) -> None:
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -337,29 +337,29 @@
             del self.connections[link]
             self.on_change(self)
 
-    # ---- what is seen of it ----
+    # ---- what is observed of it ----
 
-    def record_removed(self, now: float) -> None:
+    def record_removed(self, now_ms: float) -> None:
         if not self.is_removed:
             self.on_change(self)
-        super().record_removed(now)
+        super().record_removed(now_ms)
 
-    def record_listed(self, draining: bool) -> None:
+    def record_listed(self, *, draining: bool) -> None:
         if self.is_removed or self.is_draining != draining:
             self.on_change(self)
-        super().record_listed(draining)
+        super().record_listed(draining=draining)
 
-    def record_connected(self, now: float) -> None:
-        super().record_connected(now)
+    def record_connected(self, now_ms: float) -> None:
+        super().record_connected(now_ms)
         self.on_change(self)
 
-    def record_connect_failure(self, now: float, refused: bool, alone: bool) -> None:
-        super().record_connect_failure(now, refused, alone)
+    def record_connect_failure(self, now_ms: float, *, refused: bool, disconnected: bool) -> None:
+        super().record_connect_failure(now_ms, refused=refused, disconnected=disconnected)
         self.on_change(self)
 
-    def record_connection_lost(self, now: float, idle: bool, alone: bool) -> bool:
+    def record_connection_lost(self, now_ms: float, *, idle: bool, disconnected: bool) -> bool:
         self.on_change(self)
-        return super().record_connection_lost(now, idle, alone)
+        return super().record_connection_lost(now_ms, idle=idle, disconnected=disconnected)
 
     @property
     def unsent_releases(self) -> list[int]:
--- a/tests/platform_server/test_failure_detector.py
+++ b/tests/platform_server/test_failure_detector.py
@@ -39,10 +39,10 @@
         if phase.listed == "gone":
             self.detector.record_removed(self.now)
         else:
-            self.detector.record_listed(phase.listed == "draining")
+            self.detector.record_listed(draining=phase.listed == "draining")
         if self.up and not phase.link:
             self.up = False
-            if self.detector.record_connection_lost(self.now, idle=False, alone=True):
+            if self.detector.record_connection_lost(self.now, idle=False, disconnected=True):
                 self.again_at = self.now
 
     def sweep(self, phase):
@@ -54,13 +54,16 @@
                 self.up, self.word = True, at
                 self.detector.record_connected(at)
             else:
-                self.detector.record_connect_failure(at, how == "refused", alone=not self.up)
+                self.detector.record_connect_failure(at, refused=how == "refused", disconnected=not self.up)
                 self.again_at = at + TRY_MS
         if self.up and phase.says == "own":
             self.word = self.now
             self.detector.record_bytes(self.now)
             self.detector.record_unsolicited_message(self.now)
-        do, why = self.detector.assess(self.now, True, self.up or bool(self.pending), 500.0)
+        assessment = self.detector.assess(
+            self.now, has_address=True, has_connection=self.up or bool(self.pending), quiet_limit_ms=500.0
+        )
+        do = assessment.action
         if self.up and phase.says == "tests":  # of the module's, as ours are no more
             self.detector.record_bytes(self.now)
         if do is DetectorAction.CONNECT_NOW:
@@ -72,7 +75,7 @@
         ):
             takes = {"up": 1.0, "refused": 1.0, "nothing": CONNECT_MS}[phase.tries]
             self.pending.append((self.now + takes, phase.tries))
-        return do, why
+        return assessment
 
 
 @pytest.mark.parametrize("end", [Phase(t, s, link, "draining") for t in ("refused", "nothing")
@@ -84,11 +87,11 @@
         for phase in before:
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                over = over or run.sweep(phase)[0] is DetectorAction.DECLARE_DEAD
+                over = over or run.sweep(phase).action is DetectorAction.DECLARE_DEAD
         if over:
             continue  # it was given up before
         run.begin(end)
-        while run.sweep(end)[0] is not DetectorAction.DECLARE_DEAD:
+        while run.sweep(end).action is not DetectorAction.DECLARE_DEAD:
             assert run.now - run.word < TOLD_MS, (before, run.detector.__dict__)
 
 
@@ -100,11 +103,12 @@
         for phase in before:
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                do, why = run.sweep(phase)
+                assessment = run.sweep(phase)
+                do = assessment.action
                 over |= do is DetectorAction.DECLARE_DEAD
                 heard = run.up and phase.says == "own" and phase.listed != "gone"
                 tried += heard
-                assert not (heard and do is DetectorAction.DECLARE_DEAD), (before, why)
+                assert not (heard and do is DetectorAction.DECLARE_DEAD), (before, assessment.reason)
             if over:
                 break
     assert tried > 100_000
@@ -115,7 +119,7 @@
     run = Run()
     drains = Phase("refused", "tests", True, "draining")
     run.begin(drains)
-    while run.sweep(drains)[0] is not DetectorAction.DECLARE_DEAD:
+    while run.sweep(drains).action is not DetectorAction.DECLARE_DEAD:
         assert run.now < TOLD_MS
     assert run.now >= UNREACHABLE_MS and run.detector.last_heard_at_ms > run.now - 4_000.0
 
@@ -126,11 +130,11 @@
     run, drains = Run(), Phase("refused", "nothing", True, "draining")
     run.begin(drains)
     for _ in range(10):
-        assert run.sweep(drains)[0] is not DetectorAction.DECLARE_DEAD
+        assert run.sweep(drains).action is not DetectorAction.DECLARE_DEAD
     ends = Phase("refused", "nothing", True, "gone" if gone else "draining")
     run.begin(ends)
     began = run.now
-    while run.sweep(ends)[0] is not DetectorAction.DECLARE_DEAD:
+    while run.sweep(ends).action is not DetectorAction.DECLARE_DEAD:
         assert run.now - began < ms
     assert gone == (run.now - began < 1_600.0)
 
@@ -138,19 +142,28 @@
 def test_what_the_list_says_waits_for_a_refusal_of_its_own():
     detector = FailureDetector(0.0)
     detector.record_listed(draining=True)
-    detector.record_connect_failure(1_000.0, refused=True, alone=False)
+    detector.record_connect_failure(1_000.0, refused=True, disconnected=False)
     detector.record_removed(1_100.0)
-    assert detector.assess(1_200.0, True, True, 500.0)[0] is not DetectorAction.DECLARE_DEAD
-    detector.record_connect_failure(1_300.0, refused=True, alone=False)
-    assert detector.assess(1_400.0, True, True, 500.0)[0] is DetectorAction.DECLARE_DEAD
+    assert (
+        detector.assess(1_200.0, has_address=True, has_connection=True, quiet_limit_ms=500.0).action
+        is not DetectorAction.DECLARE_DEAD
+    )
+    detector.record_connect_failure(1_300.0, refused=True, disconnected=False)
+    assert (
+        detector.assess(1_400.0, has_address=True, has_connection=True, quiet_limit_ms=500.0).action
+        is DetectorAction.DECLARE_DEAD
+    )
 
 
 def test_a_quiet_host_that_takes_connections_is_not_over_at_its_first_refusal():
     detector = FailureDetector(0.0)
     for at in range(1_000, 20_000, 1_000):
         detector.record_connected(float(at))
-    detector.record_connect_failure(20_000.0, refused=True, alone=False)
-    assert detector.assess(20_100.0, True, True, 500.0)[0] is DetectorAction.CONNECT
+    detector.record_connect_failure(20_000.0, refused=True, disconnected=False)
+    assert (
+        detector.assess(20_100.0, has_address=True, has_connection=True, quiet_limit_ms=500.0).action
+        is DetectorAction.CONNECT
+    )
 
 
 def test_a_draining_host_whose_idle_link_ends_is_over_in_seconds_and_others_at_once():
@@ -161,15 +174,17 @@
     ):
         detector = FailureDetector(0.0)
         detector.record_listed(draining=drains)
-        detector.record_connection_lost(0.0, idle=idle, alone=True)
+        detector.record_connection_lost(0.0, idle=idle, disconnected=True)
         assert (
-            detector.assess(1.0, True, False, 500.0)[0] is DetectorAction.CONNECT
+            detector.assess(1.0, has_address=True, has_connection=False, quiet_limit_ms=500.0).action
+            is DetectorAction.CONNECT
         )  # a release may have been on its way
-        detector.record_connect_failure(10.0, refused=True, alone=True)
+        detector.record_connect_failure(10.0, refused=True, disconnected=True)
         times = [
             at
             for at in range(0, 3_000, 50)
-            if detector.assess(10.0 + at, True, False, 500.0)[0] is DetectorAction.DECLARE_DEAD
+            if detector.assess(10.0 + at, has_address=True, has_connection=False, quiet_limit_ms=500.0).action
+            is DetectorAction.DECLARE_DEAD
         ]
         assert least < times[0] <= most
 
@@ -179,21 +194,22 @@
     for refused, alone, heard, away in ((False, False, False, True), (False, False, True, False),
                                         (True, False, False, False), (True, True, False, True)):  # fmt: skip
         detector = FailureDetector(0.0)
-        detector.record_connect_failure(1_000.0, refused, alone)
-        assert not detector.is_unreachable(CONNECT_MS, alone)
+        detector.record_connect_failure(1_000.0, refused=refused, disconnected=alone)
+        assert not detector.is_unreachable(CONNECT_MS, disconnected=alone)
         if heard:
             detector.record_bytes(1_900.0)
             detector.record_unsolicited_message(1_900.0)
-        detector.record_connect_failure(2_000.0, refused, alone)
-        assert detector.is_unreachable(CONNECT_MS, alone) is away
+        detector.record_connect_failure(2_000.0, refused=refused, disconnected=alone)
+        assert detector.is_unreachable(CONNECT_MS, disconnected=alone) is away
         detector.record_connected(2_100.0)
-        assert not detector.is_unreachable(CONNECT_MS, alone)
+        assert not detector.is_unreachable(CONNECT_MS, disconnected=alone)
 
 
-def due_is_exact(detector, now, addressed, linked, look_ms):
-    """`look` says NOTHING at every instant from now on before `due`, and something as soon as it is past."""
-    due = detector.next_assessment_ms(addressed, linked, look_ms)
-    at = lambda when: detector.assess(when, addressed, linked, look_ms)[0]  # noqa: E731
+def assert_next_assessment_is_exact(detector, now, has_address, has_connection, quiet_limit_ms):
+    """`assess` asks for NOTHING at every instant before `next_assessment_ms`, and for something just after."""
+    asked = {"has_address": has_address, "has_connection": has_connection, "quiet_limit_ms": quiet_limit_ms}
+    due = detector.next_assessment_ms(**asked)
+    at = lambda when: detector.assess(when, **asked).action  # noqa: E731
     told = (now, now + 1.0, now + 199.0, (now + due) / 2.0, due - 1.0, math.nextafter(due, -NEVER))
     said = [(when, at(when)) for when in told if now <= when < due and when < NEVER]
     assert all(do is DetectorAction.NOTHING for _, do in said), (said, due, vars(detector))
@@ -212,7 +228,7 @@
         for number, phase in enumerate(before):
             run.begin(phase)
             for _ in range(int(STEP_MS / SWEEP_MS)):
-                if run.sweep(phase)[0] is DetectorAction.DECLARE_DEAD:
+                if run.sweep(phase).action is DetectorAction.DECLARE_DEAD:
                     break
                 detector = run.detector
                 state = (run.now, detector.created_at_ms, detector.is_removed, detector.is_draining, detector.removed_at_ms, detector.last_unsolicited_at_ms, detector.refused_since_ms,
@@ -222,7 +238,7 @@
                 states.add(state)
                 for addressed, linked, look_ms, given_up in asked:
                     kept, detector.is_connection_evicted = detector.is_connection_evicted, given_up
-                    due_is_exact(detector, run.now, addressed, linked, look_ms)
+                    assert_next_assessment_is_exact(detector, run.now, addressed, linked, look_ms)
                     detector.is_connection_evicted = kept
     assert len(states) > 1_000
 
@@ -245,7 +261,7 @@
             case ["leaves"]:
                 detector.record_removed(now)
             case ["serves"] | ["drains"]:
-                detector.record_listed(what == "drains")
+                detector.record_listed(draining=what == "drains")
             case ["up"]:
                 detector.record_connected(now)
             case ["says"] | ["answers"]:
@@ -253,9 +269,9 @@
                 if what == "says":
                     detector.record_unsolicited_message(now)
             case ["refused" | "nothing" as how, *alone]:
-                detector.record_connect_failure(now, how == "refused", bool(alone))
+                detector.record_connect_failure(now, refused=how == "refused", disconnected=bool(alone))
             case ["breaks", *how]:
-                detector.record_connection_lost(now, how == ["idle"], how == ["alone"])
+                detector.record_connection_lost(now, idle=how == ["idle"], disconnected=how == ["alone"])
             case _:
                 detector.is_connection_evicted = True
-        due_is_exact(detector, math.nextafter(now, NEVER), addressed, linked, look_ms)
+        assert_next_assessment_is_exact(detector, math.nextafter(now, NEVER), addressed, linked, look_ms)
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -302,7 +302,7 @@
     peer, _ = linked(world)
     peer.listener.close()
     host = world.hosts.hosts_by_name["h1"]
-    host.record_connect_failure(world.loop.now(), refused=True, alone=False)
+    host.record_connect_failure(world.loop.now(), refused=True, disconnected=False)
     peer.streams[0].send(m.encode(m.NOTE, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
     standstill(world, 8_000.0)
     settled(world)
