--- a/glencleat/platform_server/failure_detector.py
+++ b/glencleat/platform_server/failure_detector.py
@@ -3,7 +3,7 @@
 `FailureDetector` records what the connection pool sees of one host; `assess` weighs it. There is no I/O and
 no clock: time is an argument, in milliseconds of the event loop's clock. Nothing is ever sent again because
 of an assessment: the tasks of a host that is declared dead are reported to their owners as lost. A wrong
-verdict costs the rest of tasks that run on; a late one exceeds the 8 s within which an end has to be reported.
+verdict costs the rest of tasks that run on; a late one exceeds the 8 s within which an end must be reported.
 
     observation                                        verdict                             may be wrong about
     no machine list names the host                     dead after UNLISTED_MS              a list that is late
@@ -211,7 +211,7 @@
             now_ms: The time of the assessment.
             has_address: A machine list says where the host is.
             has_connection: There is a connection to it, up or coming up.
-            quiet_limit_ms: How long the host may be quiet, by how many allocators watch it; at least QUIET_MS.
+            quiet_limit_ms: How long the host may be quiet, by the number of allocators; at least QUIET_MS.
         """
         if not has_address:
             return _UNLISTED if now_ms - self.created_at_ms > UNLISTED_MS else _NO_ACTION
--- /dev/null
+++ b/glencleat/platform_server/host_maintenance.py
@@ -0,0 +1,238 @@
+"""Periodic work on the hosts of the connection pool: liveness, unneeded connections, hosts that were removed.
+
+A tick maintains the hosts on which something has happened and those that are due; the others cost nothing.
+`_next_maintenance_ms` computes when a host is due, and whoever changes what that reads calls `mark_changed`.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
+from glencleat.event_loop import Loop
+from glencleat.flow_control.connection_limiter import look_ms
+from glencleat.index.dirty_set import DirtySet
+from glencleat.index.due_queue import DueQueue
+from glencleat.platform_protocol.exchange import Exchange
+from glencleat.platform_server import host_connection
+from glencleat.platform_server.failure_detector import NEVER, DetectorAction
+from glencleat.platform_server.host_connection import Host, HostConnection
+from glencleat.platform_server.host_registry import HostRegistry
+
+TICK_MS = 200.0
+"""Between two ticks."""
+
+STANDSTILL_MS = 1_000.0
+"""A tick that comes so long after the one before shows that our process stood still."""
+
+SURPLUS_MS = 4_000.0
+"""A connection not needed for so long is closed if another is up; clients keep theirs as long."""
+
+
+class MaintenancePort(Protocol):
+    """What the maintenance needs of the connection pool."""
+
+    loop: Loop
+    registry: HostRegistry
+    descriptors: DescriptorBudget
+    idle_ms: float
+    allocator_count: int
+    connected_hosts: set[Host]
+    releasing_hosts: set[Host]
+
+    @property
+    def exchange(self) -> Exchange:
+        """Knows which tasks stand where."""
+
+    def on_capacity_freed(self) -> None:
+        """A connection may be opened for an attempt that waits."""
+
+    def reconnect(self, host: Host, demand: Demand = Demand.LISTEN) -> None:
+        """Opens a further connection, if one may be opened now."""
+
+    def is_healthy(self, connection: HostConnection) -> bool:
+        """Whether the connection is up and may be used."""
+
+    def refile_connections(self, host: Host) -> None:
+        """Files a host's connections in the descriptor budget by what they are worth now."""
+
+    def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
+        """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
+
+
+class HostMaintenance:
+    """Ticks of the connection pool."""
+
+    def __init__(self, pool: MaintenancePort) -> None:
+        """Schedules the first tick."""
+        self.pool = pool
+        # The longest unheard first: where there are more hosts than descriptors they take turns.
+        self.due_hosts = DirtySet[Host](order=lambda host: (host.last_heard_at_ms, host.creation_number))
+        self.unlisted_host_names: dict[str, None] = {}  # where tasks came to stand, and no list names it
+        self.tick_count = 0
+        self.last_tick_at_ms = pool.loop.now()
+        pool.loop.call_in(TICK_MS, self._tick)
+
+    def mark_changed(self, host: Host) -> None:
+        """Something has happened that may bring forward the time at which the host is due."""
+        self.due_hosts.mark(host)
+
+    def on_standing_changed(self, name: str) -> None:
+        """The first task has come to stand at a host, or the last one has ended."""
+        host = self.pool.registry.hosts_by_name.get(name)
+        if host is None:
+            self.unlisted_host_names[name] = None
+        else:
+            self.mark_changed(host)
+
+    def _tick(self) -> None:
+        self.pool.loop.call_in(TICK_MS, self._tick)
+        now_ms = self.pool.loop.now()
+        is_late = now_ms - self.last_tick_at_ms > STANDSTILL_MS
+        self.last_tick_at_ms = now_ms
+        if is_late:
+            return  # after a standstill what hosts said meanwhile lies unread: it is read first
+        self.tick_count += 1
+        self.pool.on_capacity_freed()  # a moment ago the limiter may have permitted none
+        self._add_unlisted_hosts(now_ms)
+        if DueQueue.checked:
+            self._check_skipped_hosts(now_ms)
+        hosts_by_name = self.pool.registry.hosts_by_name
+        for host in self.due_hosts.take(now_ms):
+            if hosts_by_name.get(host.name) is host:
+                self._maintain_host(host, now_ms)
+            if hosts_by_name.get(host.name) is host:
+                self.due_hosts.put(host, self._next_maintenance_ms(host))
+            else:
+                self._forget_host(host)
+
+    def _add_unlisted_hosts(self, now_ms: float) -> None:
+        registry = self.pool.registry
+        names = self.unlisted_host_names
+        self.unlisted_host_names = {}
+        for name in names:
+            if name in registry.hosts_by_name:
+                self.mark_changed(registry.hosts_by_name[name])
+            elif name in self.pool.exchange.standing:
+                registry.add_host(name).record_removed(now_ms)
+
+    def _maintain_host(self, host: Host, now_ms: float) -> None:
+        """Does all that has to be done at a host by now."""
+        if host.name in self.pool.exchange.standing:
+            self._assess_host(host, now_ms)
+        elif host.unsent_releases:
+            self.pool.reconnect(host, Demand.ATTEMPT)
+        self._close_unneeded(host, now_ms)
+        self.pool.refile_connections(host)
+        if not host.connections:
+            self.pool.connected_hosts.discard(host)
+        if not host.pending_releases:
+            self.pool.releasing_hosts.discard(host)
+
+    def _forget_host(self, host: Host) -> None:
+        self.pool.connected_hosts.discard(host)
+        self.pool.releasing_hosts.discard(host)
+        self.due_hosts.put(host, NEVER)
+
+    def _next_maintenance_ms(self, host: Host) -> float:
+        """When a host is due if nothing happens on it before; a time in the past is that of the next tick.
+
+        Each line answers one of `_assess_host`, `reconnect`, `_close_unneeded` and `refile_connections`;
+        `_check_skipped_hosts` verifies that.
+        """
+        has_standing_tasks = host.name in self.pool.exchange.standing
+        connections = host.connections
+        due_ms = NEVER
+        if has_standing_tasks:
+            due_ms = host.next_assessment_ms(
+                has_address=host.has_address,
+                has_connection=bool(connections),
+                quiet_limit_ms=look_ms(self.pool.allocator_count),
+            )
+        elif host.unsent_releases and host.has_address and not host.is_connecting:
+            due_ms = host.next_connect_at_ms
+        if host.is_removed and not has_standing_tasks and not host.has_open_attempts:
+            due_ms = -NEVER
+        for connection in connections:
+            if connection.is_idle:
+                due_ms = min(due_ms, self._idle_connection_due_ms(host, connection, has_standing_tasks))
+        return due_ms
+
+    def _idle_connection_due_ms(
+        self, host: Host, connection: HostConnection, has_standing_tasks: bool
+    ) -> float:
+        due_ms = NEVER
+        if connection.is_liveness_check:
+            if not has_standing_tasks:
+                return -NEVER
+        else:
+            if len(host.connections) > 1:
+                due_ms = connection.last_used_at_ms + SURPLUS_MS
+            if not (has_standing_tasks and host.is_draining):
+                due_ms = min(due_ms, connection.last_used_at_ms + self.pool.idle_ms)
+        if self.pool.descriptors.filed.get(connection) is EvictionPriority.LISTENING:
+            due_ms = min(due_ms, connection.connected_at_ms + host_connection.LIVENESS_CHECK_MS)
+        return due_ms
+
+    def _check_skipped_hosts(self, now_ms: float) -> None:
+        """Verifies the plain way that hosts which are not due need nothing. Tests switch this on."""
+        due_hosts = self.due_hosts.gather(now_ms)
+        filed = self.pool.descriptors.filed
+        for host in self.pool.registry.hosts_by_name.values():
+            if host not in due_hosts:
+                due_ms = self._next_maintenance_ms(host)
+                assert due_ms > now_ms, (host.name, now_ms, due_ms, vars(host))
+                for connection in host.connections:
+                    priority = filed.get(connection)
+                    assert priority in (None, connection.worth()), (host.name, vars(connection))
+            assert host in self.pool.connected_hosts or not host.connections
+            assert host in self.pool.releasing_hosts or not host.pending_releases
+
+    def _assess_host(self, host: Host, now_ms: float) -> None:
+        """Asks the failure detector whether a host with standing tasks lives, and does what it says."""
+        assessment = host.assess(
+            now_ms,
+            has_address=host.has_address,
+            has_connection=bool(host.connections),
+            quiet_limit_ms=look_ms(self.pool.allocator_count),
+        )
+        if assessment.action is DetectorAction.DECLARE_DEAD:
+            self.pool.declare_tasks_lost(host, assessment.reason)
+            return
+        if assessment.action is DetectorAction.CONNECT_NOW:
+            host.next_connect_at_ms = now_ms
+        if assessment.action is not DetectorAction.NOTHING:
+            self.pool.reconnect(host)
+
+    def _close_unneeded(self, host: Host, now_ms: float) -> None:
+        """Closes connections that nobody needs, and removes a host that the machine list has removed."""
+        has_standing_tasks = host.name in self.pool.exchange.standing
+        by_need = sorted(
+            host.connections, key=lambda other: (not other.is_unresponsive, other.last_used_at_ms)
+        )
+        for connection in by_need:
+            if connection.is_idle:
+                self._close_if_unneeded(host, connection, now_ms, has_standing_tasks)
+        if host.is_removed and host.name not in self.pool.exchange.standing and not host.has_open_attempts:
+            host.abort_connections("its host is gone")
+            self.pool.registry.remove_host(host)
+
+    def _close_if_unneeded(
+        self, host: Host, connection: HostConnection, now_ms: float, has_standing_tasks: bool
+    ) -> None:
+        idle_ms = 0.0 if connection.is_liveness_check else now_ms - connection.last_used_at_ms
+        if idle_ms > SURPLUS_MS and self._has_other_healthy(host, connection):
+            connection.close_gracefully("another is enough")
+            if has_standing_tasks:
+                # At once: a host that begins to drain later takes no connection for its releases.
+                self.pool.reconnect(host)
+        elif connection.is_liveness_check and not has_standing_tasks:
+            connection.close_gracefully("nothing stands there")
+        elif idle_ms > self.pool.idle_ms and not has_standing_tasks:
+            connection.close_gracefully("idle")
+        elif idle_ms > self.pool.idle_ms and not host.is_draining:
+            # A new one first: the host would close this one with a release on its way.
+            self.pool.reconnect(host)
+
+    def _has_other_healthy(self, host: Host, connection: HostConnection) -> bool:
+        return any(other is not connection and self.pool.is_healthy(other) for other in host.connections)
--- /dev/null
+++ b/glencleat/platform_server/host_registry.py
@@ -0,0 +1,110 @@
+"""The hosts that the connection pool knows, kept up to date by the machine list."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import TYPE_CHECKING, Protocol
+
+from glencleat import interface as api
+from glencleat.event_loop import Loop
+from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
+from glencleat.platform_server.failure_detector import NEVER
+from glencleat.platform_server.host_connection import Host
+from glencleat.platform_server.pooled_host import NO_ADDRESS, PooledHost
+
+if TYPE_CHECKING:
+    from glencleat.platform_protocol.command_channel import CommandChannel
+
+
+class HostObserver(Protocol):
+    """Who is notified of what the machine list changes."""
+
+    def mark_changed(self, host: Host) -> None:
+        """The host may have to be maintained earlier than planned."""
+
+    def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
+        """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
+
+
+class HostRegistry:
+    """Hosts by name and by address. Connections go by host: an address may pass from one to another."""
+
+    def __init__(self, loop: Loop, channel: CommandChannel, random: Random, observer: HostObserver) -> None:
+        """Starts empty.
+
+        Args:
+            loop: Tells the time.
+            channel: Knows how far the clock of the machine list's sender differs from ours.
+            random: Draws the waits between connects to a host.
+            observer: Notified of changes.
+        """
+        self.loop = loop
+        self.channel = channel
+        self.random = random
+        self.observer = observer
+        self.hosts_by_name: dict[str, Host] = {}
+        self.host_names_by_address: dict[tuple[str, int], str] = {}
+        self.created_host_count = 0
+
+    def add_host(self, name: str) -> Host:
+        """Creates a host without an address."""
+        self.created_host_count += 1
+        host: Host = PooledHost(
+            name,
+            self.loop.now(),
+            self.random,
+            creation_number=self.created_host_count,
+            on_change=self.observer.mark_changed,
+        )
+        self.hosts_by_name[name] = host
+        return host
+
+    def remove_host(self, host: Host) -> None:
+        """Forgets a host."""
+        del self.hosts_by_name[host.name]
+        if self.host_names_by_address.get(host.address) == host.name:
+            del self.host_names_by_address[host.address]
+
+    def apply_list_change(self, change: ListChange) -> None:
+        """Takes in a snapshot or a delta of the machine list."""
+        names = {entry.machine.name for entry in change.hosts}
+        for name, host in self.hosts_by_name.items() if change.whole else ():
+            if name not in names:
+                host.record_removed(self.loop.now())
+        for entry in change.hosts:
+            self._apply_entry(entry)
+
+    def _apply_entry(self, entry: HostEntry) -> None:
+        name = entry.machine.name
+        host = self.hosts_by_name.get(name) or self.add_host(name)
+        if entry.machine.phase is api.MachinePhase.REMOVED:
+            host.record_removed(self.loop.now())
+            return
+        host.record_listed(draining=entry.machine.phase is api.MachinePhase.DRAINING)
+        if entry.address != host.address:
+            host.abort_connections("its host has another address")
+            host.address = entry.address
+            self.observer.mark_changed(host)
+        previous_name = self.host_names_by_address.get(entry.address, name)
+        self.host_names_by_address[entry.address] = name
+        if previous_name != name and previous_name in self.hosts_by_name:
+            self._handle_address_taken(self.hosts_by_name[previous_name])
+        self._apply_process_start(host, entry.started_ms)
+
+    def _apply_process_start(self, host: Host, started_unix_ms: float) -> None:
+        previous_unix_ms = host.process_started_unix_ms
+        host.process_started_unix_ms = started_unix_ms
+        if previous_unix_ms is None or previous_unix_ms >= started_unix_ms:
+            # A start that was reported before says nothing new: by a clock that is behind it lies ahead for
+            # ever.
+            return
+        started_at_ms = when(started_unix_ms - self.channel.ahead_ms, self.loop.now())
+        self.observer.declare_tasks_lost(host, "a later start is in the list", started_at_ms)
+
+    def _handle_address_taken(self, host: Host) -> None:
+        """Another host has its address: connections there would reach the wrong one."""
+        host.record_removed(self.loop.now())
+        host.abort_connections("another host has its address")
+        host.address = NO_ADDRESS
+        self.observer.mark_changed(host)
+        self.observer.declare_tasks_lost(host, "another host has its address")
--- /dev/null
+++ b/glencleat/platform_server/pooled_host.py
@@ -0,0 +1,136 @@
+"""A host as the connection pool keeps it: its connections, its pending releases and its failure detector."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+from typing import Generic, Protocol, TypeVar
+
+from glencleat.flow_control.backoff import HOST, Backoff
+from glencleat.platform_server.failure_detector import FailureDetector
+
+NO_ADDRESS: tuple[str, int] = ("", 0)
+"""The address of a host that no machine list locates."""
+
+
+class PooledConnection(Protocol):
+    """What a host has to know of its connections."""
+
+    @property
+    def stream(self) -> object | None:
+        """The stream, from when the connection is up."""
+
+    @property
+    def open_attempt_count(self) -> int:
+        """Attempts that wait for the connection or for an answer on it."""
+
+    def abort(self, reason: str) -> None:
+        """Ends the connection at once."""
+
+
+ConnectionT = TypeVar("ConnectionT", bound=PooledConnection)
+
+
+class PooledHost(FailureDetector, Generic[ConnectionT]):
+    """One host of the pool, with connections of the type `ConnectionT`.
+
+    `on_change` is called for all that may bring forward the time at which the pool has to maintain the host.
+    What only puts it off is found when that time comes.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        now_ms: float,
+        random: Random,
+        creation_number: int,
+        on_change: Callable[[PooledHost[ConnectionT]], None],
+    ) -> None:
+        """Starts without an address or a connection.
+
+        Args:
+            name: The host's id in the machine list.
+            now_ms: The time at which it came to be known.
+            random: Draws the waits between connects.
+            creation_number: Its place among all hosts of the pool, in the order of their creation.
+            on_change: Called with this host; see the class.
+        """
+        super().__init__(now_ms)
+        self.name = name
+        self.creation_number = creation_number
+        self.on_change = on_change
+        self.backoff = Backoff(HOST, random)  # between two connects while the host can't be reached
+        self.address = NO_ADDRESS
+        self.process_started_unix_ms: float | None = None  # as the machine list said last
+        self.connections: dict[ConnectionT, None] = {}  # in the order of their creation
+        self.next_connect_at_ms = 0.0
+        # Releases that the host has not acknowledged, and the connections that carry them.
+        self.pending_releases: dict[int, ConnectionT | None] = {}
+
+    def remove_connection(self, connection: ConnectionT) -> None:
+        """Forgets a connection that has ended or is left to end."""
+        if connection in self.connections:
+            del self.connections[connection]
+            self.on_change(self)
+
+    def abort_connections(self, reason: str) -> None:
+        """Ends all connections at once: the host is gone, or no longer at their address."""
+        for connection in list(self.connections):
+            connection.abort(reason)
+
+    def record_removed(self, now_ms: float) -> None:
+        """Extends `FailureDetector.record_removed`."""
+        if not self.is_removed:
+            self.on_change(self)
+        super().record_removed(now_ms)
+
+    def record_listed(self, *, draining: bool) -> None:
+        """Extends `FailureDetector.record_listed`."""
+        if self.is_removed or self.is_draining != draining:
+            self.on_change(self)
+        super().record_listed(draining=draining)
+
+    def record_connected(self, now_ms: float) -> None:
+        """Extends `FailureDetector.record_connected`."""
+        super().record_connected(now_ms)
+        self.on_change(self)
+
+    def record_connect_failure(self, now_ms: float, *, refused: bool, disconnected: bool) -> None:
+        """Extends `FailureDetector.record_connect_failure`."""
+        super().record_connect_failure(now_ms, refused=refused, disconnected=disconnected)
+        self.on_change(self)
+
+    def record_connection_lost(self, now_ms: float, *, idle: bool, disconnected: bool) -> bool:
+        """Extends `FailureDetector.record_connection_lost`."""
+        self.on_change(self)
+        return super().record_connection_lost(now_ms, idle=idle, disconnected=disconnected)
+
+    @property
+    def has_address(self) -> bool:
+        """A machine list says where the host is."""
+        return bool(self.address[1])
+
+    @property
+    def unsent_releases(self) -> list[int]:
+        """The ids of the tasks whose releases no open connection carries."""
+        return [task for task, connection in self.pending_releases.items() if connection is None]
+
+    @property
+    def is_serving(self) -> bool:
+        """New tasks may be sent there, by the machine list."""
+        return not (self.is_removed or self.is_draining)
+
+    @property
+    def has_open_attempts(self) -> bool:
+        """Attempts are open on a connection to it."""
+        return any(connection.open_attempt_count for connection in self.connections)
+
+    @property
+    def is_connecting(self) -> bool:
+        """A connection to it is coming up."""
+        return any(connection.stream is None for connection in self.connections)
+
+    @property
+    def is_disconnected(self) -> bool:
+        """No connection to it is up."""
+        return all(connection.stream is None for connection in self.connections)
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -227,7 +227,7 @@
             f" {len(self.owners.owners)} links {self.hosts.connection_count}"
             f" hosts {len(self.hosts.hosts_by_name)} descriptors"
             f" {d.held} most {d.most} of {d.room} refused {d.turned_away}"
-            f" waited {self.hosts.queued_attempt_count} paced"
+            f" waited {self.hosts.pending_queue.total_count} paced"
             f" {self.hosts.connection_limiter.turned_away} cursor"
             f" {self.channel.cursor} channel breaks {self.feed.breaks} longest round {self.lag:.0f} ms"
             f" module {x.contract.module_s:.2f} s cpu {time.process_time():.2f} s faults {self.faults}"
--- a/tests/platform_server/test_platform_server.py
+++ b/tests/platform_server/test_platform_server.py
@@ -16,9 +16,10 @@
 from glencleat.platform_protocol.command_channel import ListChange
 from glencleat.platform_server import (
     client_connections,
-    connection_pool,
     failure_detector,
-    host_connections,
+    host_connection,
+    host_maintenance,
+    pending_queue,
     watch_client,
 )
 from tests.support.exchange_world import setup
@@ -100,7 +101,7 @@
 
 def cut_off(monkeypatch):
     """No connection comes up while the list's one entry is true; those that are up stay, and say nothing."""
-    real, cut = host_connections.connect, [True]
+    real, cut = host_connection.connect, [True]
 
     def connect(loop, address, timeout_ms):
         if cut[0]:
@@ -108,7 +109,7 @@
             raise ConnectError(address, errno.ETIMEDOUT)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(host_connections, "connect", connect)
+    monkeypatch.setattr(host_connection, "connect", connect)
     return cut
 
 
@@ -133,7 +134,7 @@
 def test_the_module_is_told_of_hosts_that_looks_do_not_reach(world, monkeypatch):
     """And when one is heard again, if only on a link from before."""
     monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
-    monkeypatch.setattr(connection_pool, "TICK_MS", 20.0)
+    monkeypatch.setattr(host_maintenance, "TICK_MS", 20.0)
     world.hosts.connect_ms = 10.0
     (peer,), _ = standing(world, 1)
     told = lambda: [  # noqa: E731
@@ -155,7 +156,7 @@
 @pytest.mark.parametrize("heals", [True, False])
 def test_a_cut_ends_what_stands_only_when_its_release_is_nearly_due(world, monkeypatch, heals):
     """3.5 s of failed connections ended thousands of tasks that ran on behind a cut of 6 s."""
-    monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
+    monkeypatch.setattr(host_maintenance, "TICK_MS", 5.0)
     for name, ms in (("QUIET_MS", 20.0), ("UNREACHABLE_MS", 900.0)):
         monkeypatch.setattr(failure_detector, name, ms)
     (peer,), _ = standing(world, 1)
@@ -357,7 +358,7 @@
 @pytest.mark.parametrize("moved", ["elsewhere", "replaced"])
 def test_what_still_comes_up_at_an_address_given_away_carries_nothing(world, monkeypatch, moved):
     """It would bring a set-up for one host to the one that has its address now."""
-    held, begun, real = [True], [], host_connections.connect
+    held, begun, real = [True], [], host_connection.connect
 
     def connect(loop, address, timeout_ms):
         begun.append(address)
@@ -365,7 +366,7 @@
             yield from loop.sleep(1.0)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(host_connections, "connect", connect)
+    monkeypatch.setattr(host_connection, "connect", connect)
     peer, other, owner = Peer(world.loop, stands), Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1, timeout=3_000.0)
@@ -440,13 +441,13 @@
     world.descriptors.room = world.descriptors.held  # the owner's and the link that is in use
     world.ask(owner, 2, host="h1")
     world.ask(owner, 3, host="h2", timeout=30.0)
-    assert len(world.hosts.wait_queue) == 2 and world.back() == [api.Outcome.NOT_SENT]
-    assert len(world.hosts.wait_queue) == 1 and not peers[1].streams
+    assert len(world.hosts.pending_queue) == 2 and world.back() == [api.Outcome.NOT_SENT]
+    assert len(world.hosts.pending_queue) == 1 and not peers[1].streams
     world.until(lambda: peers[0].got)
     stands(*peers[0].got[0])
     peers[0].streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
     world.until(lambda: peers[1].got)
-    assert world.back(1) == [api.Outcome.NOT_SENT, api.Outcome.COMPLETED] and not world.hosts.wait_queue
+    assert world.back(1) == [api.Outcome.NOT_SENT, api.Outcome.COMPLETED] and not world.hosts.pending_queue
     assert world.descriptors.most == world.descriptors.room
 
 
@@ -458,19 +459,21 @@
     world.descriptors.room = 1
     for task in (1, 2):
         world.ask(owner, task, host=f"h{task - 1}")
-    first, second = world.hosts.wait_queue
+    first, second = world.hosts.pending_queue.attempts
     world.hosts.hosts_by_name["h0"].address = ("", 0)
     world.exchange.failed = lambda attempt, fact: world.hosts.cancel_attempt(second)
     world.descriptors.room = 9
-    world.hosts._serve_queue()
+    world.hosts.pending_queue.serve()
     assert (
-        not world.hosts.wait_queue and second.link is None and not world.hosts.hosts_by_name["h1"].connections
+        not world.hosts.pending_queue
+        and second.link is None
+        and not world.hosts.hosts_by_name["h1"].connections
     )
 
 
 def test_a_host_that_takes_connections_and_ends_them_is_asked_in_growing_steps(world, monkeypatch):
     """With a task there, each link that broke was opened again at once: some thousand times a second."""
-    monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
+    monkeypatch.setattr(host_maintenance, "TICK_MS", 5.0)
     (peer,), owner = standing(world, 1)
     taken, real = [], peer.listener.accept
 
@@ -508,34 +511,34 @@
     monkeypatch.setattr(connection_limiter, "LEAST_COMING", 2)
     peers, owner = [Peer(world.loop, stands) for _ in range(6)], world.client()
     world.list(*((f"h{i}", peer.address) for i, peer in enumerate(peers)))
-    real, most = host_connections.connect, []
+    real, most = host_connection.connect, []
 
     def connect(loop, address, timeout_ms):
         most.append(world.hosts.connection_limiter.coming)
         yield from loop.sleep(20.0)
         return (yield from real(loop, address, timeout_ms))
 
-    monkeypatch.setattr(host_connections, "connect", connect)
+    monkeypatch.setattr(host_connection, "connect", connect)
     for i in range(6):
         world.ask(owner, i + 1, host=f"h{i}")
     world.until(lambda: sum(map(len, world.exchange.standing.values())) == 6)
     assert (
         max(most) <= 3
-        and world.hosts.queued_attempt_count >= 3
+        and world.hosts.pending_queue.total_count >= 3
         and world.hosts.connection_limiter.coming == 0
     )
     assert world.hosts.connection_limiter.turned_away > 0 and not world.hosts.connection_limiter.at
 
 
 def test_the_line_is_bounded(world, monkeypatch):
-    monkeypatch.setattr(connection_pool, "MAX_QUEUED_ATTEMPTS", 1)
+    monkeypatch.setattr(pending_queue, "MAX_QUEUED_ATTEMPTS", 1)
     peer, owner = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.until(lambda: world.owners.owners)
     world.descriptors.room = 1
     world.ask(owner, 1)
     world.ask(owner, 2)
-    assert world.back() == [api.Outcome.NOT_SENT] and len(world.hosts.wait_queue) == 1
+    assert world.back() == [api.Outcome.NOT_SENT] and len(world.hosts.pending_queue) == 1
 
 
 def test_what_nobody_needs_goes_first_whichever_host_it_is(world):
@@ -553,9 +556,9 @@
 
 def test_more_hosts_than_descriptors_take_turns(world, monkeypatch):
     """Every release is heard, though two links serve six hosts."""
-    monkeypatch.setattr(connection_pool, "TICK_MS", 10.0)
+    monkeypatch.setattr(host_maintenance, "TICK_MS", 10.0)
     monkeypatch.setattr(failure_detector, "EVICTED_QUIET_MS", 100.0)
-    monkeypatch.setattr(host_connections, "LIVENESS_CHECK_MS", 20.0)
+    monkeypatch.setattr(host_connection, "LIVENESS_CHECK_MS", 20.0)
     world.descriptors.room, world.descriptors.rights = 3, {Side.OWNERS: 1, Side.LINKS: 2}
     peers, owner = standing(world, 6)
     owed = {}
@@ -627,7 +630,7 @@
 
 
 def test_a_host_that_never_closes_a_link_that_we_end(world, monkeypatch):
-    monkeypatch.setattr(host_connections, "CLOSE_TIMEOUT_MS", 30.0)
+    monkeypatch.setattr(host_connection, "CLOSE_TIMEOUT_MS", 30.0)
     (peer,), _ = standing(world, 1)
     peer.serve = lambda stream: iter(())
     (link,) = live(world)
@@ -690,7 +693,7 @@
 
 
 def test_a_further_link_goes_once_it_is_not_needed(world, monkeypatch):
-    monkeypatch.setattr(connection_pool, "SURPLUS_MS", 50.0)
+    monkeypatch.setattr(host_maintenance, "SURPLUS_MS", 50.0)
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h0", peer.address))
     held = []
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -105,10 +105,10 @@
     world.ask(sock, 5)  # which keeps the link
     link.is_unresponsive, world.descriptors.room = True, 0  # it takes nothing more, and there is no other
     world.ask(sock, 1)
-    assert len(world.hosts.wait_queue) == 1
+    assert len(world.hosts.pending_queue) == 1
     link.is_unresponsive = False
     leave(sock, how)
-    world.hosts._serve_queue()
+    world.hosts.pending_queue.serve()
     settled(world)
     assert sent(peer) == [9, 5]
 
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -7,32 +7,34 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import Demand
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_server import connection_pool, failure_detector
-from glencleat.platform_server.connection_pool import ConnectionPool
+from glencleat.platform_server import connection_pool, failure_detector, host_maintenance
+from glencleat.platform_server.host_maintenance import HostMaintenance
 from tests.support.pool_world import World
 
 STREAMS, BATCH, STEPS = 240, 12, 140
 
 
-class Sweeping(ConnectionPool):
-    """The plain way, which the program went until hosts were looked at when due: all of them in each tick."""
+class SweepingMaintenance(HostMaintenance):
+    """The plain way, which the program went until hosts were maintained when due: all of them in each tick."""
 
     def _tick(self):
-        self.loop.call_in(connection_pool.TICK_MS, self._tick)
-        now = self.loop.now()
-        late, self.last_tick_at_ms = now - self.last_tick_at_ms > connection_pool.STANDSTILL_MS, now
-        if late:
+        pool = self.pool
+        pool.loop.call_in(host_maintenance.TICK_MS, self._tick)
+        now = pool.loop.now()
+        is_late = now - self.last_tick_at_ms > host_maintenance.STANDSTILL_MS
+        self.last_tick_at_ms = now
+        if is_late:
             return
-        self._on_capacity_freed()
-        for name in [name for name in self.exchange.standing if name not in self.hosts_by_name]:
-            self._add_host(name).record_removed(now)
-        for host in sorted(self.hosts_by_name.values(), key=lambda host: host.last_heard_at_ms):
-            if host.name in self.exchange.standing:
+        pool.on_capacity_freed()
+        for name in [name for name in pool.exchange.standing if name not in pool.hosts_by_name]:
+            pool.registry.add_host(name).record_removed(now)
+        for host in sorted(pool.hosts_by_name.values(), key=lambda host: host.last_heard_at_ms):
+            if host.name in pool.exchange.standing:
                 self._assess_host(host, now)
             elif host.unsent_releases:
-                self._reconnect(host, Demand.ATTEMPT)
+                pool.reconnect(host, Demand.ATTEMPT)
             self._close_unneeded(host, now)
-            self._refile(host)
+            pool.refile_connections(host)
 
 
 class Script:
@@ -141,9 +143,11 @@
         self.world.advance(self.random.choice((3_000.0, 6_000.0, 30_000.0)))
 
 
-def played(kind, seed, patch):
+def played(maintenance_type, seed, patch):
     room = Random(seed).choice((2, 3, 5, 40))
-    world = World(kind, room, patch)
+    patch.setattr(connection_pool, "HostMaintenance", maintenance_type)
+    world = World(room, patch)
+    assert type(world.hosts.maintenance) is maintenance_type
     Script(world, seed).run()
     return world
 
@@ -170,7 +174,7 @@
         d.turned_away,
         c.turned_away,
         c.coming,
-        world.hosts.queued_attempt_count,
+        world.hosts.pending_queue.total_count,
     )
 
 
@@ -178,7 +182,7 @@
 def test_all_that_is_told_is_as_if_all_hosts_were_looked_at(first, monkeypatch):
     """Streams of lists, drains, ends, breaks, refusals, silences and standstills, by both ways."""
     for seed in range(first, first + BATCH):
-        plain, due = (played(kind, seed, monkeypatch) for kind in (Sweeping, ConnectionPool))
+        plain, due = (played(kind, seed, monkeypatch) for kind in (SweepingMaintenance, HostMaintenance))
         pairs = zip(plain.record, due.record, strict=False)
         differs = next((i for i, (a, b) in enumerate(pairs) if a != b), None)
         if differs is not None:
@@ -206,9 +210,9 @@
 
 def looked(world, ms):
     """Hosts looked at in so long, and ticks."""
-    before = world.hosts.due_hosts.taken, world.hosts.tick_count
+    before = world.hosts.maintenance.due_hosts.taken, world.hosts.maintenance.tick_count
     world.advance(ms)
-    return world.hosts.due_hosts.taken - before[0], world.hosts.tick_count - before[1]
+    return world.hosts.maintenance.due_hosts.taken - before[0], world.hosts.maintenance.tick_count - before[1]
 
 
 def test_idle_hosts_cost_nothing_whatever_their_number(monkeypatch):
@@ -247,7 +251,7 @@
         peer.mode = "refuses"
         peer.breaks()
     world.advance(10_000.0)
-    turns = world.hosts.due_hosts
+    turns = world.hosts.maintenance.due_hosts
     assert not (
         world.hosts.hosts_by_name
         or world.exchange.standing
@@ -271,7 +275,7 @@
     world.advance(500.0)
     doubtful.stream.bring(m.encode(m.PROGRESS, 10))
     world.advance(100.0)
-    assert not doubtful.is_unresponsive and host in world.hosts.due_hosts.dirty
+    assert not doubtful.is_unresponsive and host in world.hosts.maintenance.due_hosts.dirty
     world.advance(200.0)
 
 
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -12,7 +12,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.platform_server import host_connections
+from glencleat.platform_server import host_connection
 from glencleat.platform_server.connection_pool import ConnectionPool
 from tests.support.exchange_world import SETTINGS, Owner, read, setup
 
@@ -185,15 +185,15 @@
 
 
 class World:
-    """`kind`: the class of Hosts. The exchange's Ports as well; its owners are one connection that stays."""
+    """The exchange's Ports as well; its owners are one connection that stays."""
 
-    def __init__(self, kind=ConnectionPool, room=40, patch=None):
+    def __init__(self, room=40, patch=None):
         self.clock, self.record, self.counts = Clock(), [], Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
         self.descriptors = DescriptorBudget(room + ASIDE)
         self.descriptors.room = room
         self.channel = CommandChannel(1.7e12)
-        self.hosts = kind(
+        self.hosts = ConnectionPool(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), lambda text: self.note("log", text)
         )  # fmt: skip
         self.now, self.call_in = self.loop.now, self.loop.call_in
@@ -209,7 +209,7 @@
         )
         self.cut, self.test = self.hosts.release_task, self.hosts.request_load_report
         if patch is not None:
-            patch.setattr(host_connections, "connect", lambda loop, address, ms: self.connect(address, ms))
+            patch.setattr(host_connection, "connect", lambda loop, address, ms: self.connect(address, ms))
 
     def note(self, *what):
         self.counts[what[0]] += 1
