--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -21,7 +21,7 @@
 )
 from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_server import client_connections, watch_client
-from tests.platform_server.test_platform_server import Tower
+from tests.support.command_channel_world import Tower
 from tests.support.exchange_world import KEYED, SAFE, SETTINGS, UNSAFE, setup
 from tests.support.exchange_world import World as Virtual
 from tests.support.socket_world import Peer, cancel, kinds, linked, sent, settled, stands
--- a/tests/platform_server/test_watch_client.py
+++ b/tests/platform_server/test_watch_client.py
@@ -4,7 +4,7 @@
 
 from glencleat.flow_control.backoff import Backoff, BackoffPolicy
 from glencleat.platform_server import watch_client
-from tests.platform_server.test_platform_server import Tower, list_event
+from tests.support.command_channel_world import Tower, list_event
 
 
 def follow(world, pace, script):
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -1,15 +1,16 @@
 """Hosts, owners and the path between them on real sockets of one loop, for the tests of node/."""
 
+import errno
 import socket
 from random import Random
 
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, DescriptorBudget
-from glencleat.event_loop import Listener, Loop, StreamClosedError
+from glencleat.event_loop import ConnectError, Listener, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.platform_server import client_connections, connection_pool
+from glencleat.platform_server import client_connections, connection_pool, host_connection
 from tests.support.exchange_world import SETTINGS, Script, setup
 
 
@@ -162,3 +163,31 @@
 
 def sent(peer):
     return [message.task for _, message in peer.got if message.kind == m.SETUP]
+
+
+def cut_off(monkeypatch):
+    """No connection comes up while the list's one entry is true; those that are up stay, and say nothing."""
+    real, cut = host_connection.connect, [True]
+
+    def connect(loop, address, timeout_ms):
+        if cut[0]:
+            yield from loop.sleep(10.0)
+            raise ConnectError(address, errno.ETIMEDOUT)
+        return (yield from real(loop, address, timeout_ms))
+
+    monkeypatch.setattr(host_connection, "connect", connect)
+    return cut
+
+
+def standing(world, count):
+    """`count` hosts with a task that stands at each; their peers."""
+    peers, owner = [Peer(world.loop, stands) for _ in range(count)], world.client()
+    for i, peer in enumerate(peers):
+        world.list((f"h{i}", peer.address))
+        world.ask(owner, i + 1, host=f"h{i}")
+    world.until(lambda: len(world.exchange.standing) == count)
+    return peers, owner
+
+
+def live(world, host="h0"):
+    return [link for link in world.hosts.hosts_by_name[host].connections if link.stream is not None]
