--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -1,14 +1,15 @@
-"""All links to hosts: which one an attempt goes by, which are kept, whether a host with standing tasks lives.
+"""All connections to hosts: which one an attempt goes by, which are opened and what their ends mean.
 
-Imports the kernel, `isup` and `descriptors`. It tells the exchange facts, and names no outcome. A host's
-process is taken to have ended by one of: connections refused for some time while no link is open, none that
-came up for a longer one, no word of its own on an open link for as long while new ones are refused,
-refused once the list calls it gone, a later start in the list, another id at its address. A link that breaks
-proves nothing, and so does a refusal by a host that drains: it takes no new connections while its tasks run
-on.
+The pool reports facts to the exchange and decides no outcome of a call. A host's process is taken to have
+ended by one of: connections refused for some time while none is open; none that came up for a longer time; no
+unsolicited message on an open connection for as long, while new ones are refused; a refusal once the machine
+list says that the host is removed; a later start of its process in the list; another host at its address.
+A connection that breaks proves nothing, and neither does a refusal by a draining host: it takes no new
+connections while its tasks run on.
 
-A tick looks at the hosts on which something has happened and at those whose time has come; the others cost
-nothing. `_next` says when that is, and whoever changes what it reads calls `changed`."""
+`host_registry.py` knows the hosts, `host_maintenance.py` does the periodic work, `pending_queue.py` holds the
+attempts that wait for a connection.
+"""
 
 from __future__ import annotations
 
@@ -16,34 +17,35 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from glencleat import interface as api
-from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
+from glencleat.descriptor_budget import Demand, DescriptorBudget
 from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import HOST
-from glencleat.flow_control.connection_limiter import ConnectionLimiter, look_ms
-from glencleat.index.dirty_set import DirtySet
-from glencleat.index.due_queue import DueQueue
+from glencleat.flow_control.connection_limiter import ConnectionLimiter
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
 from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
-from glencleat.platform_server import host_connections
-from glencleat.platform_server.failure_detector import NEVER, DetectorAction
-from glencleat.platform_server.host_connections import HostConnection, HostConnections
+from glencleat.platform_server.failure_detector import NEVER
+from glencleat.platform_server.host_connection import Host, HostConnection
+from glencleat.platform_server.host_maintenance import HostMaintenance
+from glencleat.platform_server.host_registry import HostRegistry
+from glencleat.platform_server.pending_queue import PendingQueue
 
 if TYPE_CHECKING:
-    from glencleat.platform_protocol.command_channel import CommandChannel
+    from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
     from glencleat.platform_server.trace import Trace
 
-TICK_MS, LATE_MS = 200.0, 1_000.0  # between two ticks; one that comes so late tells of a standstill
-PER_HOST = 8  # links: one open set-up each where there is room, since one bad byte costs all on its link
-SURPLUS_MS = 4_000.0  # a link not needed for so long goes if another is up; owners keep theirs as long
-MOST_WAITING = 500  # attempts that wait for a descriptor
-MOST_CUTS = 1_000  # releases that wait for a host
+MAX_CONNECTIONS_PER_HOST = 8
+"""One set-up each where there is room, since one bad byte costs all that is open on its connection."""
+
+MAX_PENDING_RELEASES = 1_000
+"""Releases that wait for one host."""
+
+USABLE_IDLE_SHARE = 0.8
+"""The share of a host's idle time-out up to which a connection is used: at the whole the host closes it."""
 
 
 class ConnectionPool:
-    """All links. `exchange` is set by whoever joins the parts."""
+    """All connections to hosts. `exchange` is set by whoever assembles the process."""
 
     def __init__(
         self,
@@ -55,434 +57,321 @@
         random: Random,
         log: Callable[[str], None],
     ) -> None:
-        self.loop, self.channel, self.descriptors, self.log = loop, channel, descriptors, log
-        self.connect_ms, self.idle_ms = connect_ms, 0.8 * idle_ms  # the host closes at the whole of it
-        self.random, self.connecting = random, ConnectionLimiter()
-        self.hosts: dict[str, HostConnections] = {}
-        self.peers = 1  # allocators that look at the same hosts, this one included
-        self.cold_ms = 0.0  # a host that has just started is warm by then
+        """Starts without a host and schedules the first tick.
+
+        Args:
+            loop: Runs the connections and tells the time.
+            channel: The machine list as it is known.
+            descriptors: The budget that connections take their descriptors from.
+            connect_ms: The time-out of a connect.
+            idle_ms: How long a host keeps an unused connection.
+            random: Draws the waits between connects to a host.
+            log: Takes a line of text.
+        """
+        self.loop = loop
+        self.channel = channel
+        self.descriptors = descriptors
+        self.log = log
+        self.connect_ms = connect_ms
+        self.idle_ms = USABLE_IDLE_SHARE * idle_ms
+        self.random = random
+        self.connection_limiter = ConnectionLimiter()
+        self.allocator_count = 1  # that watch the same hosts, this one included
+        self.warm_up_ms = 0.0  # after its start a host is warming up for so long
         self.trace: Trace | None = None
-        self.addresses: dict[tuple[str, int], str] = {}
-        self.wait_queue: dict[SetupAttempt, None] = {}  # for a link: nothing could be given up for one
-        self.waited = 0  # attempts that came into it
-        self.serving = False
-        descriptors.freed = self._freed
-        self.made = 0  # hosts, which are numbered in the order in which they were made
-        # The longest unheard first: where there are more hosts than descriptors they take turns.
-        self.turns = DirtySet[HostConnections](order=lambda host: (host.heard, host.number))
-        self.unlisted: dict[str, None] = {}  # where tasks came to stand, and no list names it
-        self.linked: set[HostConnections] = set()  # those with links, and some that have had
-        self.releasing: set[HostConnections] = (
-            set()
-        )  # those with releases to be heard, and some that have had
-        self.ticks = 0
-        self.ticked = loop.now()
-        loop.call_in(TICK_MS, self._tick)
+        self.registry = HostRegistry(loop, channel, random, observer=self)
+        self.pending_queue = PendingQueue(loop, sender=self)
+        self.connected_hosts: set[Host] = set()  # those with connections, and some that have had
+        self.releasing_hosts: set[Host] = set()  # those with pending releases, and some that have had
+        descriptors.freed = self.on_capacity_freed
+        self.maintenance = HostMaintenance(self)
 
     @property
     def exchange(self) -> Exchange:
+        """Whom the pool reports to."""
         return self._exchange
 
     @exchange.setter
     def exchange(self, exchange: Exchange) -> None:
         self._exchange = exchange
-        exchange.stands = self._stands
+        exchange.stands = self.maintenance.on_standing_changed
+
+    @property
+    def hosts_by_name(self) -> dict[str, Host]:
+        """The hosts that are known, with or without a connection."""
+        return self.registry.hosts_by_name
 
     @property
-    def links(self) -> int:
-        return sum(len(host.links) for host in self.linked)
+    def connection_count(self) -> int:
+        """Connections that are up or coming up, without those that we have begun to close."""
+        return sum(len(host.connections) for host in self.connected_hosts)
 
     @property
-    def cutting(self) -> bool:
+    def has_unsent_releases(self) -> bool:
         """Releases wait for a connection to their host."""
-        return any(host.uncut for host in self.releasing)
+        return any(host.unsent_releases for host in self.releasing_hosts)
 
-    # ---- what the exchange asks ----
+    # ---- requests of the exchange; see `ExchangePorts` ----
 
-    def offer(self, attempt: SetupAttempt) -> None:
-        host = self.hosts.get(attempt.host)
-        if host is None or not host.address[1]:
-            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
+    def offer_attempt(self, attempt: SetupAttempt) -> None:
+        """Sends an attempt to its host, at once or as soon as there is a connection."""
+        host = self.registry.hosts_by_name.get(attempt.host)
+        if host is None or not host.has_address:
+            self.report_outcome(attempt, DeliveryOutcome.NEVER_SENT)
         elif self._fails_fast(host):
-            # A try has just failed, the next one is due soon: the same answer, a connect's time earlier.
-            self.answer(attempt, DeliveryOutcome.NEVER_UP)
-        elif not self._send(host, attempt):
-            self._wait(attempt)
-
-    def _fails_fast(self, host: HostConnections) -> bool:
-        waits = self.loop.now() < host.again_at and all(link.stream for link in host.links)
-        return waits and host.silent(self.connect_ms)
-
-    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
-        link: HostConnection | None = attempt.link
-        if link is None:
-            self.wait_queue.pop(attempt, None)
+            # A connect has just failed, the next is due soon: the same answer, a connect's time earlier.
+            self.report_outcome(attempt, DeliveryOutcome.NEVER_UP)
+        elif not self._send_to_host(host, attempt, may_connect=True) and not self.pending_queue.add(attempt):
+            self.report_outcome(attempt, DeliveryOutcome.NEVER_SENT)
+
+    def _fails_fast(self, host: Host) -> bool:
+        is_waiting = self.loop.now() < host.next_connect_at_ms and not host.is_connecting
+        return is_waiting and host.is_silent(self.connect_ms)
+
+    def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
+        """Takes back an attempt and returns what is known of its delivery."""
+        connection: HostConnection | None = attempt.link
+        if connection is None:
+            self.pending_queue.discard(attempt)
             return DeliveryOutcome.NEVER_SENT
-        return link.cancel(attempt)
+        return connection.cancel_attempt(attempt)
 
-    def unread(self, attempt: SetupAttempt) -> bool:
-        link: HostConnection | None = attempt.link
-        return link is not None and link.stream is not None and link.stream.readable
+    def has_unread_bytes(self, attempt: SetupAttempt) -> bool:
+        """Whether something that has not been read came on the connection that the attempt went by."""
+        connection: HostConnection | None = attempt.link
+        return connection is not None and connection.stream is not None and connection.stream.readable
 
-    def _wait(self, attempt: SetupAttempt) -> None:
-        """For a descriptor, within its time: a connect that fails would be tried again at once."""
-        if len(self.wait_queue) >= MOST_WAITING:
-            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
+    def release_task(self, name: str, task: int) -> None:
+        """Releases a standing task at its host, at once or as soon as the host can be reached."""
+        host = self.registry.hosts_by_name.get(name)
+        if host is None:
             return
-        self.wait_queue[attempt] = None
-        self.waited += 1
-
-    def answer(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
-        """Told once the exchange is done with offering it."""
-        self.loop.call_in(0.0, lambda: self.exchange.failed(attempt, fact))
-
-    def cold(self, host: HostConnections) -> bool:
-        """By the list: it started a short time ago."""
-        told = self.channel.hosts.get(host.name)
-        ready = told.machine.ready_at_ms if told is not None else None
-        return ready is not None and self.loop.now() < ready + self.cold_ms
-
-    def _freed(self) -> None:
-        if self.wait_queue and not self.serving:
-            self.serving = True
-            self.loop.call_in(0.0, self._serve_queue)
-
-    def _serve_queue(self) -> None:
-        """Those who wait, in their order; once nothing is free only those whose host has a link by now."""
-        self.serving, full = False, False
-        for attempt in list(self.wait_queue):
-            host = self.hosts.get(attempt.host)
-            if attempt not in self.wait_queue:
-                continue  # taken back since, by what the exchange did on hearing of one before it
-            if host is None or not host.address[1]:
-                del self.wait_queue[attempt]
-                self.exchange.failed(attempt, DeliveryOutcome.NEVER_SENT)
-            elif self._send(host, attempt, full):
-                del self.wait_queue[attempt]
-            else:
-                full = True
+        connection = next((other for other in host.connections if self.is_healthy(other)), None)
+        if len(host.pending_releases) < MAX_PENDING_RELEASES:
+            host.pending_releases[task] = None
+            self.releasing_hosts.add(host)
+            self.mark_changed(host)
+        if connection is not None:
+            self._write_release(host, connection, task)
+        else:
+            self.reconnect(host, Demand.ATTEMPT)
 
-    def _send(self, host: HostConnections, attempt: SetupAttempt, full: bool = False) -> bool:
-        link = self._pick(host, attempt.call.setup.task, full)
-        while link is not None and link.closed_by_host():
-            link = self._pick(host, attempt.call.setup.task, full)
-        if link is None:
+    @staticmethod
+    def _write_release(host: Host, connection: HostConnection, task: int) -> None:
+        """Writes a release. It stays pending until acknowledged: the connection may break with it unread."""
+        if task in host.pending_releases:
+            host.pending_releases[task] = connection
+        connection.write(m.caused(m.RELEASE, task, m.ENDED))
+
+    def request_load_report(self, name: str, token: int) -> bool:
+        """Asks a host for its load report. False if there is no connection to ask on."""
+        host = self.registry.hosts_by_name.get(name)
+        if host is None:
+            return False
+        for connection in host.connections:
+            if connection.stream and self._is_fresh(connection):
+                connection.write(m.caused(m.TEST, token, 1))
+                return True
+        return False
+
+    def apply_list_change(self, change: ListChange) -> None:
+        """Takes in a snapshot or a delta of the machine list."""
+        self.registry.apply_list_change(change)
+
+    # ---- requests of the pending queue ----
+
+    def has_destination(self, attempt: SetupAttempt) -> bool:
+        """See `AttemptSender`."""
+        host = self.registry.hosts_by_name.get(attempt.host)
+        return host is not None and host.has_address
+
+    def send_attempt(self, attempt: SetupAttempt, *, may_connect: bool) -> bool:
+        """See `AttemptSender`."""
+        return self._send_to_host(self.registry.hosts_by_name[attempt.host], attempt, may_connect=may_connect)
+
+    def fail_attempt(self, attempt: SetupAttempt) -> None:
+        """See `AttemptSender`."""
+        self.exchange.failed(attempt, DeliveryOutcome.NEVER_SENT)
+
+    def on_capacity_freed(self) -> None:
+        """A descriptor is free or worth less than before, or a connect has ended."""
+        self.pending_queue.schedule_service()
+
+    # ---- which connection an attempt goes by ----
+
+    def _send_to_host(self, host: Host, attempt: SetupAttempt, *, may_connect: bool) -> bool:
+        task = attempt.call.setup.task
+        connection = self._select_connection(host, task, may_connect=may_connect)
+        while connection is not None and connection.detect_close_by_host():
+            connection = self._select_connection(host, task, may_connect=may_connect)
+        if connection is None:
             return False
-        link.take(attempt)
-        self.descriptors.file(link)
+        connection.add_attempt(attempt)
+        self.descriptors.file(connection)
         return True
 
-    def _pick(self, host: HostConnections, task: int, full: bool) -> HostConnection | None:
-        """A link with nothing open if there is one, else a new one, else that with the least, else none."""
-        silent = host.silent(self.connect_ms)
+    def _select_connection(self, host: Host, task: int, *, may_connect: bool) -> HostConnection | None:
+        """An idle connection if there is one, else a new one, else that with fewest attempts, else none."""
+        is_silent = host.is_silent(self.connect_ms)
         usable = [
-            link
-            for link in host.links
-            if not (link.doubtful or link.ended) and task not in link.spent and self._open(link)
-            if not (link.stream is not None and (silent or link.stream.out))  # nothing queues behind others
+            connection
+            for connection in host.connections
+            if not (connection.is_unresponsive or connection.is_closed_by_host)
+            and task not in connection.cancelled_task_ids
+            and self._is_fresh(connection)
+            # Nothing queues behind the unsent bytes of others.
+            and not (connection.stream is not None and (is_silent or connection.stream.out))
         ]
-        free = [link for link in usable if not link.load]
-        if free:
-            return max(free, key=lambda link: (link.stream is not None, not link.visit, link.used))
+        idle = [connection for connection in usable if not connection.open_attempt_count]
+        if idle:
+            return max(
+                idle,
+                key=lambda other: (
+                    other.stream is not None,
+                    not other.is_liveness_check,
+                    other.last_used_at_ms,
+                ),
+            )
         if not usable:
-            return self._new(host) if not full and self._room(Demand.ATTEMPT) else None
-        another = len(host.links) < PER_HOST and not self.connecting.shared(host.address)
-        if another and not full and self._room(Demand.EXTRA):
-            return self._new(host)
-        return min(usable, key=lambda link: link.load)
-
-    def _open(self, link: HostConnection) -> bool:
-        """Usable: not closed, and not idle for so long that the host may close it as we write."""
-        fresh = self.loop.now() - link.used < self.idle_ms
-        return link.stream is None or (link.stream.closed is None and fresh)
-
-    def _room(self, demand: Demand) -> bool:
-        """Whether a connection may be begun now, by what comes up and by descriptors; makes room for it."""
-        look = demand is Demand.LISTEN
-        may = self.connecting.may(self.loop.now(), len(self.hosts), look)
-        return may and self.descriptors.make_room(demand)
-
-    def _new(self, host: HostConnections, visit: bool = False) -> HostConnection:
-        link = HostConnection(self, host, visit)
-        host.links[link] = None
-        self.linked.add(host)
-        self.descriptors.hold(link)
-        return link
-
-    def cut(self, name: str, task: int) -> None:
-        host = self.hosts.get(name)
-        if host is None:
-            return
-        link = next((li for li in host.links if self._kept(li)), None)
-        if len(host.cuts) < MOST_CUTS:
-            host.cuts[task] = None
-            self.releasing.add(host)
-            self.changed(host)
-        if link is not None:
-            self._cut(host, link, task)
-        else:
-            self._again(host, Demand.ATTEMPT)
-
-    @staticmethod
-    def _cut(host: HostConnections, link: HostConnection, task: int) -> None:
-        """Writes a release; the link may break with it unread, so it is kept until the host says it heard."""
-        if task in host.cuts:
-            host.cuts[task] = link
-        link.write(m.caused(m.RELEASE, task, m.ENDED))
-
-    def test(self, name: str, token: int) -> bool:
-        host = self.hosts.get(name)
-        link = next((li for li in host.links if li.stream and self._open(li)), None) if host else None
-        if link is None:
+            return self._open_connection(host) if may_connect and self._make_room(Demand.ATTEMPT) else None
+        has_room = len(host.connections) < MAX_CONNECTIONS_PER_HOST
+        may_open_another = has_room and not self.connection_limiter.shared(host.address)
+        if may_open_another and may_connect and self._make_room(Demand.EXTRA):
+            return self._open_connection(host)
+        return min(usable, key=lambda connection: connection.open_attempt_count)
+
+    def _is_fresh(self, connection: HostConnection) -> bool:
+        """Whether it is not closed, and not idle for so long that the host may close it as we write."""
+        is_recent = self.loop.now() - connection.last_used_at_ms < self.idle_ms
+        return connection.stream is None or (connection.stream.closed is None and is_recent)
+
+    def is_healthy(self, connection: HostConnection) -> bool:
+        """Whether it is up and may be used."""
+        if connection.stream is None or connection.is_unresponsive or connection.is_closed_by_host:
             return False
-        link.write(m.caused(m.TEST, token, 1))
-        return True
-
-    # ---- what links tell ----
-
-    def up(self, host: HostConnections, link: HostConnection) -> None:
-        host.up(self.loop.now())
-        self.back(host)
-        for task in host.uncut:
-            self._cut(host, link, task)
-        self._file(host)
-        self._freed()
-
-    def _retire(self, host: HostConnections) -> None:
-        """Ends the last visit, just before the next one is opened, and keeps the link that carries set-ups.
-
-        A release that we cut off comes again on the next connection opened. Were that later, a host that
-        begins to drain meanwhile would take none, and its release never come."""
-        visits = [link for link in host.links if link.visit and link.unused]
-        for link in visits if not host.draining else ():
-            if any(not li.visit and self._kept(li) for li in host.links):
-                link.leave("a newer one is opened")
+        return self._is_fresh(connection)
+
+    # ---- opening connections ----
+
+    def _make_room(self, demand: Demand) -> bool:
+        """Whether a connection may be opened now, by the limiter and by descriptors; makes room for it."""
+        is_look = demand is Demand.LISTEN
+        is_permitted = self.connection_limiter.may(
+            self.loop.now(), hosts=len(self.registry.hosts_by_name), look=is_look
+        )
+        return is_permitted and self.descriptors.make_room(demand)
+
+    def _open_connection(self, host: Host, *, is_liveness_check: bool = False) -> HostConnection:
+        connection = HostConnection(self, host, is_liveness_check=is_liveness_check)
+        host.connections[connection] = None
+        self.connected_hosts.add(host)
+        self.descriptors.hold(connection)
+        return connection
+
+    def reconnect(self, host: Host, demand: Demand = Demand.LISTEN) -> None:
+        """Opens a further connection, unless one is coming up or it is too early."""
+        if host.is_connecting or not host.has_address or self.loop.now() < host.next_connect_at_ms:
+            return
+        # First: where nothing is free the descriptor of one liveness check serves the next.
+        self._retire_liveness_checks(host)
+        if self._make_room(demand):
+            self._open_connection(host, is_liveness_check=bool(host.connections))
+
+    def _retire_liveness_checks(self, host: Host) -> None:
+        """Ends the last liveness check, just before the next is opened, and keeps what carries set-ups.
+
+        A release that is cut off by that comes again on the next connection opened. Were that later, a host
+        that begins to drain meanwhile would take none, and its release would never come.
+        """
+        if host.is_draining:
+            return
+        checks = [other for other in host.connections if other.is_liveness_check and other.is_idle]
+        for check in checks:
+            if any(not other.is_liveness_check and self.is_healthy(other) for other in host.connections):
+                check.close_gracefully("a newer one is opened")
             else:
-                link.visit = False
-                self.changed(host)
-
-    def _kept(self, link: HostConnection) -> bool:
-        return link.stream is not None and not (link.doubtful or link.ended) and self._open(link)
-
-    def _file(self, host: HostConnections) -> None:
-        for link in list(host.links):
-            self.descriptors.file(link)
-
-    def failed(self, host: HostConnections, refused: bool) -> None:
-        now = self.loop.now()
-        if host.failing > now:
-            quiet, how = now - host.heard, "refused" if refused else "not up in time"
+                check.is_liveness_check = False
+                self.mark_changed(host)
+
+    # ---- reports of connections; see `ConnectionPoolPort` ----
+
+    def report_outcome(self, attempt: SetupAttempt, outcome: DeliveryOutcome) -> None:
+        """Reports a failure to the exchange, once it has finished offering the attempt."""
+        self.loop.call_in(0.0, lambda: self.exchange.failed(attempt, outcome))
+
+    def is_warming_up(self, host: Host) -> bool:
+        """Whether the host started a short time ago, by the machine list."""
+        entry = self.channel.hosts.get(host.name)
+        ready_at_ms = entry.machine.ready_at_ms if entry is not None else None
+        return ready_at_ms is not None and self.loop.now() < ready_at_ms + self.warm_up_ms
+
+    def on_connected(self, host: Host, connection: HostConnection) -> None:
+        """A connection has come up: it carries the releases that wait."""
+        host.record_connected(self.loop.now())
+        self.on_host_heard(host)
+        for task in host.unsent_releases:
+            self._write_release(host, connection, task)
+        self.refile_connections(host)
+        self.on_capacity_freed()
+
+    def on_connect_failed(self, host: Host, *, refused: bool) -> None:
+        """A connect failed, for a reason other than a want of descriptors."""
+        now_ms = self.loop.now()
+        if host.failing_since_ms > now_ms:
+            quiet_ms = now_ms - host.last_heard_at_ms
+            how = "refused" if refused else "not up in time"
             self.log(
-                f"host {host.name}: connection {how}, {len(host.links)} others, heard {quiet:.0f} ms ago"
+                f"host {host.name}: connection {how}, {len(host.connections)} others,"
+                f" heard {quiet_ms:.0f} ms ago"
             )
-        host.fails(now, refused, host.alone)
-        host.again_at = now + host.asking.again()
-        if host.unreached(self.connect_ms, host.alone):
-            host.away = True
+        host.record_connect_failure(now_ms, refused=refused, disconnected=host.is_disconnected)
+        host.next_connect_at_ms = now_ms + host.backoff.again()
+        if host.is_unreachable(self.connect_ms, disconnected=host.is_disconnected):
+            host.is_reported_unreachable = True
             self.exchange.reached(host.name, up=False)
-        self._freed()
+        self.on_capacity_freed()
 
-    def back(self, host: HostConnections) -> None:
-        """It was heard, or a connection came up."""
-        if host.away:
-            host.away = False
+    def on_host_heard(self, host: Host) -> None:
+        """The host was heard, or a connection to it came up."""
+        if host.is_reported_unreachable:
+            host.is_reported_unreachable = False
             self.exchange.reached(host.name, up=True)
 
-    def broken(self, host: HostConnections, link: HostConnection, why: str) -> None:
-        """A release that was on its way comes again on the next connection opened: it is opened at once."""
-        now = self.loop.now()
-        if host.breaks(now, now - link.used > self.idle_ms, host.alone):
-            host.again_at = now  # earlier refusals, as of a host that drains, say nothing of this
-        lasted = now - link.since
-        if lasted < HOST.steady_ms:
-            # One that takes connections and ends them at once was asked again as fast as the loop went.
-            host.again_at = now + host.asking.again(lasted)
+    def on_connection_lost(self, host: Host, connection: HostConnection, reason: str) -> None:
+        """A connection that we had not begun to close has ended.
+
+        A release that was on its way comes again on the next connection opened, so one is opened at once.
+        """
+        now_ms = self.loop.now()
+        has_process_ended = host.record_connection_lost(
+            now_ms,
+            idle=now_ms - connection.last_used_at_ms > self.idle_ms,
+            disconnected=host.is_disconnected,
+        )
+        if has_process_ended:
+            host.next_connect_at_ms = now_ms  # earlier refusals, as of a draining host, say nothing of this
+        lifetime_ms = now_ms - connection.connected_at_ms
+        if lifetime_ms < HOST.steady_ms:
+            # A host that takes connections and ends them at once would be asked as fast as the loop runs.
+            host.next_connect_at_ms = now_ms + host.backoff.again(lifetime_ms)
         if standing := self.exchange.standing.get(host.name):
-            left = f"{len(standing)} tasks stand, {len(host.links)} links left"
-            self.log(f"host {host.name}: link ended, {why}; {left}")
-            self._again(host)
-
-    def _again(self, host: HostConnections, demand: Demand = Demand.LISTEN) -> None:
-        connecting = any(link.stream is None for link in host.links)
-        if connecting or not host.address[1] or self.loop.now() < host.again_at:
-            return
-        self._retire(host)  # first: where nothing is free its descriptor serves the next
-        if self._room(demand):
-            self._new(host, visit=bool(host.links))
-
-    # ---- the list ----
-
-    def list_told(self, news: ListChange) -> None:
-        names = {host.machine.name for host in news.hosts}
-        for name, host in self.hosts.items() if news.whole else ():
-            if name not in names:
-                host.leaves(self.loop.now())
-        for told in news.hosts:
-            self._told(told)
-
-    def _told(self, told: HostEntry) -> None:
-        name, now = told.machine.name, self.loop.now()
-        host = self.hosts.get(name) or self._add(name)
-        if told.machine.phase is api.MachinePhase.REMOVED:
-            host.leaves(now)
-            return
-        host.listed(draining=told.machine.phase is api.MachinePhase.DRAINING)
-        if told.address != host.address:
-            self._drop(host, "its host has another address")
-            host.address = told.address
-            self.changed(host)
-        other = self.addresses.get(told.address, name)
-        self.addresses[told.address] = name
-        if other != name and other in self.hosts:
-            self._replaced(self.hosts[other])
-        before, host.started = host.started, told.started_ms
-        if before is not None and before < told.started_ms:
-            # A start that was told before says nothing new: by a clock that is behind it lies ahead for ever.
-            start = when(told.started_ms - self.channel.ahead_ms, now)
-            self._over(host, "a later start is in the list", start)
-
-    def _replaced(self, host: HostConnections) -> None:
-        """Another id has its address: connections there would reach the wrong one."""
-        host.leaves(self.loop.now())
-        self._drop(host, "another host has its address")
-        host.address = ("", 0)
-        self.changed(host)
-        self._over(host, "another host has its address")
-
-    def _add(self, name: str) -> HostConnections:
-        self.made += 1
-        host = self.hosts[name] = HostConnections(name, self.loop.now(), self.random, self.made, self.changed)
-        return host
-
-    def _over(self, host: HostConnections, why: str, before: float = float("inf")) -> None:
-        ended = self.exchange.host_lost(host.name, before)
-        if ended:
-            self.log(f"host {host.name}: {ended} tasks over, {why}")
-
-    def _drop(self, host: HostConnections, why: str) -> None:
-        for link in list(host.links):
-            link.drop(why)
-
-    # ---- now and then ----
-
-    def changed(self, host: HostConnections) -> None:
-        """Something has happened on it that may bring forward when it has to be looked at."""
-        self.turns.mark(host)
-
-    def _stands(self, name: str) -> None:
-        """The first task has come to stand there, or the last one has ended."""
-        host = self.hosts.get(name)
-        if host is None:
-            self.unlisted[name] = None
-        else:
-            self.changed(host)
-
-    def _tick(self) -> None:
-        self.loop.call_in(TICK_MS, self._tick)
-        now = self.loop.now()
-        late, self.ticked = now - self.ticked > LATE_MS, now
-        if late:
-            return  # after a standstill what hosts said meanwhile lies unread: it is read first
-        self.ticks += 1
-        self._freed()  # a moment ago too many may have been begun
-        names, self.unlisted = self.unlisted, {}
-        for name in names:
-            if name in self.exchange.standing and name not in self.hosts:
-                self._add(name).leaves(now)
-            elif name in self.hosts:
-                self.changed(self.hosts[name])
-        if DueQueue.checked:
-            self._check(now)
-        for host in self.turns.take(now):
-            if self.hosts.get(host.name) is host:
-                self._visit(host, now)
-            if self.hosts.get(host.name) is host:
-                self.turns.put(host, self._next(host))
-            else:
-                self._forget(host)
-
-    def _visit(self, host: HostConnections, now: float) -> None:
-        """All that has to be done at a host by now."""
-        if host.name in self.exchange.standing:
-            self._look(host, now)
-        elif host.uncut:
-            self._again(host, Demand.ATTEMPT)
-        self._tidy(host, now)
-        self._file(host)
-        if not host.links:
-            self.linked.discard(host)
-        if not host.cuts:
-            self.releasing.discard(host)
-
-    def _forget(self, host: HostConnections) -> None:
-        self.linked.discard(host)
-        self.releasing.discard(host)
-        self.turns.put(host, NEVER)
-
-    def _next(self, host: HostConnections) -> float:
-        """When it has to be looked at again if nothing happens on it; what is past: in the next tick.
-
-        Each line answers one of `_look`, `_again`, `_tidy` and `_file`; `_check` sets them against it."""
-        stands, links_of = host.name in self.exchange.standing, host.links
-        due = NEVER
-        if stands:
-            due = host.due(bool(host.address[1]), bool(links_of), look_ms(self.peers))
-        elif host.uncut and host.address[1] and all(link.stream for link in links_of):
-            due = host.again_at
-        if host.gone and not stands and not any(link.load for link in links_of):
-            due = -NEVER
-        for link in links_of:
-            if not link.unused:
-                continue
-            if link.visit and not stands:
-                due = -NEVER
-            elif not link.visit and len(links_of) > 1:
-                due = min(due, link.used + SURPLUS_MS)
-            if not (link.visit or (stands and host.draining)):
-                due = min(due, link.used + self.idle_ms)
-            if self.descriptors.filed.get(link) is EvictionPriority.LISTENING:
-                due = min(due, link.since + host_connections.VISIT_MS)
-        return due
-
-    def _check(self, now: float) -> None:
-        """By the plain way: whoever is passed over has nothing to be done, and its links their worth."""
-        turns = self.turns.gather(now)
-        for host in self.hosts.values():
-            if host not in turns:
-                assert self._next(host) > now, (host.name, now, self._next(host), vars(host))
-                for link in host.links:
-                    assert self.descriptors.filed.get(link) in (None, link.worth()), (host.name, vars(link))
-            assert host in self.linked or not host.links
-            assert host in self.releasing or not host.cuts
-
-    def _look(self, host: HostConnections, now: float) -> None:
-        """Whether a host with standing tasks lives: `life.py` says what is to be done."""
-        do, why = host.look(now, bool(host.address[1]), bool(host.links), look_ms(self.peers))
-        if do is DetectorAction.OVER:
-            self._over(host, why)
-            return
-        if do is DetectorAction.LAST:
-            host.again_at = now
-        if do is not DetectorAction.NOTHING:
-            self._again(host)
-
-    def _tidy(self, host: HostConnections, now: float) -> None:
-        """Ends links that nobody needs, and forgets hosts that are gone."""
-        stands = host.name in self.exchange.standing
-        for link in sorted(host.links, key=lambda link: (not link.doubtful, link.used)):
-            idle = now - link.used if link.unused and not link.visit else 0.0
-            if idle > SURPLUS_MS and any(li is not link and self._kept(li) for li in host.links):
-                link.leave("another is enough")
-                if stands:
-                    self._again(host)  # at once: see _retire
-            elif link.visit and not stands and link.unused:
-                link.leave("nothing stands there")
-            elif idle > self.idle_ms and not stands:
-                link.leave("idle")
-            elif idle > self.idle_ms and not host.draining:
-                self._again(host)  # a new one first: the host would close this with a release on its way
-        if host.gone and host.name not in self.exchange.standing and not any(li.load for li in host.links):
-            self._drop(host, "its host is gone")
-            del self.hosts[host.name]
-            if self.addresses.get(host.address) == host.name:
-                del self.addresses[host.address]
+            left = f"{len(standing)} tasks stand, {len(host.connections)} links left"
+            self.log(f"host {host.name}: link ended, {reason}; {left}")
+            self.reconnect(host)
+
+    def mark_changed(self, host: Host) -> None:
+        """Something has happened that may bring forward the time at which the host is due."""
+        self.maintenance.mark_changed(host)
+
+    # ---- requests of the registry and the maintenance ----
+
+    def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
+        """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
+        ended_count = self.exchange.host_lost(host.name, before_ms)
+        if ended_count:
+            self.log(f"host {host.name}: {ended_count} tasks over, {reason}")
+
+    def refile_connections(self, host: Host) -> None:
+        """Files a host's connections in the descriptor budget by what they are worth now."""
+        for connection in list(host.connections):
+            self.descriptors.file(connection)
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -12,7 +12,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
 from glencleat.platform_protocol.exchange import Exchange
-from glencleat.platform_server import host_connections
+from glencleat.platform_server import host_connection
 from glencleat.platform_server.connection_pool import ConnectionPool
 from tests.support.exchange_world import SETTINGS, Owner, read, setup
 
@@ -174,7 +174,7 @@
 
     def _back(self, event):
         if not event.is_call_closed:
-            names = sorted(self.world.hosts.hosts)
+            names = sorted(self.world.hosts.hosts_by_name)
             if event.attempt < 2 and names:
                 return [api.Bind(event.call_id, names[(event.call_id + event.attempt) % len(names)], 900.0)]
             return [api.Reject(event.call_id)]
@@ -185,15 +185,15 @@
 
 
 class World:
-    """`kind`: the class of Hosts. The exchange's Ports as well; its owners are one connection that stays."""
+    """The exchange's Ports as well; its owners are one connection that stays."""
 
-    def __init__(self, kind=ConnectionPool, room=40, patch=None):
+    def __init__(self, room=40, patch=None):
         self.clock, self.record, self.counts = Clock(), [], Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
         self.descriptors = DescriptorBudget(room + ASIDE)
         self.descriptors.room = room
         self.channel = CommandChannel(1.7e12)
-        self.hosts = kind(
+        self.hosts = ConnectionPool(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), lambda text: self.note("log", text)
         )  # fmt: skip
         self.now, self.call_in = self.loop.now, self.loop.call_in
@@ -202,10 +202,14 @@
         for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
             self._spy(name)
         self.owner, self.peers, self.target, self.no_files = Owner(), {}, "", False
-        self.offer, self.cancel, self.unread = self.hosts.offer, self.hosts.cancel, self.hosts.unread
-        self.cut, self.test = self.hosts.cut, self.hosts.test
+        self.offer, self.cancel, self.unread = (
+            self.hosts.offer_attempt,
+            self.hosts.cancel_attempt,
+            self.hosts.has_unread_bytes,
+        )
+        self.cut, self.test = self.hosts.release_task, self.hosts.request_load_report
         if patch is not None:
-            patch.setattr(host_connections, "connect", lambda loop, address, ms: self.connect(address, ms))
+            patch.setattr(host_connection, "connect", lambda loop, address, ms: self.connect(address, ms))
 
     def note(self, *what):
         self.counts[what[0]] += 1
@@ -270,7 +274,7 @@
             HostEntry(api.Machine(name, "std", "a", 0, phase), ("127.0.0.1", port), started)
             for name, port, phase, started in entries
         ]
-        self.hosts.list_told(ListChange(whole, tuple(found)))
+        self.hosts.apply_list_change(ListChange(whole, tuple(found)))
 
     def ask(self, task, host, cls="safe", **more):
         self.target = host
