--- a/tests/index/test_rendezvous.py
+++ b/tests/index/test_rendezvous.py
@@ -10,14 +10,8 @@
 from glencleat.index.rendezvous import RendezvousIndex, hashed
 from glencleat.policy.placement import MAX_EXAMINED
 from glencleat.policy.scheduler import Scheduler
-from tests.support.reference_order import (
-    CLASSES,
-    KINDS,
-    EventStream,
-    ReferenceScheduler,
-    find_difference,
-    patch_policy_constant,
-)
+from tests.support.event_stream import CLASSES, KINDS, EventStream
+from tests.support.reference_scheduler import ReferenceScheduler, find_difference, patch_policy_constant
 
 
 class Item:
--- a/tests/policy/test_many_schedulers.py
+++ b/tests/policy/test_many_schedulers.py
@@ -9,24 +9,26 @@
 from glencleat.policy.attempts import HELD_TASK_INTERVAL_MS, SLOW_REJECTION_SHARE
 from glencleat.policy.placement import MAX_EXAMINED
 from glencleat.policy.profiles import MAX_REMEMBERED_SERVICES
-from tests.policy.test_scheduler import SAFE, Bench, binds, kinds, machine
+from tests.support.policy_world import SAFE, PolicyWorld, binds, kinds, machine
 
 
 @pytest.mark.parametrize(("peers", "offers"), [(1, 6.0), (3, 6.0), (40, 10.0), (220, 10.0), (300, 70.0)])
 def test_all_schedulers_together_stay_within_what_a_cold_machine_bears(peers, offers):
     """Each of hundreds sent one offer: the joint sum was far past what the machine bears."""
     crowd = [
-        Bench([], seed=i, allocator_index=i, allocator_count=peers, warm_up_offers=offers, max_attempts=9)
+        PolicyWorld(
+            [], seed=i, allocator_index=i, allocator_count=peers, warm_up_offers=offers, max_attempts=9
+        )
         for i in range(peers)
     ]
     sent = []
     start = crowd[0].now
-    for bench in crowd:
-        bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m", ready=start),)))
+    for world in crowd:
+        world.handle(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m", ready=start),)))
     for step in range(60):
-        for bench in crowd:
-            bench.now = start + 100.0 * step
-            sent += [bench.now for _ in binds(bench.ask(cores=0.01, memory=0.01, left=90_000.0)[1])]
+        for world in crowd:
+            world.now = start + 100.0 * step
+            sent += [world.now for _ in binds(world.request(cores=0.01, memory=0.01, left=90_000.0)[1])]
     most = busiest(sent, 1000.0)
     assert offers / 4 <= most <= offers
 
@@ -54,7 +56,7 @@
                 continue
             if i not in crowd:
                 known = [machine("m", ready=start)]
-                crowd[i] = Bench(
+                crowd[i] = PolicyWorld(
                     known,
                     step,
                     now,
@@ -64,7 +66,7 @@
                     max_attempts=9,
                 )
             crowd[i].now = now
-            asked = crowd[i].ask(cores=0.01, memory=0.01, left=90_000.0)[1]
+            asked = crowd[i].request(cores=0.01, memory=0.01, left=90_000.0)[1]
             sent += [now] * len(binds(asked))
         for i in random.sample(range(peers), int(0.7 * peers)) if step % 10 == 5 else ():
             crowd.pop(i, None)
@@ -74,136 +76,140 @@
 
 def test_a_class_turned_away_without_reason_goes_elsewhere_others_stay_and_it_comes_back():
     """A machine that limits one class says full though room shows: tries there burned attempts and time."""
-    bench = Bench([machine("m"), machine("n")])
-    call, actions = bench.ask(service="web")
+    world = PolicyWorld([machine("m"), machine("n")])
+    call, actions = world.request(service="web")
     first = binds(actions)[0].machine
-    after = bench.back(call, first, api.Outcome.REJECTED, why=api.OutcomeReason.UNSPECIFIED)
+    after = world.end_attempt(call, first, api.Outcome.REJECTED, why=api.OutcomeReason.UNSPECIFIED)
     assert binds(after)[0].machine != first
-    assert binds(bench.ask(service="web")[1])[0].machine != first
-    others = [binds(bench.ask("unsafe", service=f"s{i}")[1]) for i in range(8)]
+    assert binds(world.request(service="web")[1])[0].machine != first
+    others = [binds(world.request("unsafe", service=f"s{i}")[1]) for i in range(8)]
     assert first in {told[0].machine for told in others if told}
-    for task in [t for t in bench.scheduler.state.tasks.values() if t.machine]:
-        bench.back(
+    for task in [t for t in world.scheduler.state.tasks.values() if t.machine]:
+        world.end_attempt(
             task.call_id, task.machine.name, api.Outcome.COMPLETED, attempt=task.attempt_count - 1, over=True
         )
-    bench.now += 20_000.0
-    again = [binds(bench.ask(service=f"t{i}")[1]) for i in range(4)]
+    world.now += 20_000.0
+    again = [binds(world.request(service=f"t{i}")[1]) for i in range(4)]
     assert first in {told[0].machine for told in again if told}
 
 
 def test_after_standing_still_news_is_read_before_anything_is_bound():
     """A task that waited for a scheduler that stood still was bound to a machine whose drain lay unread."""
-    bench = Bench([machine("m"), machine("n")], watch_on_request=False)
-    first = binds(bench.ask(service="web")[1])[0].machine
-    call, actions = bench.ask(service="web", left=6_500.0)
+    world = PolicyWorld([machine("m"), machine("n")], watch_on_request=False)
+    first = binds(world.request(service="web")[1])[0].machine
+    call, actions = world.request(service="web", left=6_500.0)
     assert not binds(actions) and [t.delay_ms for t in kinds(actions, api.SetTimer)] == [0.0]
-    bench.tell(
+    world.handle(
         api.MachineListUpdated(api.ListUpdateKind.DELTA, (machine(first, phase=api.MachinePhase.DRAINING),))
     )
-    told = binds(bench.tell(api.TimerFired(0)))
+    told = binds(world.handle(api.TimerFired(0)))
     assert [b.call_id for b in told] == [call] and told[0].machine != first
 
 
 def test_hash_order_decides_where_an_even_slice_is_less_than_one_ask():
     """With hundreds of peers no ask fitted a slice, so hash and coverage never acted."""
     names = [machine(f"m{i}") for i in range(9)]
-    few = binds(Bench(names, allocator_count=1).ask(service="web", cores=1.0)[1])[0].machine
+    few = binds(PolicyWorld(names, allocator_count=1).request(service="web", cores=1.0)[1])[0].machine
     for seed in range(5):
-        bench = Bench(
+        world = PolicyWorld(
             names, seed=seed, allocator_index=seed, allocator_count=300, list_has_free_capacity=True
         )
-        logic = bench.scheduler
-        call, actions = bench.ask(service="web", cores=1.0)
+        logic = world.scheduler
+        call, actions = world.request(service="web", cores=1.0)
         assert binds(actions)[0].machine == few
         task, nodes = logic.state.tasks[call], logic.state.serving.order("web")
         assert logic.placement.choose_by_hash(task, (0.5, 0.5), nodes) is nodes[0]
 
 
 def test_no_timer_fires_with_nothing_to_do():
-    bench = Bench([machine("m")], watch_on_request=False)
-    call, actions = bench.ask()
-    assert not kinds(actions + bench.tell(api.AttemptAccepted(call, 0, "m", 20.0)), api.SetTimer)
-    assert not bench.tell(api.TimerFired(0))
+    world = PolicyWorld([machine("m")], watch_on_request=False)
+    call, actions = world.request()
+    assert not kinds(actions + world.handle(api.AttemptAccepted(call, 0, "m", 20.0)), api.SetTimer)
+    assert not world.handle(api.TimerFired(0))
 
 
 def test_probes_follow_tasks_whatever_the_fleet():
     """Every scheduler probing every machine each second cost more than the tasks did."""
-    bench = Bench(
+    world = PolicyWorld(
         [machine(f"m{i}") for i in range(80)], allocator_count=130, probes_allowed=True, reports_on_probe=True
     )
-    _, actions = bench.ask()
+    _, actions = world.request()
     asked = kinds(actions, api.Probe)
     assert 1 <= len(asked) <= 2 and not binds(actions)
     free = api.LoadReport(10.0, 20.0, 0.2)
-    after = [bench.tell(api.ProbeEnded(p.machine, api.Outcome.COMPLETED, free)) for p in asked]
+    after = [world.handle(api.ProbeEnded(p.machine, api.Outcome.COMPLETED, free)) for p in asked]
     assert {b.machine for a in after for b in binds(a)} <= {p.machine for p in asked} != set()
-    assert not kinds(bench.run(3_000.0), api.Probe)
+    assert not kinds(world.run_for(3_000.0), api.Probe)
 
 
 def test_a_machine_that_does_not_answer_its_probe_is_passed_over():
-    bench = Bench([machine("m"), machine("n"), machine("o")], probes_allowed=True, reports_on_probe=True)
-    call, actions = bench.ask()
+    world = PolicyWorld(
+        [machine("m"), machine("n"), machine("o")], probes_allowed=True, reports_on_probe=True
+    )
+    call, actions = world.request()
     asked = [p.machine for p in kinds(actions, api.Probe)]
     last = ({"m", "n", "o"} - set(asked)).pop()
-    assert last in [p.machine for p in kinds(bench.run(200.0), api.Probe)]
-    told = binds(bench.tell(api.ProbeEnded(last, api.Outcome.COMPLETED, api.LoadReport(10.0, 20.0, 0.2))))
+    assert last in [p.machine for p in kinds(world.run_for(200.0), api.Probe)]
+    told = binds(world.handle(api.ProbeEnded(last, api.Outcome.COMPLETED, api.LoadReport(10.0, 20.0, 0.2))))
     assert [(b.call_id, b.machine) for b in told] == [(call, last)]
 
 
 def test_a_slow_no_is_waited_for():
     """Machines that limit a class take part of the aim to say so; timing out first made them suspect."""
     slow = api.TaskClass("slow", api.Idempotency.IDEMPOTENT, 2_500.0, 8_000.0, 1.0)
-    told = binds(Bench([machine("m")], classes=(SAFE, slow)).ask("slow")[1])
+    told = binds(PolicyWorld([machine("m")], classes=(SAFE, slow)).request("slow")[1])
     assert told[0].timeout_ms >= SLOW_REJECTION_SHARE * 2_500.0
 
 
 def test_work_for_one_task_does_not_grow_with_the_fleet():
-    bench = Bench([machine(f"m{i}") for i in range(300)], allocator_count=200, list_has_free_capacity=True)
+    world = PolicyWorld(
+        [machine(f"m{i}") for i in range(300)], allocator_count=200, list_has_free_capacity=True
+    )
     seen = []
-    real = bench.scheduler.placement.is_eligible
-    bench.scheduler.placement.is_eligible = lambda node, *rest: seen.append(node) or real(node, *rest)
-    bench.ask(cores=1_000.0)
+    real = world.scheduler.placement.is_eligible
+    world.scheduler.placement.is_eligible = lambda node, *rest: seen.append(node) or real(node, *rest)
+    world.request(cores=1_000.0)
     assert 0 < len(seen) <= MAX_EXAMINED
 
 
 def test_what_is_gone_is_forgotten():
     """It runs for months: machines that are gone and services without tasks must not pile up."""
-    bench = Bench([])
-    logic = bench.scheduler
+    world = PolicyWorld([])
+    logic = world.scheduler
     for i in range(60):
-        bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine(f"m{i}"),)))
-        call, actions = bench.ask(service=f"s{i}")
+        world.handle(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine(f"m{i}"),)))
+        call, actions = world.request(service=f"s{i}")
         host = binds(actions)[0].machine
-        bench.tell(api.AttemptAccepted(call, 0, host, 20.0))
-        bench.now += 1_000.0
-        bench.back(call, host, api.Outcome.COMPLETED, over=True)
+        world.handle(api.AttemptAccepted(call, 0, host, 20.0))
+        world.now += 1_000.0
+        world.end_attempt(call, host, api.Outcome.COMPLETED, over=True)
     assert len(logic.state.machines) <= 2 and not logic.state.tasks_by_service and not logic.state.tasks
     logic.profiles.profiles.update(
         {f"old{i}": logic.profiles.profiles["s1"] for i in range(2 * MAX_REMEMBERED_SERVICES)}
     )
-    bench.end_some(count=1)
+    world.complete_tasks(count=1)
     assert len(logic.profiles.profiles) <= MAX_REMEMBERED_SERVICES
 
 
 @pytest.mark.parametrize("peers", [1, 2, 300])
 def test_a_list_that_shrinks_to_nothing_holds_and_recovers(peers):
-    bench = Bench([machine("m")], allocator_count=peers, list_has_free_capacity=True)
-    bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, ()))
-    call, actions = bench.ask()
+    world = PolicyWorld([machine("m")], allocator_count=peers, list_has_free_capacity=True)
+    world.handle(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, ()))
+    call, actions = world.request()
     assert not binds(actions)
-    bench.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m"),)))
-    assert [b.call_id for b in binds(bench.run(10 * HELD_TASK_INTERVAL_MS))] == [call]
+    world.handle(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, (machine("m"),)))
+    assert [b.call_id for b in binds(world.run_for(10 * HELD_TASK_INTERVAL_MS))] == [call]
 
 
 @pytest.mark.parametrize(
     "report", [api.LoadReport(), api.LoadReport(free_cores=1.0), api.LoadReport(busy_share=0.5)]
 )
 def test_a_report_that_misses_values_is_used_for_what_it_has(report):
-    bench = Bench([machine("m")], allocator_count=300)
-    call, _ = bench.ask()
-    bench.tell(
+    world = PolicyWorld([machine("m")], allocator_count=300)
+    call, _ = world.request()
+    world.handle(
         api.AttemptEnded(
             call, 0, "m", api.Outcome.COMPLETED, 1.0, True, api.OutcomeReason.UNSPECIFIED, report
         )
     )
-    assert binds(bench.ask()[1])
+    assert binds(world.request()[1])
