--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -193,8 +193,8 @@
     """The module's steps grow to 4 s: after a long outage allocators came back up to 5 s late."""
     day = world()
     day.directory.fail()
-    day.until(lambda: day.core.module.module.reask_ms >= 1_000.0)
-    day.core.module.module.reask_at = day.loop.now() + 60_000.0
+    day.until(lambda: day.core.module.module.machine_list.retry_ms >= 1_000.0)
+    day.core.module.module.machine_list.retry_at_ms = day.loop.now() + 60_000.0
     day.directory.mend()
     day.until(lambda: day.daemon.directory.up_at is not None, 1_000.0)
     tries, whole = day.daemon.directory.tries, []
