--- /dev/null
+++ b/glencleat/allocator/framework_offers.py
@@ -0,0 +1,72 @@
+"""Offers of the Scheduler API: made to frameworks, used and declined by them.
+
+An offer stands for the whole pool, as if it were one agent, and reserves nothing: the allocator chooses the
+machine of each task itself.
+"""
+
+from __future__ import annotations
+
+from glencleat.allocator.frameworks import MS_PER_S, Framework
+from glencleat.allocator.ports import CorePort
+from glencleat.mesos import messages as m
+
+DEFAULT_REFUSE_S = 5.0  # of a DECLINE without filters, as the specification of the API has it
+MAX_REFUSE_S = 31_536_000.0  # a year
+
+
+class FrameworkOffers:
+    """Makes offers when they are due."""
+
+    def __init__(self, core: CorePort) -> None:
+        self.core = core
+        self.last_offer_number = 0
+
+    def send_if_due(self, framework: Framework, now_ms: float) -> None:
+        """Sends an offer if one is due, and rescinds the oldest if too many stand."""
+        core = self.core
+        if core.ending or not core.frameworks.wants_offer(framework, now_ms):
+            return
+        self.last_offer_number += 1
+        offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
+        offer = self._make_offer(framework, offer_id)
+        rescinded_id = core.frameworks.record_offer(framework, offer_id, now_ms)
+        if rescinded_id is not None:
+            rescind = m.Rescind(m.Value(rescinded_id))
+            framework.send_event(m.SchedulerEvent("RESCIND", rescind=rescind))
+        framework.send_event(m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
+
+    def _make_offer(self, framework: Framework, offer_id: str) -> m.Offer:
+        """An offer of the pool: the capacity of one machine of each kind."""
+        core = self.core
+        sizes = core.settings.machine_sizes.values()
+        cores = sum(size.cores for size in sizes)
+        memory_mb = sum(size.memory for size in sizes)
+        return m.Offer(
+            m.Value(offer_id),
+            m.Value(framework.id),
+            m.Value(core.options.pool),
+            core.options.pool,
+            m.resources(cores, memory_mb),
+            [m.Attribute("zone", text=m.Text(core.settings.zone))],
+        )
+
+    def use(self, framework: Framework, accept: m.Accept) -> bool:
+        """Uses the offers of an ACCEPT; returns whether all are valid, and there is one."""
+        core = self.core
+        now_ms = core.now()
+        used = [
+            core.frameworks.use_offer(
+                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_again_ms
+            )
+            for offer_id in accept.offer_ids
+        ]
+        return bool(used) and all(used)
+
+    def decline(self, framework: Framework, decline: m.Decline) -> None:
+        """Drops the offers of a DECLINE, and makes none for as long as it asks."""
+        refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
+        refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
+        for offer_id in decline.offer_ids:
+            self.core.frameworks.decline_offer(
+                framework, offer_id.value, self.core.now(), refuse_ms=refuse_ms
+            )
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -14,6 +14,7 @@
     CallTaken,
     TaskStatusReported,
 )
+from glencleat.allocator.framework_offers import FrameworkOffers
 from glencleat.allocator.frameworks import MS_PER_S, Framework
 from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.allocator.ports import CorePort
@@ -29,8 +30,6 @@
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
-DEFAULT_REFUSE_S = 5.0  # of a DECLINE without filters, as the specification of the API has it
-MAX_REFUSE_S = 31_536_000.0  # a year
 MAX_LOGGED_TYPE_CHARACTERS = 40  # of an operation's type that is not known here
 UNKNOWN_CLASS = "-"  # in the counters, for a task whose class is not known
 
@@ -42,7 +41,7 @@
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
-        self.last_offer_number = 0
+        self.offers = FrameworkOffers(core)
         self.reconciliation_queue = ReconciliationQueue(core, self._send_reconciliation)
 
     # ---- sessions ----
@@ -68,7 +67,7 @@
         session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=subscribed)))
         for status in core.frameworks.unacknowledged_statuses(framework):
             self._send_update(framework, status)
-        self._send_due_offer(framework, now_ms)
+        self.offers.send_if_due(framework, now_ms)
         core.log("framework subscribed", framework=framework.id, role=framework.role())
         return framework
 
@@ -106,52 +105,17 @@
             if framework.unacknowledged_by_uuid:
                 for status in frameworks.take_due_retries(framework, now_ms):
                     self._send_update(framework, status)
-            self._send_due_offer(framework, now_ms)
-
-    # ---- offers ----
-
-    def _send_due_offer(self, framework: Framework, now_ms: float) -> None:
-        core = self.core
-        if core.ending or not core.frameworks.wants_offer(framework, now_ms):
-            return
-        self.last_offer_number += 1
-        offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
-        offer = self._make_offer(framework, offer_id)
-        rescinded_id = core.frameworks.record_offer(framework, offer_id, now_ms)
-        if rescinded_id is not None:
-            rescind = m.Rescind(m.Value(rescinded_id))
-            self._send(framework, m.SchedulerEvent("RESCIND", rescind=rescind))
-        self._send(framework, m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
-
-    def _make_offer(self, framework: Framework, offer_id: str) -> m.Offer:
-        """An offer of the whole pool, as if it were one agent: the capacity of one machine of each kind."""
-        core = self.core
-        sizes = core.settings.machine_sizes.values()
-        cores = sum(size.cores for size in sizes)
-        memory_mb = sum(size.memory for size in sizes)
-        return m.Offer(
-            m.Value(offer_id),
-            m.Value(framework.id),
-            m.Value(core.options.pool),
-            core.options.pool,
-            m.resources(cores, memory_mb),
-            [m.Attribute("zone", text=m.Text(core.settings.zone))],
-        )
+            self.offers.send_if_due(framework, now_ms)
 
     def decline(self, framework: Framework, decline: m.Decline) -> None:
         """Handles a DECLINE of offers."""
-        refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
-        refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
-        for offer_id in decline.offer_ids:
-            self.core.frameworks.decline_offer(
-                framework, offer_id.value, self.core.now(), refuse_ms=refuse_ms
-            )
+        self.offers.decline(framework, decline)
 
     # ---- launches ----
 
     def accept(self, framework: Framework, accept: m.Accept) -> None:
         """Handles an ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
-        has_valid_offers = self._use_offers(framework, accept)
+        has_valid_offers = self.offers.use(framework, accept)
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
                 type_text = operation.type[:MAX_LOGGED_TYPE_CHARACTERS]
@@ -166,18 +130,6 @@
                     )
                     self._reject_launch(framework, info, answer, INVALID_OFFERS_TEXT)
 
-    def _use_offers(self, framework: Framework, accept: m.Accept) -> bool:
-        """Whether all offers of an ACCEPT are valid, and there is one."""
-        core = self.core
-        now_ms = core.now()
-        used = [
-            core.frameworks.use_offer(
-                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_again_ms
-            )
-            for offer_id in accept.offer_ids
-        ]
-        return bool(used) and all(used)
-
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
         before = core.ledger.task(framework.id, info.task_id.value)
@@ -368,11 +320,7 @@
         self._send_update(framework, status)
 
     def _send_update(self, framework: Framework, status: m.TaskStatus) -> None:
-        self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-
-    def _send(self, framework: Framework, event: m.SchedulerEvent) -> None:
-        if framework.session is not None:
-            framework.session.send(m.encode(event))
+        framework.send_event(m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
 
     def acknowledge(self, framework: Framework, uuid: str) -> None:
         """Handles an ACKNOWLEDGE of an update."""
--- a/glencleat/allocator/frameworks.py
+++ b/glencleat/allocator/frameworks.py
@@ -13,7 +13,7 @@
 
 from glencleat.allocator.errors import AllocatorError
 from glencleat.allocator.session_stream import SessionStream
-from glencleat.mesos.messages import FrameworkInfo, TaskStatus
+from glencleat.mesos.messages import FrameworkInfo, SchedulerEvent, TaskStatus, encode
 
 MS_PER_S = 1000.0
 
@@ -45,6 +45,11 @@
         """The tenant: `role`, or the first of `roles` (multi-role frameworks)."""
         return self.info.role or (self.info.roles[0] if self.info.roles else None)
 
+    def send_event(self, event: SchedulerEvent) -> None:
+        """Sends an event, if a session is open."""
+        if self.session is not None:
+            self.session.send(encode(event))
+
 
 @dataclass(frozen=True, slots=True)
 class FrameworkSubscription:
