--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -9,9 +9,9 @@
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
 from glencleat.allocator.agent_membership import AgentState, split_executor_id
-from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
-from glencleat.allocator.delivery_status import DeliveryAction, LateAcceptance, LateAcceptanceCase
-from glencleat.allocator.domain_events import AgentStateChanged, CallTaken
+from glencleat.allocator.call_table import Attempt, FinalAnswer
+from glencleat.allocator.delivery_status import DeliveryAction
+from glencleat.allocator.domain_events import AgentStateChanged
 from glencleat.allocator.errors import AllocatorError
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.session_stream import SessionStream
@@ -24,7 +24,7 @@
     StatusReason,
     TaskState,
 )
-from glencleat.allocator.task_requests import TaskRequestError, read_task_request
+from glencleat.allocator.task_adoption import TaskAdoption
 from glencleat.mesos import messages as m
 
 SETTLED_STATUSES = (ExecutionStatus.NEVER_RAN, ExecutionStatus.ENDED)
@@ -53,6 +53,7 @@
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
+        self.adoption = TaskAdoption(core)
 
     # ---- sessions ----
 
@@ -147,77 +148,14 @@
         """A task that the agent holds: known, or placed by a former incarnation of this allocator."""
         attempt = self.core.ledger.attempts.get(task.task_id.value)
         if attempt is None:
-            self._handle_unknown_task(agent, task)
+            self.adoption.handle_unknown_task(agent, task)
         elif not attempt.back:
             if attempt.step is AttemptStep.DISPATCHED:
                 self._record_accepted(attempt)
         elif attempt.step is not AttemptStep.ENDED:
             if attempt.step is AttemptStep.DISPATCHED:
                 attempt.step = AttemptStep.ACCEPTED
-            self._handle_late_acceptance(attempt, was_placed=attempt.placed)
-
-    def _handle_unknown_task(self, agent: str, task: m.TaskInfo) -> None:
-        core = self.core
-        try:
-            attempt = self._read_unknown_task(agent, task)
-        except TaskRequestError as error:
-            core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
-            return
-        before = core.ledger.task(attempt.call.framework, attempt.call.task_id)
-        is_live_elsewhere = before is not None and (before.given is None or before.placed())
-        decision = delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere)
-        if decision is LateAcceptance.KILL:
-            core.kill(attempt)
-        else:
-            self._adopt(attempt, attempt.call)
-
-    def _read_unknown_task(self, agent: str, task: m.TaskInfo) -> Attempt:
-        """An attempt and its call, made from the labels of a LAUNCH; raises TaskRequestError."""
-        core = self.core
-        framework = m.label(task.labels, "framework")
-        task_id = m.label(task.labels, "task")
-        if framework is None or task_id is None:
-            raise TaskRequestError("labels framework and task", "are missing")
-        request = read_task_request(task, core.classes, default_class=None, answer_margin_ms=0.0)
-        now_ms = core.now()
-        call = Call(
-            number=0,
-            framework=framework,
-            task_id=task_id,
-            info=task,
-            ask=request,
-            effect=core.classes[request.task_class].idempotency,
-            tenant=m.label(task.labels, "tenant"),
-            taken_at=now_ms,
-        )
-        return Attempt(
-            call=call,
-            number=0,
-            machine=agent,
-            id=task.task_id.value,
-            sent_at=now_ms,
-            step=AttemptStep.ACCEPTED,
-        )
-
-    def _adopt(self, attempt: Attempt, call: Call) -> None:
-        """Makes a task that runs already a call of its own, which this allocator follows from here on."""
-        core = self.core
-        call.number = next(core.numbers)
-        call.given = FinalAnswer.SERVED
-        call.adopted = True
-        call.attempts.clear()
-        attempt.call = call
-        attempt.number = 0
-        attempt.back = False
-        attempt.ran = None
-        attempt.placed = True
-        core.ledger.take(call)
-        core.ledger.bind(attempt)
-        core.figures.adopted[call.ask.task_class] += 1
-        core.happened(CallTaken(call))
-        core.tell_asked(call, 0.0, attempt.machine)
-        is_accepted = attempt.step is AttemptStep.ACCEPTED
-        core.told.status(call, status_mapping.reconciliation_answer(attempt.fate(), is_accepted=is_accepted))
+            self.adoption.handle_late_acceptance(attempt, was_placed=attempt.placed)
 
     # ---- status updates ----
 
@@ -269,7 +207,7 @@
         call = attempt.call
         attempt.step = meaning.step
         if meaning.step is not AttemptStep.ENDED:
-            self._handle_late_acceptance(attempt, was_placed=was_placed)
+            self.adoption.handle_late_acceptance(attempt, was_placed=was_placed)
             return
         if not meaning.may_have_run:
             attempt.ran = False
@@ -319,46 +257,6 @@
         self.core.returned(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
         self.core.told.status(attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason))
 
-    # ---- late acceptances ----
-
-    def _handle_late_acceptance(self, attempt: Attempt, *, was_placed: bool) -> None:
-        """An agent holds a task whose attempt was concluded."""
-        core = self.core
-        call = attempt.call
-        latest = core.ledger.task(call.framework, call.task_id) or call
-        is_latest_placed = latest.placed()
-        is_owner_gone = call.left or not core.wanted(call)
-        core.figures.events["late yes"] += 1
-        decision = delivery_status.decide_late_acceptance(
-            LateAcceptanceCase(
-                answer=latest.given,
-                was_placed=was_placed,
-                has_other_dispatched=latest.out() is not None and not is_latest_placed,
-                has_other_placed=is_latest_placed,
-                is_owner_gone=is_owner_gone,
-            )
-        )
-        core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=decision.value)
-        if decision is LateAcceptance.KILL:
-            core.kill(attempt)
-            return
-        call.attempts.remove(attempt)
-        core.ledger.forget(latest)
-        self._adopt(attempt, self._copy_call(call))
-
-    def _copy_call(self, call: Call) -> Call:
-        """A fresh call of the same task, for an attempt that is adopted."""
-        return Call(
-            number=0,
-            framework=call.framework,
-            task_id=call.task_id,
-            info=call.info,
-            ask=call.ask,
-            effect=call.effect,
-            tenant=call.tenant,
-            taken_at=self.core.now(),
-        )
-
     # ---- messages ----
 
     def handle_message(self, executor_id: str, payload: m.Payload) -> None:
