--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -2,6 +2,8 @@
 
 import errno
 
+import pytest
+
 from glencleat import interface as api
 from glencleat.descriptor_budget import EvictionPriority, Side
 from glencleat.event_loop import streams
@@ -16,6 +18,11 @@
 from tests.support.socket_world import Peer, cut_off, live, standing, stands
 
 
+@pytest.fixture
+def world(virtual_time_world):
+    return virtual_time_world
+
+
 def test_an_attempt_waits_for_a_descriptor_within_its_time(world):
     """A connect without one fails at once, as if the host were at fault, and is tried again without end."""
     peers, owner = [Peer(world.loop) for _ in range(3)], world.client()
--- a/tests/platform_server/test_host_failures.py
+++ b/tests/platform_server/test_host_failures.py
@@ -9,7 +9,12 @@
     host_maintenance,
 )
 from tests.support.exchange_world import setup
-from tests.support.socket_world import Peer, cut_off, kinds, standing, stands
+from tests.support.socket_world import Peer, cut_off, kinds, settled, standing, stands
+
+
+@pytest.fixture
+def world(virtual_time_world):
+    return virtual_time_world
 
 
 def test_the_module_is_told_of_hosts_that_looks_do_not_reach(world, monkeypatch):
@@ -151,6 +156,7 @@
     elif how == "restarted":
         world.list(("h1", peer.address, world.loop.clock.wall() - 30_000.0))
         assert name in world.exchange.standing  # a start long ago ends nothing
+        settled(world)  # the task stands for some time
         world.list(("h1", peer.address, world.loop.clock.wall() + 1.0))
     assert world.back() == [api.Outcome.LOST] and not world.exchange.standing
 
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -12,43 +12,17 @@
 
 from glencleat.emulators.allocator_processes import SETTINGS
 from glencleat.emulators.channel import entry
-from glencleat.event_loop import Loop
-from glencleat.event_loop.loop import EpollPoller
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_server.process import PlatformProcess, load
 from glencleat.scale.hosts import listen_on_loopback
 from tests.support.exchange_world import setup
+from tests.support.virtual_time import leaping_loop
 
 SMALL, LARGE = 400, 1_600
 FLAT = 1.3  # at four times the hosts: as good as independent of them
 LINEAR = 5.0  # four times, and a little for trees and tables that grow
 
 
-class LeapingClock:
-    def __init__(self):
-        self.at = 1_000_000.0
-
-    def now(self):
-        return self.at
-
-    def wall(self):
-        return 1.7e12 + self.at
-
-
-class LeapingPoller(EpollPoller):
-    """Looks what is there, and where nothing is leaps to when the next timer is due."""
-
-    def __init__(self, clock):
-        super().__init__()
-        self.clock = clock
-
-    def poll(self, timeout_ms):
-        found = super().poll(0.0)
-        if not found and timeout_ms is not None:
-            self.clock.at += max(0.0, timeout_ms)
-        return found
-
-
 class Work:
     """Counts the bytecodes that run in the program's files meanwhile."""
 
@@ -90,8 +64,8 @@
         }  # fmt: skip
         path = folder / f"node-{hosts}-{standing}.json"
         path.write_text(json.dumps(config))
-        self.clock = LeapingClock()
-        self.loop = Loop(self.clock, LeapingPoller(self.clock))
+        self.loop = leaping_loop()
+        self.clock = self.loop.clock
         self.process = PlatformProcess(load(str(path)), self.loop, lambda text: None, str(path))
         self.place, self.client = self.process.owners.listen(("127.0.0.1", 0)), None
         self.last = self.asked = 0
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -57,8 +57,8 @@
 class World:
     """Exchange, hosts and owners joined as the process joins them, with a scripted module."""
 
-    def __init__(self, room=40):
-        self.loop, self.module, self.logs = Loop(), Script(), []
+    def __init__(self, room=40, loop=None):
+        self.loop, self.module, self.logs = loop or Loop(), Script(), []
         self.channel = CommandChannel(self.loop.clock.wall() - self.loop.now())
         self.descriptors = DescriptorBudget(room + ASIDE)
         self.hosts = connection_pool.ConnectionPool(
