--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -1,4 +1,4 @@
-"""`platform_server/connection_pool.py` with its exchange on a clock of their own: no sockets, and hosts that do as a script says.
+"""The connection pool with its exchange on a virtual clock: no sockets, and hosts that follow a script.
 
 Everything that passes between them is written down, so that two ways to do the work can be set side by side."""
 
@@ -43,9 +43,15 @@
     readable, out = False, b""
 
     def __init__(self, world, peer, number):
-        self.world, self.peer, self.number = world, peer, number
-        self.closed, self.queued, self.written, self.on_close = None, 0, 0, []
-        self.inbox, self.reader = [], None
+        self.world = world
+        self.peer = peer
+        self.number = number
+        self.closed = None
+        self.queued = 0
+        self.written = 0
+        self.on_close = []
+        self.inbox = []
+        self.reader = None
 
     def put(self, data):
         if self.closed is None:
@@ -99,8 +105,13 @@
     """`mode`: up, refuses, silent (nothing comes up). What has ended is owed until it was heard."""
 
     def __init__(self, world, name, address):
-        self.world, self.name, self.address = world, name, address
-        self.mode, self.streams, self.tasks, self.owed = "up", {}, {}, {}
+        self.world = world
+        self.name = name
+        self.address = address
+        self.mode = "up"
+        self.streams = {}
+        self.tasks = {}
+        self.owed = {}
 
     def up(self, stream):
         self.streams[stream] = None
@@ -188,29 +199,44 @@
     """The exchange's Ports as well; its owners are one connection that stays."""
 
     def __init__(self, room=40, patch=None):
-        self.clock, self.record, self.counts = Clock(), [], Counter()
+        self.clock = Clock()
+        self.record = []
+        self.counts = Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
         self.descriptors = DescriptorBudget(room + ASIDE)
         self.descriptors.room = room
         self.channel = CommandChannel(1.7e12)
         self.hosts = ConnectionPool(
-            self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), lambda text: self.note("log", text)
-        )  # fmt: skip
-        self.now, self.call_in = self.loop.now, self.loop.call_in
+            loop=self.loop,
+            channel=self.channel,
+            descriptors=self.descriptors,
+            connect_ms=250.0,
+            idle_ms=30_000.0,
+            random=Random(1),
+            log=self.log,
+        )
+        self.join_ports()
         self.exchange = Exchange(SETTINGS, Module(self), self, 250.0)
         self.hosts.exchange = self.exchange
         for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
             self._spy(name)
-        self.owner, self.peers, self.target, self.no_files = Owner(), {}, "", False
-        self.offer, self.cancel, self.unread = (
-            self.hosts.offer_attempt,
-            self.hosts.cancel_attempt,
-            self.hosts.has_unread_bytes,
-        )
-        self.cut, self.test = self.hosts.release_task, self.hosts.request_load_report
+        self.owner = Owner()
+        self.peers = {}
+        self.target = ""
+        self.no_files = False
         if patch is not None:
             patch.setattr(host_connection, "connect", lambda loop, address, ms: self.connect(address, ms))
 
+    def join_ports(self):
+        """The ports that the exchange asks of the pool and the loop."""
+        self.now = self.loop.now
+        self.call_in = self.loop.call_in
+        self.offer = self.hosts.offer_attempt
+        self.cancel = self.hosts.cancel_attempt
+        self.unread = self.hosts.has_unread_bytes
+        self.cut = self.hosts.release_task
+        self.test = self.hosts.request_load_report
+
     def note(self, *what):
         self.counts[what[0]] += 1
         self.record.append((self.clock.at, *map(repr, what)))
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -1,4 +1,4 @@
-"""Hosts, owners and the path between them on real sockets of one loop, for the tests of node/."""
+"""Hosts, clients and the path between them on real sockets of one loop."""
 
 import errno
 import socket
@@ -27,7 +27,10 @@
     """A listener that keeps what each connection said; `script` answers each message."""
 
     def __init__(self, loop, script=lambda stream, message: None, address=("127.0.0.1", 0)):
-        self.loop, self.script, self.streams, self.got = loop, script, [], []
+        self.loop = loop
+        self.script = script
+        self.streams = []
+        self.got = []  # (stream, message)
         self.listener = Listener(loop, address, self.accept)
         self.address = self.listener.address
 
@@ -55,32 +58,45 @@
 
 
 class World:
-    """Exchange, hosts and owners joined as the process joins them, with a scripted module."""
+    """Exchange, pool and clients joined as the process joins them, with a scripted policy."""
 
     def __init__(self, room=40, loop=None):
-        self.loop, self.module, self.logs = loop or Loop(), Script(), []
+        self.loop = loop or Loop()
+        self.module = Script()
+        self.logs = []
         self.channel = CommandChannel(self.loop.clock.wall() - self.loop.now())
         self.descriptors = DescriptorBudget(room + ASIDE)
         self.hosts = connection_pool.ConnectionPool(
-            self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), self.logs.append
+            loop=self.loop,
+            channel=self.channel,
+            descriptors=self.descriptors,
+            connect_ms=250.0,
+            idle_ms=30_000.0,
+            random=Random(1),
+            log=self.logs.append,
         )
         self.owners = client_connections.ClientConnections(self.loop, self.descriptors, self.logs.append)
-        self.now, self.call_in, self.log = self.loop.now, self.loop.call_in, self.logs.append
+        self.join_ports()
         self.exchange = Exchange(SETTINGS, self.module, self, 250.0)
-        self.hosts.exchange = self.owners.exchange = self.exchange
+        self.hosts.exchange = self.exchange
+        self.owners.exchange = self.exchange
         self.address = self.owners.listen(("127.0.0.1", 0))
-        self.clients, self.calls = [], 0
-        self.to_owner, self.proves, self.offer = (
-            self.owners.to_owner,
-            self.owners.proves,
-            self.hosts.offer_attempt,
-        )
-        self.waits, self.unread = self.owners.waits, self.hosts.has_unread_bytes
-        self.cancel, self.cut, self.test = (
-            self.hosts.cancel_attempt,
-            self.hosts.release_task,
-            self.hosts.request_load_report,
-        )
+        self.clients = []
+        self.calls = 0
+
+    def join_ports(self):
+        """The ports that the exchange asks of the sockets."""
+        self.now = self.loop.now
+        self.call_in = self.loop.call_in
+        self.log = self.logs.append
+        self.to_owner = self.owners.to_owner
+        self.proves = self.owners.proves
+        self.waits = self.owners.waits
+        self.offer = self.hosts.offer_attempt
+        self.unread = self.hosts.has_unread_bytes
+        self.cancel = self.hosts.cancel_attempt
+        self.cut = self.hosts.release_task
+        self.test = self.hosts.request_load_report
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
