--- a/glencleat/cli/__init__.py
+++ b/glencleat/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, by click: `glencleat COMMAND`."""
+"""The command line `glencleat COMMAND`, built with click. `main.py` holds the command group."""
--- /dev/null
+++ b/glencleat/cli/plays.py
@@ -0,0 +1,104 @@
+"""Commands that play a script on loopback, and that check the trace of a play."""
+
+from __future__ import annotations
+
+import sys
+import tempfile
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from glencleat.cli.config_files import CONFIG_PATH, fail_with_faults, read_script
+from glencleat.cli.exit_codes import ExitCode, fail
+from glencleat.cli.tables import open_console
+from glencleat.config import AllocatorConfig, ConfigError
+
+if TYPE_CHECKING:
+    from glencleat.checker.trace import TraceEntry
+    from glencleat.emulators.play import Play
+    from glencleat.emulators.script import Script
+
+REPORT_WIDTH = 110  # columns of text where the output is no terminal
+
+
+@click.command("play")
+@click.argument("script", type=CONFIG_PATH)
+@click.option("--folder", type=click.Path(file_okay=False, path_type=Path), help="Keep record and logs here.")
+@click.option("--seed", type=int, help="Instead of the script's.")
+@click.option("--trouble", help="Faults of such a bench day instead of the script's, as in crash+hot_key.")
+def play_script(script: Path, folder: Path | None, seed: int | None, trouble: str | None) -> None:
+    """Play a day from SCRIPT on loopback and check the five rules. Exits with 1 if one was broken."""
+    from glencleat.emulators.play import Play, PlayError
+
+    settings, campus = read_script(script)
+    settings = _override_settings(settings, seed, trouble)
+    with tempfile.TemporaryDirectory(prefix="glencleat-") as temporary_folder:
+        output_folder = folder or Path(temporary_folder)
+        output_folder.mkdir(parents=True, exist_ok=True)
+        play = Play(settings, script.parent / settings.campus, campus, output_folder)
+        try:
+            play.run()
+        except PlayError as error:
+            fail(error, ExitCode.UNAVAILABLE)
+        has_crashed = _print_crashes(play, output_folder)
+        _print_verdict(play.recorder.entries, campus)
+        if has_crashed:
+            sys.exit(ExitCode.FAILED)
+
+
+def _override_settings(settings: Script, seed: int | None, trouble: str | None) -> Script:
+    """The script with the seed and the faults that options put in place of its own."""
+    from glencleat.emulators.fault_scenarios import faults
+
+    if seed is not None:
+        settings = settings.model_copy(update={"play": settings.play.model_copy(update={"seed": seed})})
+    if trouble is None:
+        return settings
+    try:
+        return settings.model_copy(update={"at": faults(settings, trouble, settings.play.seed)})
+    except ValueError as error:
+        fail(error, ExitCode.WRONG_USE)
+
+
+def _print_crashes(play: Play, output_folder: Path) -> bool:
+    """Name the allocators that ended by themselves; whether there is one.
+
+    A crash cuts its owners' sessions, which the rules excuse; a fault of the allocator they must not.
+    """
+    exit_codes_by_name = {name: code for name, code in play.exits.items() if code}
+    for name, code in exit_codes_by_name.items():
+        click.echo(f"allocator {name} ended by itself with {code}; see {output_folder / name}.log", err=True)
+    return bool(exit_codes_by_name)
+
+
+@click.command("report")
+@click.argument("record", type=CONFIG_PATH)
+@click.argument("campus", type=CONFIG_PATH)
+def report_trace(record: Path, campus: Path) -> None:
+    """Check RECORD (of a play) again by the rules that CAMPUS states, and show its tables."""
+    from glencleat.checker.trace import TraceError, read_trace
+    from glencleat.emulators.script import load_campus
+
+    try:
+        _print_verdict(list(read_trace(record)), load_campus(campus))
+    except ConfigError as error:
+        fail_with_faults(error)
+    except (TraceError, OSError) as error:
+        fail(error, ExitCode.WRONG_USE)
+
+
+def _print_verdict(entries: list[TraceEntry], campus: AllocatorConfig) -> None:
+    """Print the checker's tables; exits with `ExitCode.FAILED` if a rule or a bound was broken."""
+    from glencleat.checker import invariants, polling_bounds, report, slow_start_bounds
+    from glencleat.checker.chance_bounds import BoundState
+    from glencleat.emulators.script import figures
+
+    violations = invariants.check_invariants(entries, figures(campus))
+    bounds = polling_bounds.judge_trace(entries) + slow_start_bounds.judge_trace(entries)
+    report.print_report(entries, violations, bounds, open_console(REPORT_WIDTH))
+    if violations or any(bound.state is BoundState.BROKEN for bound in bounds):
+        sys.exit(ExitCode.FAILED)
+
+
+COMMANDS = (play_script, report_trace)
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -1,405 +1,308 @@
-"""Commands of the REST front's clients: get, watch, submit, cancel, why. Tables by rich, or JSON by `-o
-json`.
+"""Commands of the REST interface's clients: get, watch, submit, cancel, why.
 
 They speak HTTP to `--server` (or GLENCLEAT_SERVER) and import nothing of the allocator. Exit codes: 0 done;
-1 the server says no (a task that is refused, a resource that is not there); 2 wrong use; 3 the server can't
-be reached."""
+1 the server says no (a task that is rejected, a resource that is not there); 2 wrong use; 3 the server can't
+be reached.
+"""
 
 from __future__ import annotations
 
-import http.client
+import functools
 import json
 import sys
 import time
 import uuid
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass
-from typing import Any, NoReturn
-from urllib.parse import quote, urlencode
+from collections.abc import Callable
+from typing import Any, ParamSpec, TextIO, TypedDict, TypeVar, Unpack, cast
 
 import click
-from rich.console import Console
-from rich.table import Table
-
-from glencleat.config.schema import SIZES, TIMES, parse_unit
-
-BROKEN_MOST = 20  # connections in a row that a watch makes in vain
-KINDS = ("jobs", "tasks", "machines", "services")
-COLUMNS: dict[str, tuple[tuple[str, Callable[[Any], Any]], ...]] = {
-    "jobs": (
-        ("tenant", lambda x: x["tenant"]),
-        ("name", lambda x: x["name"]),
-        ("class", lambda x: x["spec"]["class"]),
-        ("service", lambda x: x["spec"]["service"]),
-        ("phase", lambda x: x["status"]["phase"]),
-        *(
-            (word, lambda x, word=word: x["status"].get(word, 0))
-            for word in ("waiting", "placed", "finished")
-        ),
-        *((word, lambda x, word=word: x["status"].get(word, 0)) for word in ("ended", "refused", "failed")),
-    ),
-    "tasks": (
-        ("tenant", lambda x: x["tenant"]),
-        ("framework", lambda x: x["framework"]),
-        ("name", lambda x: x["name"]),
-        ("class", lambda x: x["class"]),
-        ("service", lambda x: x["service"]),
-        ("state", lambda x: x["state"]),
-        ("machine", lambda x: x.get("machine", "")),
-        ("why", lambda x: x.get("why", {}).get("summary") or x.get("message", "")),
-    ),
-    "machines": (
-        *(
-            (word, lambda x, word=word: x[word])
-            for word in ("name", "kind", "zone", "cell", "phase", "agent")
-        ),
-        ("cores left", lambda x: x.get("coresLeft", "")),
-        ("memory left", lambda x: x.get("memoryLeft", "")),
-    ),
-    "services": (
-        ("tenant", lambda x: x["tenant"]),
-        ("name", lambda x: x["name"]),
-        ("waiting", lambda x: x.get("waiting", 0)),
-        ("placed", lambda x: x.get("placed", 0)),
-        ("halls", lambda x: ", ".join(f"{k} {v}" for k, v in sorted(x.get("zones", {}).items()))),
-    ),
-}
-
-
-def stop(text: str, code: int) -> NoReturn:
-    click.echo(f"glencleat: {text}", err=True)
-    sys.exit(code)
-
-
-class ProblemError(Exception):
-    """The server's word on what it did not do."""
-
-    def __init__(self, status: int, body: bytes, retry_after: float | None) -> None:
-        try:
-            told = json.loads(body)
-            text = f"{told['title']}: {told.get('detail', '')}"
-        except (ValueError, KeyError, TypeError):
-            text = body.decode(errors="replace")[:300] or f"status {status}"
-        super().__init__(text)
-        self.status, self.retry_after = status, retry_after
-
-
-@dataclass
-class Client:
-    """One server; each request on a connection of its own."""
-
-    host: str
-    port: int
-
-    def open(self, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None) -> Any:
-        """The response, its body unread; raises Problem or OSError."""
-        connection = http.client.HTTPConnection(self.host, self.port, timeout=30.0)
-        told = dict(headers or {})
-        data = None
-        if body is not None:
-            data = json.dumps(body).encode()
-            told.setdefault("content-type", "application/json")
-        connection.request(method, target, data, told)
-        response = connection.getresponse()
-        if response.status >= 400:
-            wait = response.headers.get("retry-after")
-            raise ProblemError(response.status, response.read(), float(wait) if wait else None)
-        return response
-
-    def ask(self, method: str, target: str, body: Any = None, headers: dict[str, str] | None = None) -> Any:
-        data = self.open(method, target, body, headers).read()
-        return json.loads(data) if data else None
-
-    def pages(self, target: str, query: dict[str, str]) -> Iterator[dict[str, Any]]:
-        while True:
-            told = self.ask("GET", f"{target}?{urlencode(query)}")
-            yield from told["items"]
-            if "continue" not in told:
-                return
-            query = query | {"continue": told["continue"]}
-
-    def lines(self, target: str) -> Iterator[dict[str, Any]]:
-        with self.open("GET", target) as response:
-            for line in response:
-                yield json.loads(line)
-
-
-class Server(click.ParamType[Client]):
-    name = "host:port"
-
-    def convert(self, value: Any, param: Any, ctx: Any) -> Client:
-        if isinstance(value, Client):
-            return value
-        host, _, port = str(value).rpartition(":")
-        if not host or not port.isdigit() or int(port) > 65535:
-            self.fail(f"{value!r} is no HOST:PORT")
-        return Client(host, int(port))
-
-
-class Amount(click.ParamType[float]):
-    """A number with a unit, as in the configuration."""
-
-    def __init__(self, units: dict[str, float], example: str) -> None:
-        self.units, self.example, self.name = units, example, example
-
-    def convert(self, value: Any, param: Any, ctx: Any) -> float:
-        try:
-            return float(parse_unit(value, self.units, self.example))
-        except ValueError as error:
-            self.fail(str(error))
-
-
-class Label(click.ParamType[tuple[str, str]]):
-    name = "key=value"
-
-    def convert(self, value: Any, param: Any, ctx: Any) -> tuple[str, str]:
-        if isinstance(value, tuple):
-            return value
-        key, equals, told = str(value).partition("=")
-        if not equals or not key:
-            self.fail(f"{value!r} is no KEY=VALUE")
-        return key, told
 
-
-def shared(command: Any) -> Any:
-    """The options that all commands have."""
-    form = click.option("-o", "form", type=click.Choice(["table", "json"]), default="table")
-    server = click.option(
+from glencleat.cli import tables
+from glencleat.cli.exit_codes import ExitCode, fail
+from glencleat.cli.parameter_types import LabelType, QuantityType, ServerType
+from glencleat.cli.resource_watch import ResourceWatch, wait_for_job
+from glencleat.cli.rest_client import (
+    CONNECTION_ERRORS,
+    RECONNECT_WAIT_S,
+    MissingTenantError,
+    ProblemError,
+    RestClient,
+    collection_path,
+    resource_path,
+)
+from glencleat.cli.rest_resources import (
+    Job,
+    JobRequest,
+    JobSpec,
+    Resource,
+    ResourceKind,
+    Task,
+    WaitCause,
+    WaitExplanation,
+)
+from glencleat.cli.tables import OutputFormat
+from glencleat.config.schema import SIZES, TIMES
+
+CommandParameters = ParamSpec("CommandParameters")
+CommandResult = TypeVar("CommandResult")
+CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
+
+DEFAULT_SERVER = "127.0.0.1:5053"
+MAX_WATCH_S = 86_400
+RETRIED_STATUSES = (429, 503)  # the server is busy, or on its way up or down
+DEFAULT_RETRY_WAIT_S = 1.0  # where the server names none
+MAX_RETRY_WAIT_S = 5.0
+MS_PER_S = 1_000.0
+CAUSES_WIDTH = 140  # columns of text where the output is no terminal
+CAUSE_TITLES = ("cause", "what is known", "count", "last by", "at")
+
+
+class JobOptions(TypedDict):
+    """Options of `submit` that describe the job."""
+
+    task_class: str | None
+    service: str | None
+    name: str | None
+    tasks: int
+    cores: float | None
+    memory_mb: float | None
+    wait_ms: float | None
+    life_ms: float | None
+    key: str | None
+    labels: tuple[tuple[str, str], ...]
+    again: bool
+
+
+def connection_options(command: CommandFunction) -> CommandFunction:
+    """Add the options that all these commands have: server, tenant and output format."""
+    add_output = click.option(
+        "-o", "output", type=click.Choice([output.value for output in OutputFormat]), default="table"
+    )
+    add_server = click.option(
         "--server",
-        type=Server(),
-        default="127.0.0.1:5053",
+        type=ServerType(),
+        default=DEFAULT_SERVER,
         envvar="GLENCLEAT_SERVER",
         help="Its REST address.",
     )
-    tenant = click.option("-t", "--tenant", envvar="GLENCLEAT_TENANT", help="Whose; all without it.")
-    return server(tenant(form(command)))
+    add_tenant = click.option("-t", "--tenant", envvar="GLENCLEAT_TENANT", help="Whose; all without it.")
+    return add_server(add_tenant(add_output(command)))
 
 
-def guarded(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Turns what can go wrong into a line and an exit code."""
+def exit_on_errors(
+    command: Callable[CommandParameters, CommandResult],
+) -> Callable[CommandParameters, CommandResult]:
+    """Turn the client's errors into a line on standard error and an exit code."""
 
-    def run(*args: Any, **more: Any) -> Any:
+    @functools.wraps(command)
+    def run(*args: CommandParameters.args, **kwargs: CommandParameters.kwargs) -> CommandResult:
         try:
-            return command(*args, **more)
+            return command(*args, **kwargs)
+        except MissingTenantError as error:
+            fail(error, ExitCode.WRONG_USE)
         except ProblemError as error:
-            stop(str(error), 1)
-        except (OSError, http.client.HTTPException) as error:
-            stop(f"the server can't be reached: {error}", 3)
+            fail(error, ExitCode.FAILED)
+        except CONNECTION_ERRORS as error:
+            fail(f"the server can't be reached: {error}", ExitCode.UNAVAILABLE)
 
-    run.__name__, run.__doc__ = command.__name__, command.__doc__
-    run.__click_params__ = getattr(command, "__click_params__", [])  # type: ignore[attr-defined]
     return run
 
 
-def place(kind: str, tenant: str | None) -> str:
-    if tenant is None or kind == "machines":
-        return f"/v1/{kind}"
-    return f"/v1/tenants/{quote(tenant, safe='')}/{kind}"
-
-
-def named(kind: str, tenant: str | None, name: str) -> str:
-    """Where one resource is. A task is FRAMEWORK/TASK, or JOB.N for a job's."""
-    if kind == "machines":
-        return f"/v1/machines/{quote(name, safe='')}"
-    if tenant is None:
-        stop(f"one of the {kind}: expected --tenant", 2)
-    if kind != "tasks":
-        return f"{place(kind, tenant)}/{quote(name, safe='')}"
-    framework, slash, task = name.partition("/")
-    if not slash:
-        framework, task = f"rest:{tenant}", name
-    return f"{place(kind, tenant)}/{quote(framework, safe='')}/{quote(task, safe='')}"
-
-
-def show(kind: str, items: list[dict[str, Any]], form: str) -> None:
-    if form == "json":
-        click.echo(json.dumps(items, indent=2))
-        return
-    table = Table()
-    for word, _ in COLUMNS[kind]:
-        table.add_column(word, overflow="fold")
-    for item in items:
-        table.add_row(*(str(read(item)) for _, read in COLUMNS[kind]))
-    Console(width=None if sys.stdout.isatty() else 160).print(table)
-
-
-@click.command()
-@click.argument("kind", type=click.Choice(KINDS))
+@click.command("get")
+@click.argument("kind", type=click.Choice([kind.value for kind in ResourceKind]))
 @click.argument("name", required=False)
 @click.option("-l", "--selector", default="", help="As in app=web,.state in (TASK_RUNNING).")
-@shared
-@guarded
-def get(kind: str, name: str | None, selector: str, server: Client, tenant: str | None, form: str) -> None:
+@connection_options
+@exit_on_errors
+def get_resources(
+    kind: str, name: str | None, selector: str, server: RestClient, tenant: str | None, output: str
+) -> None:
     """List KIND, or show the one of that NAME."""
+    resource_kind = ResourceKind(kind)
     if name is not None:
-        show(kind, [server.ask("GET", named(kind, tenant, name))], form)
-        return
-    query = {"labelSelector": selector} if selector else {}
-    show(kind, list(server.pages(place(kind, tenant), query)), form)
+        resources = [server.get_resource(resource_kind, tenant, name)]
+    else:
+        query = {"labelSelector": selector} if selector else {}
+        resources = list(server.list_resources(resource_kind, tenant, query))
+    tables.print_resources(resource_kind, resources, OutputFormat(output))
 
 
-@click.command()
-@click.argument("kind", type=click.Choice(KINDS))
+@click.command("watch")
+@click.argument("kind", type=click.Choice([kind.value for kind in ResourceKind]))
 @click.option("-l", "--selector", default="")
 @click.option("--since", default="", help="A resourceVersion to go on from.")
-@click.option("--for", "seconds", type=click.IntRange(1, 86_400), help="End after so many seconds.")
-@shared
-@guarded
-def watch(
-    kind: str, selector: str, since: str, seconds: int | None, server: Client, tenant: str | None, form: str
+@click.option("--for", "seconds", type=click.IntRange(1, MAX_WATCH_S), help="End after so many seconds.")
+@connection_options
+@exit_on_errors
+def watch_resources(
+    kind: str,
+    selector: str,
+    since: str,
+    seconds: int | None,
+    server: RestClient,
+    tenant: str | None,
+    output: str,
 ) -> None:
     """Follow KIND: what is there, then each change. A watch that breaks off goes on where it was."""
-    until, broken = time.monotonic() + seconds if seconds is not None else float("inf"), 0
-    while (left := until - time.monotonic()) > 0.0:
-        query = {"watch": "1", "labelSelector": selector, "resourceVersion": since}
-        query["timeoutSeconds"] = str(max(1, round(min(left, 3_600.0))))
-        target = f"{place(kind, tenant)}?{urlencode({k: v for k, v in query.items() if v})}"
-        try:
-            for event in server.lines(target):
-                if event["type"] == "ERROR":
-                    raise ProblemError(410, json.dumps(event["object"]).encode(), None)
-                since, broken = event["object"]["resourceVersion"], 0
-                if event["type"] != "BOOKMARK":
-                    _changed(kind, event, form)
-        except ProblemError as error:
-            if error.status != 410 or not since:
-                raise
-            click.echo(f"# {error}; all that is there follows anew", err=True)
-            since = ""
-        except (OSError, http.client.HTTPException):
-            broken += 1
-            if not since or broken > BROKEN_MOST:
-                raise
-            time.sleep(0.3)
-
-
-def _changed(kind: str, event: dict[str, Any], form: str) -> None:
-    if form == "json":
-        click.echo(json.dumps(event))
-        return
-    told = [str(read(event["object"])) for _, read in COLUMNS[kind]]
-    click.echo("  ".join([f"{event['type']:<8}", *told]))
+    resource_kind = ResourceKind(kind)
+    resource_watch = ResourceWatch(
+        client=server,
+        kind=resource_kind,
+        tenant=tenant,
+        selector=selector,
+        resource_version=since,
+        on_change=lambda event: tables.print_event(resource_kind, event, OutputFormat(output)),
+    )
+    deadline_s = time.monotonic() + seconds if seconds is not None else float("inf")
+    while (remaining_s := deadline_s - time.monotonic()) > 0.0:
+        resource_watch.run_connection(remaining_s)
 
 
-@click.command()
+@click.command(
+    "submit",
+    help="Create a job from FILE (JSON; - is standard input) or from options. "
+    "It is made once, however often sent.",
+)
 @click.argument("file", type=click.File("r"), required=False)
 @click.option("--class", "task_class", help="One of the allocator's classes.")
 @click.option("--service")
 @click.option("--name", help="Of the job; made if absent.")
 @click.option("--tasks", type=click.IntRange(1), default=1, show_default=True)
 @click.option("--cores", type=float)
-@click.option("--memory", type=Amount(SIZES, "512MB"), help="With its unit, as 512MB.")
-@click.option("--wait", type=Amount(TIMES, "10m"), help="How long a task may wait, as 10m.")
-@click.option("--life", type=Amount(TIMES, "5m"), help="Expected life, as 5m.")
+@click.option("--memory", "memory_mb", type=QuantityType(SIZES, "512MB"), help="With its unit, as 512MB.")
+@click.option("--wait", "wait_ms", type=QuantityType(TIMES, "10m"), help="How long a task may wait, as 10m.")
+@click.option("--life", "life_ms", type=QuantityType(TIMES, "5m"), help="Expected life, as 5m.")
 @click.option("--key", help="Names the work: what must not run twice is not taken twice.")
-@click.option("--label", "labels", type=Label(), multiple=True)
+@click.option("--label", "labels", type=LabelType(), multiple=True)
 @click.option("--again", is_flag=True, help="Place tasks anew that were placed and lost.")
 @click.option("--follow", is_flag=True, help="Wait until every task has its answer; 1 if one was not placed.")
 @click.option("--patience", type=float, default=30.0, show_default=True, help="Seconds to try to be taken.")
-@shared
-@guarded
-def submit(
-    file: Any, server: Client, tenant: str | None, form: str, follow: bool, patience: float, **told: Any
+@connection_options
+@exit_on_errors
+def submit_job(
+    file: TextIO | None,
+    server: RestClient,
+    tenant: str | None,
+    output: str,
+    follow: bool,
+    patience: float,
+    **options: Unpack[JobOptions],
 ) -> None:
-    """Create a job from FILE (JSON; - is standard input) or from options. It is made once, however often
-    sent."""
+    """Create a job and print it; with `follow`, once each of its tasks has an answer."""
     if tenant is None:
-        stop("submit: expected --tenant", 2)
-    body = _body(file, told)
+        raise MissingTenantError("submit")
+    request = _build_job_request(options) if file is None else _read_job_request(file)
+    job = _create_job(server, tenant, request, deadline_s=time.monotonic() + patience)
+    if follow:
+        job = wait_for_job(server, tenant, job)
+    tables.print_resources(ResourceKind.JOBS, [job], OutputFormat(output))
+    status = job["status"]
+    if follow and (status.get("refused", 0) or status.get("failed", 0)):
+        sys.exit(ExitCode.FAILED)
+
+
+def _read_job_request(file: TextIO) -> object:
+    """The request body as the file has it; the server checks what it says."""
+    try:
+        return json.load(file)
+    except ValueError as error:
+        fail(f"{file.name}: {error}; expected JSON", ExitCode.WRONG_USE)
+
+
+def _build_job_request(options: JobOptions) -> JobRequest:
+    required_options = {
+        "--class": options["task_class"],
+        "--service": options["service"],
+        "--cores": options["cores"],
+        "--memory": options["memory_mb"],
+    }
+    missing_options = [option for option, value in required_options.items() if value is None]
+    if missing_options:
+        fail(f"submit: expected FILE, or {', '.join(missing_options)}", ExitCode.WRONG_USE)
+    spec: JobSpec = {
+        "class": options["task_class"],
+        "service": options["service"],
+        "tasks": options["tasks"],
+        "cores": options["cores"],
+        "memory": options["memory_mb"],
+        "waitMs": options["wait_ms"],
+        "lifeMs": options["life_ms"],
+        "key": options["key"],
+        "whenLost": "again" if options["again"] else None,
+    }
+    given_fields = {field: value for field, value in spec.items() if value is not None}
+    request: JobRequest = {"labels": dict(options["labels"]), "spec": cast("JobSpec", given_fields)}
+    if options["name"]:
+        request["name"] = options["name"]
+    return request
+
+
+def _create_job(server: RestClient, tenant: str, request: object, deadline_s: float) -> Job:
+    """Create the job, and try again until `deadline_s` on the monotonic clock while the server can't take it.
+
+    All attempts carry one idempotency key, so that the job is made once.
+    """
     headers = {"idempotency-key": uuid.uuid4().hex}
-    until = time.monotonic() + patience
+    path = collection_path(ResourceKind.JOBS, tenant)
     while True:
         try:
-            job = server.ask("POST", place("jobs", tenant), body, headers)
-            break
+            return cast("Job", server.request_json("POST", path, request, headers))
         except ProblemError as error:
-            if error.status not in (429, 503) or time.monotonic() > until:
+            if error.status not in RETRIED_STATUSES or time.monotonic() > deadline_s:
                 raise
-            time.sleep(min(5.0, error.retry_after or 1.0))
-        except (OSError, http.client.HTTPException):
-            if time.monotonic() > until:
+            wait_s = min(MAX_RETRY_WAIT_S, error.retry_after_s or DEFAULT_RETRY_WAIT_S)
+        except CONNECTION_ERRORS:
+            if time.monotonic() > deadline_s:
                 raise
-            time.sleep(0.3)
-    if follow:
-        job = _followed(server, tenant, job)
-    show("jobs", [job], form)
-    status = job["status"]
-    if follow and (status.get("refused", 0) or status.get("failed", 0)):
-        sys.exit(1)
+            wait_s = RECONNECT_WAIT_S
+        time.sleep(wait_s)
 
 
-def _body(file: Any, told: dict[str, Any]) -> Any:
-    if file is not None:
-        try:
-            return json.load(file)
-        except ValueError as error:
-            stop(f"{file.name}: {error}; expected JSON", 2)
-    lacking = [name for name in ("task_class", "service", "cores", "memory") if told[name] is None]
-    if lacking:
-        words = ", ".join("--" + name.removeprefix("task_") for name in lacking)
-        stop(f"submit: expected FILE, or {words}", 2)
-    spec = {"class": told["task_class"], "service": told["service"], "tasks": told["tasks"]}
-    spec |= {"cores": told["cores"], "memory": told["memory"], "waitMs": told["wait"], "lifeMs": told["life"]}
-    spec |= {"key": told["key"], "whenLost": "again" if told["again"] else None}
-    body = {"labels": dict(told["labels"]), "spec": {k: v for k, v in spec.items() if v is not None}}
-    return body | ({"name": told["name"]} if told["name"] else {})
-
-
-def _followed(server: Client, tenant: str, job: dict[str, Any]) -> dict[str, Any]:
-    """Watches the job until none of its tasks waits."""
-    since = job["resourceVersion"]
-    while job["status"].get("waiting", 0):
-        target = f"{place('jobs', tenant)}?{urlencode({'watch': '1', 'resourceVersion': since})}"
-        for event in server.lines(target):
-            if event["type"] == "ERROR":
-                job = server.ask("GET", named("jobs", tenant, job["name"]))
-                since = job["resourceVersion"]
-                break
-            since = event["object"]["resourceVersion"]
-            if event["object"].get("name") == job["name"]:
-                job = event["object"]
-                if event["type"] == "DELETED" or not job["status"].get("waiting", 0):
-                    return job
-    return job
-
-
-@click.command()
+@click.command("cancel")
 @click.argument("kind", type=click.Choice(["job", "task"]))
 @click.argument("name")
-@shared
-@guarded
-def cancel(kind: str, name: str, server: Client, tenant: str | None, form: str) -> None:
+@connection_options
+@exit_on_errors
+def cancel_resource(kind: str, name: str, server: RestClient, tenant: str | None, output: str) -> None:
     """Stop the job or task NAME. A task that is being placed is stopped when its machine has answered."""
-    told = server.ask("DELETE", named(f"{kind}s", tenant, name))
-    if told is not None:
-        show(f"{kind}s", [told], form)
+    resource_kind = ResourceKind(f"{kind}s")
+    resource = server.request_json("DELETE", resource_path(resource_kind, tenant, name))
+    if resource is not None:
+        tables.print_resources(resource_kind, [cast("Resource", resource)], OutputFormat(output))
 
 
-@click.command()
+@click.command("why")
 @click.argument("task")
-@shared
-@guarded
-def why(task: str, server: Client, tenant: str | None, form: str) -> None:
+@connection_options
+@exit_on_errors
+def explain_task(task: str, server: RestClient, tenant: str | None, output: str) -> None:
     """Say why TASK (JOB.N, or FRAMEWORK/TASK) waits, or what became of it."""
-    told = server.ask("GET", named("tasks", tenant, task))
-    if form == "json":
-        click.echo(json.dumps(told.get("why") or {"summary": told.get("message", "")}, indent=2))
+    resource = cast("Task", server.get_resource(ResourceKind.TASKS, tenant, task))
+    explanation = resource.get("why")
+    if OutputFormat(output) is OutputFormat.JSON:
+        click.echo(json.dumps(explanation or {"summary": resource.get("message", "")}, indent=2))
         return
-    reason = told.get("why")
-    click.echo(f"{told['name']}: {told['state']}" + (f" on {told['machine']}" if "machine" in told else ""))
-    if reason is None:
-        click.echo(told.get("message") or "it does not wait")
+    place = f" on {resource['machine']}" if "machine" in resource else ""
+    click.echo(f"{resource['name']}: {resource['state']}{place}")
+    if explanation is None:
+        click.echo(resource.get("message") or "it does not wait")
         return
-    click.echo(reason["summary"])
-    table = Table()
-    for word in ("cause", "what is known", "count", "last by", "at"):
-        table.add_column(word, overflow="fold")
-    for cause in reason.get("causes", []):
-        at = cause.get("atMs")
-        when = time.strftime("%H:%M:%S", time.localtime(at / 1_000.0)) if at else ""
-        count, machine = str(cause.get("count", "")), cause.get("machine", "")
-        table.add_row(cause["kind"], cause["text"], count, machine, when)
-    Console(width=None if sys.stdout.isatty() else 140).print(table)
-
-
-COMMANDS = (get, watch, submit, cancel, why)
+    _print_explanation(explanation)
+
+
+def _print_explanation(explanation: WaitExplanation) -> None:
+    click.echo(explanation["summary"])
+    tables.print_table(
+        titles=CAUSE_TITLES,
+        rows=(_format_cause(cause) for cause in explanation.get("causes", [])),
+        fallback_width=CAUSES_WIDTH,
+    )
+
+
+def _format_cause(cause: WaitCause) -> tuple[str, ...]:
+    at_ms = cause.get("atMs")
+    time_of_day = time.strftime("%H:%M:%S", time.localtime(at_ms / MS_PER_S)) if at_ms else ""
+    return cause["kind"], cause["text"], str(cause.get("count", "")), cause.get("machine", ""), time_of_day
+
+
+COMMANDS = (get_resources, watch_resources, submit_job, cancel_resource, explain_task)
