--- a/glencleat/cli/resource_watch.py
+++ b/glencleat/cli/resource_watch.py
@@ -7,12 +7,20 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from http import HTTPStatus
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
 import click
 
-from glencleat.cli.rest_client import CONNECTION_ERRORS, RECONNECT_WAIT_S, ProblemError, RestClient
-from glencleat.cli.rest_resources import Job, ResourceKind, WatchEvent
+from glencleat.cli.rest_client import (
+    CONNECTION_ERRORS,
+    RECONNECT_WAIT_S,
+    ProblemError,
+    ResourceKind,
+    RestClient,
+)
+
+if TYPE_CHECKING:
+    from glencleat.cli.rest_resources import Job, WatchEvent
 
 MAX_BROKEN_CONNECTIONS = 20  # in a row, after which a watch gives up
 MAX_WATCH_TIMEOUT_S = 3_600.0  # asked of the server for one connection
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -13,7 +13,7 @@
 import time
 import uuid
 from collections.abc import Callable
-from typing import Any, ParamSpec, TextIO, TypedDict, TypeVar, Unpack, cast
+from typing import TYPE_CHECKING, Any, ParamSpec, TextIO, TypeVar, Unpack, cast
 
 import click
 
@@ -26,23 +26,26 @@
     RECONNECT_WAIT_S,
     MissingTenantError,
     ProblemError,
+    ResourceKind,
     RestClient,
     collection_path,
     resource_path,
 )
-from glencleat.cli.rest_resources import (
-    Job,
-    JobRequest,
-    JobSpec,
-    Resource,
-    ResourceKind,
-    Task,
-    WaitCause,
-    WaitExplanation,
-)
 from glencleat.cli.tables import OutputFormat
 from glencleat.config.schema import SIZES, TIMES
 
+if TYPE_CHECKING:
+    from glencleat.cli.rest_resources import (
+        Job,
+        JobOptions,
+        JobRequest,
+        JobSpec,
+        Resource,
+        Task,
+        WaitCause,
+        WaitExplanation,
+    )
+
 CommandParameters = ParamSpec("CommandParameters")
 CommandResult = TypeVar("CommandResult")
 CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
@@ -57,22 +60,6 @@
 CAUSE_TITLES = ("cause", "what is known", "count", "last by", "at")
 
 
-class JobOptions(TypedDict):
-    """Options of `submit` that describe the job."""
-
-    task_class: str | None
-    service: str | None
-    name: str | None
-    tasks: int
-    cores: float | None
-    memory_mb: float | None
-    wait_ms: float | None
-    life_ms: float | None
-    key: str | None
-    labels: tuple[tuple[str, str], ...]
-    again: bool
-
-
 def connection_options(command: CommandFunction) -> CommandFunction:
     """Add the options that all these commands have: server, tenant and output format."""
     add_output = click.option(
--- a/glencleat/cli/rest_client.py
+++ b/glencleat/cli/rest_client.py
@@ -6,11 +6,13 @@
 import json
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from http import HTTPStatus
-from typing import cast
+from typing import TYPE_CHECKING, cast
 from urllib.parse import quote, urlencode
 
-from glencleat.cli.rest_resources import Resource, ResourceKind, WatchEvent
+if TYPE_CHECKING:
+    from glencleat.cli.rest_resources import Resource, WatchEvent
 
 CONNECTION_ERRORS = (OSError, http.client.HTTPException)  # what a broken or refused connection raises
 REQUEST_TIMEOUT_S = 30.0
@@ -18,6 +20,15 @@
 MAX_PLAIN_ERROR_CHARACTERS = 300  # shown of an error body that is no problem document
 
 
+class ResourceKind(StrEnum):
+    """A collection of resources; the value is its name in paths and on the command line."""
+
+    JOBS = "jobs"
+    TASKS = "tasks"
+    MACHINES = "machines"
+    SERVICES = "services"
+
+
 class RestClientError(Exception):
     """Root of this client's errors."""
 
--- a/glencleat/cli/rest_resources.py
+++ b/glencleat/cli/rest_resources.py
@@ -1,24 +1,14 @@
 """Resources of the REST interface as clients read them from JSON.
 
 Only the fields that the commands read are declared. Resources stay plain dictionaries, so that `-o json`
-prints every field that the server sent.
+prints every field that the server sent. Import this module for type checking alone: building the types takes
+time that every command would pay at its start.
 """
 
 from __future__ import annotations
 
-from enum import StrEnum
 from typing import Literal, NotRequired, TypedDict
 
-
-class ResourceKind(StrEnum):
-    """A collection of resources; the value is its name in paths and on the command line."""
-
-    JOBS = "jobs"
-    TASKS = "tasks"
-    MACHINES = "machines"
-    SERVICES = "services"
-
-
 JobSpec = TypedDict(
     "JobSpec",
     {
@@ -132,3 +122,19 @@
     labels: dict[str, str]
     spec: JobSpec
     name: NotRequired[str]
+
+
+class JobOptions(TypedDict):
+    """Options of `submit` that describe the job."""
+
+    task_class: str | None
+    service: str | None
+    name: str | None
+    tasks: int
+    cores: float | None
+    memory_mb: float | None
+    wait_ms: float | None
+    life_ms: float | None
+    key: str | None
+    labels: tuple[tuple[str, str], ...]
+    again: bool
--- a/glencleat/cli/tables.py
+++ b/glencleat/cli/tables.py
@@ -7,13 +7,16 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any, Generic, Literal, TypeVar
+from typing import TYPE_CHECKING, Any, Generic, Literal, TypeVar
 
 import click
 from rich.console import Console
 from rich.table import Table
 
-from glencleat.cli.rest_resources import Job, Machine, Resource, ResourceKind, Service, Task, WatchEvent
+from glencleat.cli.rest_client import ResourceKind
+
+if TYPE_CHECKING:
+    from glencleat.cli.rest_resources import Job, Machine, Resource, Service, Task, WatchEvent
 
 ResourceT = TypeVar("ResourceT")
 
--- a/tests/cli/test_rest_client.py
+++ b/tests/cli/test_rest_client.py
@@ -3,8 +3,13 @@
 import pytest
 
 from glencleat.cli.resource_watch import MAX_BROKEN_CONNECTIONS, ResourceWatch
-from glencleat.cli.rest_client import MissingTenantError, ProblemError, collection_path, resource_path
-from glencleat.cli.rest_resources import ResourceKind
+from glencleat.cli.rest_client import (
+    MissingTenantError,
+    ProblemError,
+    ResourceKind,
+    collection_path,
+    resource_path,
+)
 
 
 @pytest.mark.parametrize(
