--- a/glencleat/cli/parameter_types.py
+++ b/glencleat/cli/parameter_types.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import click
 
 from glencleat.cli.rest_client import RestClient
@@ -11,6 +13,13 @@
 LOOPBACK_HOST = "127.0.0.1"
 
 
+class OutputFormat(StrEnum):
+    """How commands print resources; the values of `-o`."""
+
+    TABLE = "table"
+    JSON = "json"
+
+
 def _parse_address(text: str) -> tuple[str, int] | None:
     """Host and port of HOST:PORT, or None if the text is no such address."""
     host, _, port = text.rpartition(":")
--- a/glencleat/cli/plays.py
+++ b/glencleat/cli/plays.py
@@ -11,7 +11,6 @@
 
 from glencleat.cli.config_files import CONFIG_PATH, fail_with_faults, read_script
 from glencleat.cli.exit_codes import ExitCode, fail
-from glencleat.cli.tables import open_console
 from glencleat.config import AllocatorConfig, ConfigError
 
 if TYPE_CHECKING:
@@ -92,6 +91,7 @@
     """Print the checker's tables; exits with `ExitCode.FAILED` if a rule or a bound was broken."""
     from glencleat.checker import invariants, polling_bounds, report, slow_start_bounds
     from glencleat.checker.chance_bounds import BoundState
+    from glencleat.cli.tables import open_console
     from glencleat.emulators.script import figures
 
     violations = invariants.check_invariants(entries, figures(campus))
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -17,10 +17,8 @@
 
 import click
 
-from glencleat.cli import tables
 from glencleat.cli.exit_codes import ExitCode, fail
-from glencleat.cli.parameter_types import LabelType, QuantityType, ServerType
-from glencleat.cli.resource_watch import ResourceWatch, wait_for_job
+from glencleat.cli.parameter_types import LabelType, OutputFormat, QuantityType, ServerType
 from glencleat.cli.rest_client import (
     CONNECTION_ERRORS,
     RECONNECT_WAIT_S,
@@ -31,7 +29,6 @@
     collection_path,
     resource_path,
 )
-from glencleat.cli.tables import OutputFormat
 from glencleat.config.schema import SIZES, TIMES
 
 if TYPE_CHECKING:
@@ -105,6 +102,8 @@
     kind: str, name: str | None, selector: str, server: RestClient, tenant: str | None, output: str
 ) -> None:
     """List KIND, or show the one of that NAME."""
+    from glencleat.cli import tables
+
     resource_kind = ResourceKind(kind)
     if name is not None:
         resources = [server.get_resource(resource_kind, tenant, name)]
@@ -131,6 +130,9 @@
     output: str,
 ) -> None:
     """Follow KIND: what is there, then each change. A watch that breaks off goes on where it was."""
+    from glencleat.cli import tables
+    from glencleat.cli.resource_watch import ResourceWatch
+
     resource_kind = ResourceKind(kind)
     resource_watch = ResourceWatch(
         client=server,
@@ -176,6 +178,9 @@
     **options: Unpack[JobOptions],
 ) -> None:
     """Create a job and print it; with `follow`, once each of its tasks has an answer."""
+    from glencleat.cli import tables
+    from glencleat.cli.resource_watch import wait_for_job
+
     if tenant is None:
         raise MissingTenantError("submit")
     request = _build_job_request(options) if file is None else _read_job_request(file)
@@ -252,6 +257,8 @@
 @exit_on_errors
 def cancel_resource(kind: str, name: str, server: RestClient, tenant: str | None, output: str) -> None:
     """Stop the job or task NAME. A task that is being placed is stopped when its machine has answered."""
+    from glencleat.cli import tables
+
     resource_kind = ResourceKind(f"{kind}s")
     resource = server.request_json("DELETE", resource_path(resource_kind, tenant, name))
     if resource is not None:
@@ -278,6 +285,8 @@
 
 
 def _print_explanation(explanation: WaitExplanation) -> None:
+    from glencleat.cli import tables
+
     click.echo(explanation["summary"])
     tables.print_table(
         titles=CAUSE_TITLES,
--- a/glencleat/cli/tables.py
+++ b/glencleat/cli/tables.py
@@ -6,13 +6,13 @@
 import sys
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from enum import StrEnum
 from typing import TYPE_CHECKING, Any, Generic, Literal, TypeVar
 
 import click
 from rich.console import Console
 from rich.table import Table
 
+from glencleat.cli.parameter_types import OutputFormat
 from glencleat.cli.rest_client import ResourceKind
 
 if TYPE_CHECKING:
@@ -24,13 +24,6 @@
 EVENT_TYPE_WIDTH = 8
 
 
-class OutputFormat(StrEnum):
-    """How commands print resources; the values of `-o`."""
-
-    TABLE = "table"
-    JSON = "json"
-
-
 @dataclass(frozen=True)
 class Column(Generic[ResourceT]):
     """A column's title, and how its text is read from a resource."""
