--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -64,8 +64,8 @@
         core = self.core
         agent, incarnation = split_executor_id(call.executor_id.value)
         reported = call.subscribe or m.SubscribeExecutor()
-        subscription = core.members.subscribe(agent, incarnation, session, core.now())
-        core.happened(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
+        subscription = core.membership.subscribe(agent, incarnation, session, core.now())
+        core.publish(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
         # An old stream that was still open may hold a LAUNCH which this incarnation has yet to read.
         is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
@@ -77,7 +77,7 @@
         self._compare_with_reported(agent, session, reported, is_list_complete=is_list_complete)
         for task in reported.unacknowledged_tasks:
             self._handle_listed_task(agent, task)
-        core.open_up()
+        core.open_if_ready()
         return agent
 
     def _end_replaced_session(self, agent: str, session: SessionStream) -> None:
@@ -97,21 +97,21 @@
     def close_session(self, agent: str, session: SessionStream, why: str) -> None:
         """Handles the end of a session's connection."""
         core = self.core
-        if core.members.close_session(agent, session, core.now()):
-            core.happened(AgentStateChanged(agent, AgentState.AWAY.value))
+        if core.membership.close_session(agent, session, core.now()):
+            core.publish(AgentStateChanged(agent, AgentState.AWAY.value))
             core.log("agent away", agent=agent, why=why)
         self._resolve_lost_session(agent, session)
 
     def _resolve_lost_session(self, agent: str, session: SessionStream) -> None:
         """Decides about each attempt whose LAUNCH went to a session that ended."""
-        for attempt in self.core.ledger.at(agent):
-            if attempt.session is not session or attempt.back:
+        for attempt in self.core.call_table.attempts_on(agent):
+            if attempt.session is not session or attempt.is_concluded:
                 continue
             decision = delivery_status.decide_on_session_lost(
-                attempt.step, self.core.handed(attempt), attempt.call.effect
+                attempt.step, self.core.get_delivery_status(attempt), attempt.call.idempotency
             )
             if decision.action is DeliveryAction.CONCLUDE:
-                self.core.give_up(attempt, decision.outcome, decision.may_have_run)
+                self.core.fail_attempt(attempt, decision.outcome, decision.may_have_run)
 
     def _compare_with_reported(
         self, agent: str, session: SessionStream, reported: m.SubscribeExecutor, *, is_list_complete: bool
@@ -119,7 +119,7 @@
         """Compares the attempts of earlier sessions with the tasks and updates that the agent reports."""
         listed_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
         listed_ids |= {update.status.task_id.value for update in reported.unacknowledged_updates}
-        for attempt in self.core.ledger.at(agent):
+        for attempt in self.core.call_table.attempts_on(agent):
             if attempt.session is not session:
                 decision = delivery_status.decide_on_resubscribe(
                     attempt.step, is_listed=attempt.id in listed_ids, is_same_incarnation=is_list_complete
@@ -128,16 +128,16 @@
                     self._conclude_not_listed(attempt, decision)
 
     def _conclude_not_listed(self, attempt: Attempt, decision: delivery_status.DeliveryDecision) -> None:
-        if attempt.back:
+        if attempt.is_concluded:
             if decision.may_have_run:
                 attempt.step = AttemptStep.ENDED
             else:
-                attempt.ran = False
-            self.core.ledger.settle(attempt)
+                attempt.has_run = False
+            self.core.call_table.settle_attempt(attempt)
         elif attempt.step is AttemptStep.DISPATCHED:
             if decision.may_have_run:
                 attempt.step = AttemptStep.ENDED
-            self.core.give_up(attempt, decision.outcome, decision.may_have_run)
+            self.core.fail_attempt(attempt, decision.outcome, decision.may_have_run)
         else:
             self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, decision.outcome), None)
 
@@ -145,16 +145,16 @@
 
     def _handle_listed_task(self, agent: str, task: m.TaskInfo) -> None:
         """A task that the agent holds: known, or placed by a former incarnation of this allocator."""
-        attempt = self.core.ledger.attempts.get(task.task_id.value)
+        attempt = self.core.call_table.attempts_by_id.get(task.task_id.value)
         if attempt is None:
             self._handle_unknown_task(agent, task)
-        elif not attempt.back:
+        elif not attempt.is_concluded:
             if attempt.step is AttemptStep.DISPATCHED:
                 self._record_accepted(attempt)
         elif attempt.step is not AttemptStep.ENDED:
             if attempt.step is AttemptStep.DISPATCHED:
                 attempt.step = AttemptStep.ACCEPTED
-            self._handle_late_acceptance(attempt, was_placed=attempt.placed)
+            self._handle_late_acceptance(attempt, was_placed=attempt.was_placed)
 
     def _handle_unknown_task(self, agent: str, task: m.TaskInfo) -> None:
         core = self.core
@@ -163,61 +163,61 @@
         except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
-        before = core.ledger.task(attempt.call.framework, attempt.call.task_id)
-        is_live_elsewhere = before is not None and (before.given is None or before.placed())
+        before = core.call_table.find_call(attempt.call.framework, attempt.call.task_id)
+        is_live_elsewhere = before is not None and (before.final_answer is None or before.is_placed())
         decision = delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere)
         if decision is LateAcceptance.KILL:
-            core.kill(attempt)
+            core.kill_attempt(attempt)
         else:
             self._adopt(attempt, attempt.call)
 
     def _read_unknown_task(self, agent: str, task: m.TaskInfo) -> Attempt:
         """An attempt and its call, made from the labels of a LAUNCH; raises TaskRequestError."""
         core = self.core
-        framework = m.label(task.labels, "framework")
-        task_id = m.label(task.labels, "task")
+        framework = m.find_label(task.labels, "framework")
+        task_id = m.find_label(task.labels, "task")
         if framework is None or task_id is None:
             raise TaskRequestError("labels framework and task", "are missing")
-        request = read_task_request(task, core.classes, default_class=None, answer_margin_ms=0.0)
+        request = read_task_request(task, core.classes_by_name, default_class=None, answer_margin_ms=0.0)
         now_ms = core.now()
         call = Call(
             number=0,
             framework=framework,
             task_id=task_id,
             info=task,
-            ask=request,
-            effect=core.classes[request.task_class].idempotency,
-            tenant=m.label(task.labels, "tenant"),
-            taken_at=now_ms,
+            request=request,
+            idempotency=core.classes_by_name[request.task_class].idempotency,
+            tenant=m.find_label(task.labels, "tenant"),
+            accepted_at_ms=now_ms,
         )
         return Attempt(
             call=call,
             number=0,
             machine=agent,
             id=task.task_id.value,
-            sent_at=now_ms,
+            sent_at_ms=now_ms,
             step=AttemptStep.ACCEPTED,
         )
 
     def _adopt(self, attempt: Attempt, call: Call) -> None:
         """Makes a task that runs already a call of its own, which this allocator follows from here on."""
         core = self.core
-        call.number = next(core.numbers)
-        call.given = FinalAnswer.SERVED
-        call.adopted = True
+        call.number = next(core.call_numbers)
+        call.final_answer = FinalAnswer.PLACED
+        call.is_adopted = True
         call.attempts.clear()
         attempt.call = call
         attempt.number = 0
-        attempt.back = False
-        attempt.ran = None
-        attempt.placed = True
-        core.ledger.take(call)
-        core.ledger.bind(attempt)
-        core.figures.adopted[call.ask.task_class] += 1
-        core.happened(CallTaken(call))
-        core.tell_asked(call, 0.0, attempt.machine)
+        attempt.is_concluded = False
+        attempt.has_run = None
+        attempt.was_placed = True
+        core.call_table.add_call(call)
+        core.call_table.add_attempt(attempt)
+        core.counters.adopted[call.request.task_class] += 1
+        core.publish(CallTaken(call))
+        core.dispatch_request(call, 0.0, attempt.machine)
         is_accepted = attempt.step is AttemptStep.ACCEPTED
-        core.told.status(call, status_mapping.reconciliation_answer(attempt.fate(), is_accepted=is_accepted))
+        core.framework_sessions.status(call, status_mapping.reconciliation_answer(attempt.execution_status(), is_accepted=is_accepted))
 
     # ---- status updates ----
 
@@ -228,27 +228,27 @@
         """
         core = self.core
         agent = self.record_heartbeat(executor_id)
-        payload = m.unpack(status.data) if status.data else None
-        attempt = core.ledger.attempts.get(status.task_id.value)
+        payload = m.decode_payload(status.data) if status.data else None
+        attempt = core.call_table.attempts_by_id.get(status.task_id.value)
         if status.uuid is not None:
             self._acknowledge(agent, status.task_id, status.uuid)
-        meaning = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
+        meaning = status_mapping.read_status(status.state, status.reason, m.find_label(status.labels, "cause"))
         if attempt is None or meaning is None or attempt.machine != agent:
-            core.figures.events["update unknown"] += 1
+            core.counters.events["update unknown"] += 1
             return
-        if attempt.seen(status.uuid) or meaning.step.value <= attempt.step.value:
-            core.figures.events["update stale"] += 1  # a duplicate, or overtaken by a later one
+        if attempt.has_seen_update(status.uuid) or meaning.step.value <= attempt.step.value:
+            core.counters.events["update stale"] += 1  # a duplicate, or overtaken by a later one
             return
         self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
 
     def _acknowledge(self, agent: str, task_id: m.Value, uuid: str) -> None:
-        session = self.core.members.session_of(agent)
+        session = self.core.membership.session_of(agent)
         if session is not None:
             acknowledged = m.Acknowledged(task_id, uuid)
             session.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=acknowledged)))
 
     def _apply_status(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
-        if attempt.back:
+        if attempt.is_concluded:
             self._apply_late_status(attempt, meaning)
             return
         if meaning.step is AttemptStep.ENDED and not meaning.may_have_run:
@@ -256,7 +256,7 @@
             return
         if attempt.step is AttemptStep.DISPATCHED:
             self._record_accepted(attempt)
-        if meaning.step is AttemptStep.RUNNING and not attempt.back:
+        if meaning.step is AttemptStep.RUNNING and not attempt.is_concluded:
             self._record_running(attempt)
         elif meaning.step is AttemptStep.ENDED:
             self._record_end(attempt, meaning, report)
@@ -265,59 +265,59 @@
         """Applies a status of an attempt that was concluded; reports what it settles to an owner in doubt."""
         # Not by its step: a late acceptance moves that on too, and its next status would pass for a placed
         # task's.
-        was_placed = attempt.placed
+        was_placed = attempt.was_placed
         call = attempt.call
         attempt.step = meaning.step
         if meaning.step is not AttemptStep.ENDED:
             self._handle_late_acceptance(attempt, was_placed=was_placed)
             return
         if not meaning.may_have_run:
-            attempt.ran = False
-        self.core.ledger.settle(attempt)
-        if self.core.ledger.task(call.framework, call.task_id) is not call:
+            attempt.has_run = False
+        self.core.call_table.settle_attempt(attempt)
+        if self.core.call_table.find_call(call.framework, call.task_id) is not call:
             return  # it was asked for again since
-        if was_placed and call.given is FinalAnswer.SERVED and attempt is call.last():
-            self.core.told.status(call, status_mapping.end_answer(meaning.outcome, meaning.reason))
-        elif call.given is FinalAnswer.FAILED and call.fate() in SETTLED_STATUSES:
-            self.core.told.status(call, status_mapping.reconciliation_answer(call.fate()))
+        if was_placed and call.final_answer is FinalAnswer.PLACED and attempt is call.last_attempt():
+            self.core.framework_sessions.status(call, status_mapping.end_answer(meaning.outcome, meaning.reason))
+        elif call.final_answer is FinalAnswer.FAILED and call.execution_status() in SETTLED_STATUSES:
+            self.core.framework_sessions.status(call, status_mapping.reconciliation_answer(call.execution_status()))
 
     def _record_rejected(
         self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None
     ) -> None:
         """The agent dropped the task: it is known not to have run."""
         attempt.step = AttemptStep.ENDED
-        attempt.ran = False
-        self.core.ledger.settle(attempt)
-        self.core.returned(
-            attempt, meaning.outcome, over=attempt.call.left, why=meaning.reason, report=report
+        attempt.has_run = False
+        self.core.call_table.settle_attempt(attempt)
+        self.core.conclude_attempt(
+            attempt, meaning.outcome, over=attempt.call.is_abandoned, why=meaning.reason, report=report
         )
 
     def _record_accepted(self, attempt: Attempt) -> None:
         """The agent accepted the task: it is placed, which is its answer."""
         core = self.core
         call = attempt.call
-        core.stop_timer(attempt)
+        core.cancel_timer(attempt)
         attempt.step = AttemptStep.ACCEPTED
-        attempt.placed = True
-        spent_ms = max(0.0, core.now() - attempt.sent_at)
-        core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
-        core.answer(call, FinalAnswer.SERVED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
-        if call.left:
-            core.kill(attempt)  # its owner cancelled it just as the machine accepted
+        attempt.was_placed = True
+        spent_ms = max(0.0, core.now() - attempt.sent_at_ms)
+        core.dispatch(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
+        core.answer_call(call, FinalAnswer.PLACED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
+        if call.is_abandoned:
+            core.kill_attempt(attempt)  # its owner cancelled it just as the machine accepted
 
     def _record_running(self, attempt: Attempt) -> None:
         call = attempt.call
         attempt.step = AttemptStep.RUNNING
-        self.core.tell(api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0))
-        if call.given is not None:
-            self.core.told.status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
+        self.core.dispatch(api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0))
+        if call.final_answer is not None:
+            self.core.framework_sessions.status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
 
     def _record_end(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
         attempt.step = AttemptStep.ENDED
-        self.core.ledger.settle(attempt)
-        self.core.returned(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
-        self.core.told.status(attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason))
+        self.core.call_table.settle_attempt(attempt)
+        self.core.conclude_attempt(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
+        self.core.framework_sessions.status(attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason))
 
     # ---- late acceptances ----
 
@@ -325,25 +325,25 @@
         """An agent holds a task whose attempt was concluded."""
         core = self.core
         call = attempt.call
-        latest = core.ledger.task(call.framework, call.task_id) or call
-        is_latest_placed = latest.placed()
-        is_owner_gone = call.left or not core.wanted(call)
-        core.figures.events["late yes"] += 1
+        latest = core.call_table.find_call(call.framework, call.task_id) or call
+        is_latest_placed = latest.is_placed()
+        is_owner_gone = call.is_abandoned or not core.is_owner_known(call)
+        core.counters.events["late yes"] += 1
         decision = delivery_status.decide_late_acceptance(
             LateAcceptanceCase(
-                answer=latest.given,
+                answer=latest.final_answer,
                 was_placed=was_placed,
-                has_other_dispatched=latest.out() is not None and not is_latest_placed,
+                has_other_dispatched=latest.active_attempt() is not None and not is_latest_placed,
                 has_other_placed=is_latest_placed,
                 is_owner_gone=is_owner_gone,
             )
         )
         core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=decision.value)
         if decision is LateAcceptance.KILL:
-            core.kill(attempt)
+            core.kill_attempt(attempt)
             return
         call.attempts.remove(attempt)
-        core.ledger.forget(latest)
+        core.call_table.forget_call(latest)
         self._adopt(attempt, self._copy_call(call))
 
     def _copy_call(self, call: Call) -> Call:
@@ -353,10 +353,10 @@
             framework=call.framework,
             task_id=call.task_id,
             info=call.info,
-            ask=call.ask,
-            effect=call.effect,
+            request=call.request,
+            idempotency=call.idempotency,
             tenant=call.tenant,
-            taken_at=self.core.now(),
+            accepted_at_ms=self.core.now(),
         )
 
     # ---- messages ----
@@ -365,13 +365,13 @@
         """Handles a MESSAGE: an answer to a probe, and what tasks use; raises NotSubscribedError."""
         agent = self.record_heartbeat(executor_id)
         if payload.probe is not None:
-            self.core.probe_back(agent, payload.probe, to_load_report(payload))
+            self.core.conclude_probe(agent, payload.probe, to_load_report(payload))
         for use in payload.tasks:
             self._observe_task(agent, use, payload.memory_used)
 
     def _observe_task(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
-        attempt = self.core.ledger.attempts.get(use.task_id)
-        if attempt is None or attempt.back or attempt.machine != agent:
+        attempt = self.core.call_table.attempts_by_id.get(use.task_id)
+        if attempt is None or attempt.is_concluded or attempt.machine != agent:
             return
         if attempt.step is AttemptStep.DISPATCHED:
             return
@@ -383,7 +383,7 @@
         )
         for kind, value in observations:
             if value is not None:
-                self.core.tell(api.TaskObserved(attempt.call.number, agent, kind, value))
+                self.core.dispatch(api.TaskObserved(attempt.call.number, agent, kind, value))
 
     def record_heartbeat(self, executor_id: str) -> str:
         """Records a sign of life, which every call is, and returns the agent's id.
@@ -391,7 +391,7 @@
         Raises NotSubscribedError where the call is not of the incarnation that is subscribed.
         """
         agent, incarnation = split_executor_id(executor_id)
-        if not self.core.members.record_heartbeat(agent, incarnation, self.core.now()):
+        if not self.core.membership.record_heartbeat(agent, incarnation, self.core.now()):
             raise NotSubscribedError(executor_id)
         return agent
 
@@ -399,12 +399,12 @@
 
     def handle_lost_agent(self, agent: str) -> None:
         """Ends the placed tasks of an agent that was away for too long; whether they run is uncertain."""
-        for attempt in self.core.ledger.at(agent):
-            if attempt.back or attempt.step is AttemptStep.DISPATCHED:
+        for attempt in self.core.call_table.attempts_on(agent):
+            if attempt.is_concluded or attempt.step is AttemptStep.DISPATCHED:
                 continue
             call = attempt.call
-            self.core.returned(attempt, api.Outcome.LOST, over=True)
-            is_idempotent = call.effect is api.Idempotency.IDEMPOTENT
+            self.core.conclude_attempt(attempt, api.Outcome.LOST, over=True)
+            is_idempotent = call.idempotency is api.Idempotency.IDEMPOTENT
             retry_advice = RetryAdvice.HARMLESS if is_idempotent else RetryAdvice.RECONCILE
             answer = StatusAnswer(TaskState.UNREACHABLE, retry_advice, StatusReason.AGENT_REMOVED)
-            self.core.told.status(call, answer)
+            self.core.framework_sessions.status(call, answer)
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -64,7 +64,7 @@
         framework = subscription.framework
         if subscription.replaced_session is not None:
             self._end_replaced_session(subscription.replaced_session)
-        subscribed = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / MS_PER_S)
+        subscribed = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_interval_ms / MS_PER_S)
         session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=subscribed)))
         for status in core.frameworks.unacknowledged_statuses(framework):
             self._send_update(framework, status)
@@ -86,7 +86,7 @@
     def teardown(self, framework: Framework, why: str) -> None:
         """Removes a framework: its tasks are cancelled, and nobody waits for their updates."""
         core = self.core
-        for call in core.ledger.of(framework.id):
+        for call in core.call_table.calls_of(framework.id):
             self.cancel(call)
         core.frameworks.remove(framework)
         session = framework.session
@@ -112,7 +112,7 @@
 
     def _send_due_offer(self, framework: Framework, now_ms: float) -> None:
         core = self.core
-        if core.ending or not core.frameworks.wants_offer(framework, now_ms):
+        if core.is_shutting_down or not core.frameworks.wants_offer(framework, now_ms):
             return
         self.last_offer_number += 1
         offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
@@ -134,7 +134,7 @@
             m.Value(framework.id),
             m.Value(core.options.pool),
             core.options.pool,
-            m.resources(cores, memory_mb),
+            m.build_resources(cores, memory_mb),
             [m.Attribute("zone", text=m.Text(core.settings.zone))],
         )
 
@@ -172,7 +172,7 @@
         now_ms = core.now()
         used = [
             core.frameworks.use_offer(
-                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_again_ms
+                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_interval_ms
             )
             for offer_id in accept.offer_ids
         ]
@@ -180,10 +180,10 @@
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
-        before = core.ledger.task(framework.id, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
-            if before.given is not None:
+        before = core.call_table.find_call(framework.id, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.events["launch repeated"] += 1
+            if before.final_answer is not None:
                 self._send_reconciliation(framework, before.task_id, before)
             return
         decision = self._check_admission(
@@ -197,7 +197,7 @@
         try:
             request = read_task_request(
                 info,
-                core.classes,
+                core.classes_by_name,
                 default_class=core.options.default_class,
                 answer_margin_ms=core.options.answer_margin_ms,
             )
@@ -210,7 +210,7 @@
             self._reject_launch(framework, info, admitted.answer, admitted.text)
             return
         framework.open_task_count += 1
-        core.ask(admitted)
+        core.request_placement(admitted)
 
     def _check_admission(
         self, before: Call | None, *, open_task_count: int, has_update_backlog: bool
@@ -220,17 +220,17 @@
         `before` is the latest call of the same task, if there is one: no repeat that is still open or placed.
         """
         core = self.core
-        if admission.repeats(before) == "never" and before is not None:
-            answer = status_mapping.reconciliation_answer(before.fate())
+        if admission.classify_repeat(before) == "never" and before is not None:
+            answer = status_mapping.reconciliation_answer(before.execution_status())
             return AdmissionDecision(answer, "it may have run before")
         load = admission.AdmissionLoad(
-            open=core.ledger.open,
-            open_here=open_task_count,
-            known=len(core.ledger.calls),
-            behind=has_update_backlog,
-            ending=core.ending,
+            unanswered=core.call_table.unanswered_count,
+            framework_unanswered=open_task_count,
+            active=len(core.call_table.active_calls),
+            is_framework_behind=has_update_backlog,
+            is_shutting_down=core.is_shutting_down,
         )
-        why = admission.refuses(load, core.options.limits)
+        why = admission.find_exceeded_limit(load, core.options.admission_limits)
         if why is None:
             return None
         return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
@@ -241,25 +241,25 @@
         """Takes a task as a new call, unless the admission chain decides against it."""
         core = self.core
         task_id = info.task_id.value
-        idempotency = core.classes[request.task_class].idempotency
-        decision = core.decide(
-            AdmissionRequest(owner=owner, tenant=tenant, task_id=task_id, effect=idempotency, ask=request)
+        idempotency = core.classes_by_name[request.task_class].idempotency
+        decision = core.decide_admission(
+            AdmissionRequest(owner_id=owner, tenant=tenant, task_id=task_id, idempotency=idempotency, request=request)
         )
         if decision is not None:
             return decision
         call = Call(
-            number=next(core.numbers),
+            number=next(core.call_numbers),
             framework=owner,
             task_id=task_id,
             info=info,
-            ask=request,
-            effect=idempotency,
+            request=request,
+            idempotency=idempotency,
             tenant=tenant,
-            taken_at=core.now(),
+            accepted_at_ms=core.now(),
         )
-        core.ledger.take(call)
-        core.figures.take(request.task_class)
-        core.happened(CallTaken(call))
+        core.call_table.add_call(call)
+        core.counters.count_taken(request.task_class)
+        core.publish(CallTaken(call))
         return call
 
     def take_in_process(
@@ -285,9 +285,9 @@
 
         """
         core = self.core
-        before = core.ledger.task(owner, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
+        before = core.call_table.find_call(owner, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.events["launch repeated"] += 1
             return before
         decision = self._check_admission(before, open_task_count=0, has_update_backlog=False)
         if decision is not None:
@@ -295,24 +295,24 @@
         admitted = self._admit(owner, tenant, info, request)
         if isinstance(admitted, Call):
             if pending_reasons is not None:
-                admitted.why = pending_reasons
-            core.ask(admitted)
+                admitted.pending_reasons = pending_reasons
+            core.request_placement(admitted)
         return admitted
 
     def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """Answers without a call: the module was never asked. Counted as taken, and as refused or failed."""
-        label = m.label(info.labels, "class")
-        task_class = label if label in self.core.classes else UNKNOWN_CLASS
+        label = m.find_label(info.labels, "class")
+        task_class = label if label in self.core.classes_by_name else UNKNOWN_CLASS
         is_harmless = answer.retry_advice is RetryAdvice.HARMLESS
-        self.core.figures.take(task_class)
-        self.core.figures.give(task_class, FinalAnswer.REFUSED if is_harmless else FinalAnswer.FAILED)
+        self.core.counters.count_taken(task_class)
+        self.core.counters.count_answered(task_class, FinalAnswer.REJECTED if is_harmless else FinalAnswer.FAILED)
         self._send_status(framework, info.task_id.value, answer, text=text)
 
     # ---- cancellation ----
 
     def kill(self, framework: Framework, task_id: str) -> None:
         """Handles a KILL of a task."""
-        call = self.core.ledger.task(framework.id, task_id)
+        call = self.core.call_table.find_call(framework.id, task_id)
         if call is not None:
             self.cancel(call)
             return
@@ -322,33 +322,33 @@
     def cancel(self, call: Call) -> None:
         """The owner wants no more of the task; with an attempt dispatched, the answer waits for its end."""
         core = self.core
-        if call.over or call.left:
+        if call.is_closed or call.is_abandoned:
             return
-        attempt = call.out()
-        call.left = True
-        if call.told:
-            core.tell(api.CallAbandoned(call.number))
+        attempt = call.active_attempt()
+        call.is_abandoned = True
+        if call.is_requested:
+            core.dispatch(api.CallAbandoned(call.number))
         if attempt is not None:
-            core.kill(attempt)
-        elif call.given is None:
+            core.kill_attempt(attempt)
+        elif call.final_answer is None:
             self._answer_cancelled(call)
 
     def _answer_cancelled(self, call: Call) -> None:
-        if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
-            self.core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
+        if call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT:
+            self.core.answer_call(call, FinalAnswer.FAILED, status_mapping.failure_answer())
         else:
             answer = StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS)
-            self.core.answer(call, FinalAnswer.REFUSED, answer)
+            self.core.answer_call(call, FinalAnswer.REJECTED, answer)
 
     # ---- updates ----
 
     def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
         """Reports a status of a call's task to its owner, if that is still known."""
-        self.core.happened(TaskStatusReported(call, answer, text))
-        framework = self.core.framework_of(call)
+        self.core.publish(TaskStatusReported(call, answer, text))
+        framework = self.core.find_framework(call)
         if framework is not None:
-            last = call.last()
-            is_placed = last is not None and call.given is FinalAnswer.SERVED
+            last = call.last_attempt()
+            is_placed = last is not None and call.final_answer is FinalAnswer.PLACED
             machine = last.machine if last is not None and is_placed else None
             self._send_status(framework, call.task_id, answer, machine=machine, text=text)
 
@@ -363,7 +363,7 @@
         is_acknowledged: bool = True,
     ) -> None:
         """Sends a status; it is stored and repeated until the framework acknowledges it, if it has to be."""
-        status = self.core.status(task_id, answer, machine, text, is_acknowledged)
+        status = self.core.build_status(task_id, answer, machine, text, is_acknowledged)
         self.core.frameworks.record_update(framework, status, self.core.now())
         self._send_update(framework, status)
 
@@ -377,7 +377,7 @@
     def acknowledge(self, framework: Framework, uuid: str) -> None:
         """Handles an ACKNOWLEDGE of an update."""
         if not self.core.frameworks.acknowledge(framework, uuid):
-            self.core.figures.events["acknowledge unknown"] += 1
+            self.core.counters.events["acknowledge unknown"] += 1
 
     # ---- reconciliation ----
 
@@ -389,11 +389,11 @@
         machine = None
         if call is None:
             answer = status_mapping.reconciliation_answer(None)
-        elif call.given is None:
+        elif call.final_answer is None:
             answer = StatusAnswer(TaskState.STAGING, RetryAdvice.NEVER, StatusReason.RECONCILIATION)
         else:
-            last = call.last()
+            last = call.last_attempt()
             is_accepted = last is not None and last.step is AttemptStep.ACCEPTED
-            answer = status_mapping.reconciliation_answer(call.fate(), is_accepted=is_accepted)
-            machine = last.machine if last is not None and call.placed() else None
+            answer = status_mapping.reconciliation_answer(call.execution_status(), is_accepted=is_accepted)
+            machine = last.machine if last is not None and call.is_placed() else None
         self._send_status(framework, task_id, answer, machine=machine, is_acknowledged=False)
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -57,7 +57,7 @@
     from glencleat.daemon import Daemon
 
     config = read(conf)
-    log = logging.set_up(config.log.form, config.log.level, allocator=config.allocator.name)
+    log = logging.configure_logging(config.log.form, config.log.level, allocator=config.allocator.name)
     daemon = Daemon(config, log, conf)
     daemon.follow_signals()
     try:
@@ -69,7 +69,7 @@
         ready.write(json.dumps(bound) + "\n")
         ready.flush()
     daemon.loop.run()
-    log.info("stopped", open=daemon.core.ledger.open, mismatch=daemon.core.figures.mismatch())
+    log.info("stopped", open=daemon.core.call_table.unanswered_count, mismatch=daemon.core.counters.find_mismatches())
 
 
 @main.command()
--- a/glencleat/platform_server/host_maintenance.py
+++ b/glencleat/platform_server/host_maintenance.py
@@ -10,7 +10,7 @@
 
 from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
 from glencleat.event_loop import Loop
-from glencleat.flow_control.connection_limiter import look_ms
+from glencleat.flow_control.connection_limiter import probe_interval_ms
 from glencleat.index.dirty_set import DirtySet
 from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol.exchange import Exchange
@@ -47,7 +47,7 @@
     def on_capacity_freed(self) -> None:
         """A connection may be opened for an attempt that waits."""
 
-    def reconnect(self, host: Host, demand: Demand = Demand.LISTEN) -> None:
+    def reconnect(self, host: Host, demand: Demand = Demand.MONITOR) -> None:
         """Opens a further connection, if one may be opened now."""
 
     def is_healthy(self, connection: HostConnection) -> bool:
@@ -67,7 +67,7 @@
         """Schedules the first tick."""
         self.pool = pool
         # The longest unheard first: where there are more hosts than descriptors they take turns.
-        self.due_hosts = DirtySet[Host](order=lambda host: (host.last_heard_at_ms, host.creation_number))
+        self.due_hosts = DirtySet[Host](sort_key=lambda host: (host.last_heard_at_ms, host.creation_number))
         self.unlisted_host_names: dict[str, None] = {}  # where tasks came to stand, and no list names it
         self.tick_count = 0
         self.last_tick_at_ms = pool.loop.now()
@@ -95,14 +95,14 @@
         self.tick_count += 1
         self.pool.on_capacity_freed()  # a moment ago the limiter may have permitted none
         self._add_unlisted_hosts(now_ms)
-        if DueQueue.checked:
+        if DueQueue.is_checked:
             self._check_skipped_hosts(now_ms)
         hosts_by_name = self.pool.registry.hosts_by_name
-        for host in self.due_hosts.take(now_ms):
+        for host in self.due_hosts.take_pending(now_ms):
             if hosts_by_name.get(host.name) is host:
                 self._maintain_host(host, now_ms)
             if hosts_by_name.get(host.name) is host:
-                self.due_hosts.put(host, self._next_maintenance_ms(host))
+                self.due_hosts.schedule(host, self._next_maintenance_ms(host))
             else:
                 self._forget_host(host)
 
@@ -113,12 +113,12 @@
         for name in names:
             if name in registry.hosts_by_name:
                 self.mark_changed(registry.hosts_by_name[name])
-            elif name in self.pool.exchange.standing:
+            elif name in self.pool.exchange.running_by_host:
                 registry.add_host(name).record_removed(now_ms)
 
     def _maintain_host(self, host: Host, now_ms: float) -> None:
         """Does all that has to be done at a host by now."""
-        if host.name in self.pool.exchange.standing:
+        if host.name in self.pool.exchange.running_by_host:
             self._assess_host(host, now_ms)
         elif host.unsent_releases:
             self.pool.reconnect(host, Demand.ATTEMPT)
@@ -132,7 +132,7 @@
     def _forget_host(self, host: Host) -> None:
         self.pool.connected_hosts.discard(host)
         self.pool.releasing_hosts.discard(host)
-        self.due_hosts.put(host, NEVER)
+        self.due_hosts.schedule(host, NEVER)
 
     def _next_maintenance_ms(self, host: Host) -> float:
         """When a host is due if nothing happens on it before; a time in the past is that of the next tick.
@@ -140,14 +140,14 @@
         Each line answers one of `_assess_host`, `reconnect`, `_close_unneeded` and `refile_connections`;
         `_check_skipped_hosts` verifies that.
         """
-        has_standing_tasks = host.name in self.pool.exchange.standing
+        has_standing_tasks = host.name in self.pool.exchange.running_by_host
         connections = host.connections
         due_ms = NEVER
         if has_standing_tasks:
             due_ms = host.next_assessment_ms(
                 has_address=host.has_address,
                 has_connection=bool(connections),
-                quiet_limit_ms=look_ms(self.pool.allocator_count),
+                quiet_limit_ms=probe_interval_ms(self.pool.allocator_count),
             )
         elif host.unsent_releases and host.has_address and not host.is_connecting:
             due_ms = host.next_connect_at_ms
@@ -170,21 +170,21 @@
                 due_ms = connection.last_used_at_ms + SURPLUS_MS
             if not (has_standing_tasks and host.is_draining):
                 due_ms = min(due_ms, connection.last_used_at_ms + self.pool.idle_ms)
-        if self.pool.descriptors.filed.get(connection) is EvictionPriority.LISTENING:
+        if self.pool.descriptors.priorities.get(connection) is EvictionPriority.MONITOR_RECENT:
             due_ms = min(due_ms, connection.connected_at_ms + host_connection.LIVENESS_CHECK_MS)
         return due_ms
 
     def _check_skipped_hosts(self, now_ms: float) -> None:
         """Verifies the plain way that hosts which are not due need nothing. Tests switch this on."""
-        due_hosts = self.due_hosts.gather(now_ms)
-        filed = self.pool.descriptors.filed
+        due_hosts = self.due_hosts.collect_pending(now_ms)
+        filed = self.pool.descriptors.priorities
         for host in self.pool.registry.hosts_by_name.values():
             if host not in due_hosts:
                 due_ms = self._next_maintenance_ms(host)
                 assert due_ms > now_ms, (host.name, now_ms, due_ms, vars(host))
                 for connection in host.connections:
                     priority = filed.get(connection)
-                    assert priority in (None, connection.worth()), (host.name, vars(connection))
+                    assert priority in (None, connection.eviction_priority()), (host.name, vars(connection))
             assert host in self.pool.connected_hosts or not host.connections
             assert host in self.pool.releasing_hosts or not host.pending_releases
 
@@ -194,7 +194,7 @@
             now_ms,
             has_address=host.has_address,
             has_connection=bool(host.connections),
-            quiet_limit_ms=look_ms(self.pool.allocator_count),
+            quiet_limit_ms=probe_interval_ms(self.pool.allocator_count),
         )
         if assessment.action is DetectorAction.DECLARE_DEAD:
             self.pool.declare_tasks_lost(host, assessment.reason)
@@ -206,14 +206,14 @@
 
     def _close_unneeded(self, host: Host, now_ms: float) -> None:
         """Closes connections that nobody needs, and removes a host that the machine list has removed."""
-        has_standing_tasks = host.name in self.pool.exchange.standing
+        has_standing_tasks = host.name in self.pool.exchange.running_by_host
         by_need = sorted(
             host.connections, key=lambda other: (not other.is_unresponsive, other.last_used_at_ms)
         )
         for connection in by_need:
             if connection.is_idle:
                 self._close_if_unneeded(host, connection, now_ms, has_standing_tasks)
-        if host.is_removed and host.name not in self.pool.exchange.standing and not host.has_open_attempts:
+        if host.is_removed and host.name not in self.pool.exchange.running_by_host and not host.has_open_attempts:
             host.abort_connections("its host is gone")
             self.pool.registry.remove_host(host)
 
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -59,7 +59,7 @@
         self.blockers: list[socket.socket] = []
         self.sock: socket.socket | None = listen_on_loopback()
         self.port = int(self.sock.getsockname()[1])
-        self.loop.poller.watch(self.sock.fileno(), READ, self._came)
+        self.loop.poller.register(self.sock.fileno(), READ, self._came)
 
     # ---- connections ----
 
@@ -82,7 +82,7 @@
         decoder = m.MessageDecoder()
         try:
             for task in [task for task, whose in self.owed.items() if whose == allocator]:
-                self._say(stream, allocator, m.caused(m.RELEASE, task, m.ENDED))
+                self._say(stream, allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
             while data := (yield from stream.read()):
                 if self.silent:
                     continue
@@ -90,7 +90,7 @@
                 for message in decoder.messages():
                     self.group.tally.got(allocator, message)
                     self._message(stream, allocator, message)
-        except (StreamClosedError, m.PeerError):
+        except (StreamClosedError, m.RemoteProtocolError):
             pass
         finally:
             self._gone(stream, allocator)
@@ -106,7 +106,7 @@
         stream.close("it ended")
 
     def _say(self, stream: Stream | None, allocator: int, data: bytes) -> bool:
-        if self.silent or stream is None or not stream.put(data):
+        if self.silent or stream is None or not stream.try_send(data):
             return False
         self.group.tally.sent(allocator, data)
         return True
@@ -117,13 +117,13 @@
             self.held[task] = Held(allocator, stream, stands=False)
             self.loop.call_in(self.group.decide_ms, lambda: self._stands(task))
         elif message.kind == m.RELEASE:
-            if self.held.pop(task, None) is not None and message.cause != m.GIVEN_UP:
+            if self.held.pop(task, None) is not None and message.cause != m.NORMAL_CLEARING:
                 self.group.tally.count(allocator, "cut")
-            self._say(stream, allocator, m.encode(m.RELEASE_HEARD, task))
-        elif message.kind == m.RELEASE_HEARD:
+            self._say(stream, allocator, m.encode(m.RELEASE_COMPLETE, task))
+        elif message.kind == m.RELEASE_COMPLETE:
             self.owed.pop(task, None)
-        elif message.kind == m.TEST:
-            self._say(stream, allocator, m.caused(m.TESTED, task, 1))
+        elif message.kind == m.PROBE:
+            self._say(stream, allocator, m.encode_with_cause(m.PROBE_RESULT, task, 1))
 
     # ---- tasks ----
 
@@ -158,14 +158,14 @@
 
     def _note(self, task: int, topic: str, value: str) -> None:
         held = self.held[task]
-        note = m.encode(m.NOTE, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
+        note = m.encode(m.OBSERVATION, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
         self._say(self._way(held), held.allocator, note)
 
     def _way(self, held: Held) -> Stream | None:
         """The connection of its set-up, or else any open one of its allocator."""
-        if held.link is not None and held.link.closed is None:
+        if held.link is not None and held.link.close_reason is None:
             return held.link
-        return next((link for link in self.links.get(held.allocator, ()) if link.closed is None), None)
+        return next((link for link in self.links.get(held.allocator, ()) if link.close_reason is None), None)
 
     def _end(self, task: int, held: Held) -> None:
         if self.held.get(task) is not held:
@@ -173,7 +173,7 @@
         del self.held[task]
         self.group.tally.count(held.allocator, "ended")
         self.owed[task] = held.allocator
-        self._say(self._way(held), held.allocator, m.caused(m.RELEASE, task, m.ENDED))
+        self._say(self._way(held), held.allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
 
     # ---- troubles ----
 
@@ -184,7 +184,7 @@
         self.silent = True
         if power:
             self._cut_all()
-        self.loop.poller.forget(self.sock.fileno())
+        self.loop.poller.unregister(self.sock.fileno())
         self.sock.listen(0)  # and one that fills the queue: the system drops what comes to a full one
         blocker = socket.socket()
         blocker.setblocking(False)
@@ -201,7 +201,7 @@
         self._reset_all()
         self.silent = False
         self.sock.listen(BACKLOG)
-        self.loop.poller.watch(self.sock.fileno(), READ, self._came)
+        self.loop.poller.register(self.sock.fileno(), READ, self._came)
 
     def _cut_all(self) -> None:
         """No release will tell of what ran here, nor tell again of what has ended."""
@@ -230,7 +230,7 @@
     def _unlisten(self) -> None:
         if self.sock is not None:
             if not self.silent:
-                self.loop.poller.forget(self.sock.fileno())
+                self.loop.poller.unregister(self.sock.fileno())
             self.sock.close()
             self.sock = None
 
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -16,7 +16,7 @@
 from glencleat.event_loop.streams import connect
 from glencleat.flow_control.backoff import Backoff
 from glencleat.mesos import messages as m
-from glencleat.mesos.http import ClientConnection, End, Head, HttpError
+from glencleat.mesos.http import ClientConnection, EndOfBody, ResponseHead, HttpError
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 TARGET = "/api/v1"
@@ -43,7 +43,7 @@
     ) -> None:
         self.loop, self.address, self.tell, self.log = loop, address, tell, log
         self.asking = asking
-        self.next_at = loop.now() + asking.first()  # not before this
+        self.next_at = loop.now() + asking.initial_delay_ms()  # not before this
         self.up_at: float | None = None  # since when this subscription tells something
         self.told_ms = 0.0  # the directory's own word of when to come again
         self.tries = 0
@@ -82,7 +82,7 @@
                 stream.close("done")
         up_at, self.up_at = self.up_at, None
         lasted = 0.0 if up_at is None else self.loop.now() - up_at
-        self.next_at = self.loop.now() + self.asking.again(lasted, self.told_ms)
+        self.next_at = self.loop.now() + self.asking.next_delay_ms(lasted, self.told_ms)
         self.log("directory failed", why=why, tries=self.tries)
         if self.asked or up_at is not None:
             self._told(api.MachineListUpdated(api.ListUpdateKind.FAILED))
@@ -104,10 +104,10 @@
                 silence.cancel()
                 silence = self.loop.call_in(self.silence_ms, lambda: stream.close("no heartbeat"))
                 for event in http.feed(data):
-                    if isinstance(event, Head) and event.status != 200:
+                    if isinstance(event, ResponseHead) and event.status != 200:
                         self.told_ms = retry_after_ms(event.headers)
                         raise HttpError(event.status, f"the directory answered {event.status}")
-                    if isinstance(event, End):
+                    if isinstance(event, EndOfBody):
                         return
                     for record in decoder.feed(event) if isinstance(event, bytes) else ():
                         self._event(m.decode(m.OperatorEvent, record))
--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -8,7 +8,7 @@
 from glencleat.allocator import reconciliation
 from glencleat.allocator.reconciliation import ANSWERS_PER_TURN
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
+from glencleat.flow_control.slow_start import ANSWER_MARGIN_MS, MAX_WINDOW, SlowStart
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
 from glencleat.servers.metrics import MetricsApi
@@ -65,41 +65,41 @@
 
 def test_the_window_follows_what_is_placed():
     start = SlowStart(0.1)
-    assert start.room() == 1  # never none: nobody would ever learn
+    assert start.available_slots() == 1  # never none: nobody would ever learn
     start.begin(0.0)
     for turn in range(4):
-        count = start.room()
+        count = start.available_slots()
         assert count == 2**turn
         for _ in range(count):
-            start.sent()
+            start.record_sent()
         for _ in range(count):
-            start.back(10.0 * turn, placed=True)
+            start.record_answer(10.0 * turn, is_placed=True)
     for _ in range(16):
-        start.sent()
+        start.record_sent()
     for _ in range(16):
-        start.back(600.0, placed=False)
+        start.record_answer(600.0, is_placed=False)
     assert start.window == 8.0  # halved once for all that were out together
-    for _ in range(3 * int(WINDOW_MOST)):
-        start.back(700.0, placed=True)
-    assert start.window == WINDOW_MOST
+    for _ in range(3 * int(MAX_WINDOW)):
+        start.record_answer(700.0, is_placed=True)
+    assert start.window == MAX_WINDOW
 
 
 def test_a_rate_counts_once_it_no_longer_grows():
     start = SlowStart(4.0)
     start.begin(0.0)
     for slot, count in enumerate((10, 40, 160, 170)):  # in 250 ms each; the last one no longer grows
-        assert start.wait_ms(1_000) == 0.0
+        assert start.estimate_wait_ms(1_000) == 0.0
         for i in range(count):
-            start.back(250.0 * (slot + (i + 1) / count), placed=True)
-    assert 1_400.0 < start.wait_ms(1_000 + start.room()) < 1_600.0
-    assert start.wait_ms(start.room()) == 0.0
+            start.record_answer(250.0 * (slot + (i + 1) / count), is_placed=True)
+    assert 1_400.0 < start.estimate_wait_ms(1_000 + start.available_slots()) < 1_600.0
+    assert start.estimate_wait_ms(start.available_slots()) == 0.0
 
 
 @pytest.fixture
 def held():
     """A cluster of which nothing is known yet, and an owner."""
     cluster = Cluster(0)
-    cluster.core.opening = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
+    cluster.core.startup_gate = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
     return cluster, Owner(cluster).subscribe()
 
 
@@ -132,7 +132,7 @@
     ready = lambda: api.handle(Request("GET", "/ready", {}, b""))  # noqa: E731
     owner.launch("t1", left=1_000.0)
     assert (ready().status, ready().body) == (503, b"no machine is listed yet\n")
-    cluster.timing.advance(1_000.0 - 50.0 - LAST_MS - 5.0)
+    cluster.timing.advance(1_000.0 - 50.0 - ANSWER_MARGIN_MS - 5.0)
     assert owner.states("t1") == []
     cluster.timing.advance(
         10.0
@@ -204,7 +204,7 @@
     assert owner.statuses() == []
     labels = [m.Label(*pair) for pair in (("class", "safe"), ("framework", "owner"), ("task", "old"))]
     old = m.TaskInfo(
-        "old", m.Value("a0-before-1.0"), resources=m.resources(1.0, 100.0), labels=m.Labels(labels)
+        "old", m.Value("a0-before-1.0"), resources=m.build_resources(1.0, 100.0), labels=m.Labels(labels)
     )
     cluster.agents = {"h0": Agent(cluster, "h0").subscribe(tasks=[old])}
     cluster.timing.advance(1.0)
@@ -219,7 +219,7 @@
 def test_a_crowd_that_reconciles_takes_turns_and_none_is_lost():
     cluster = Cluster(1)
     crowd = [Owner(cluster, f"o{i}").subscribe() for i in range(3)]
-    line = cluster.core.owners.reconciliation_queue
+    line = cluster.core.framework_sessions.reconciliation_queue
     for owner in crowd:
         asks(cluster, owner, *(f"t{i}" for i in range(500)))
         asks(cluster, owner, *(f"t{i}" for i in range(ANSWERS_PER_TURN, 500)))  # it waits: the same question
@@ -239,14 +239,14 @@
 def test_questions_are_bounded_and_go_with_their_owner(monkeypatch):
     monkeypatch.setattr(reconciliation, "MAX_WAITING", 600)
     cluster = Cluster(1)
-    cluster.core.opening.done = False
+    cluster.core.startup_gate.is_open = False
     owner, other = Owner(cluster).subscribe(), Owner(cluster, "other").subscribe()
     asks(cluster, owner, *(f"t{i}" for i in range(700)))
-    assert cluster.core.owners.reconciliation_queue.waiting_count == 600
-    assert cluster.core.figures.events["reconcile turned away"] == 1
+    assert cluster.core.framework_sessions.reconciliation_queue.waiting_count == 600
+    assert cluster.core.counters.events["reconcile turned away"] == 1
     asks(cluster, other, "t1")
     owner.link.close("gone")
-    cluster.core.opening.done = True
+    cluster.core.startup_gate.is_open = True
     asks(cluster, other, "t2")
-    assert cluster.core.owners.reconciliation_queue.waiting_count == 0 and not owner.statuses()
-    assert not cluster.core.owners.reconciliation_queue.questions_by_framework
+    assert cluster.core.framework_sessions.reconciliation_queue.waiting_count == 0 and not owner.statuses()
+    assert not cluster.core.framework_sessions.reconciliation_queue.questions_by_framework
--- a/tests/emulators/test_cold_start.py
+++ b/tests/emulators/test_cold_start.py
@@ -18,7 +18,7 @@
 from glencleat.emulators.proxy_faults import Door, ProxyFault, Weather
 from glencleat.emulators.proxy_faults import ProxyState as Wire
 from glencleat.event_loop import Loop
-from glencleat.flow_control.backoff import LIST, Backoff
+from glencleat.flow_control.backoff import MACHINE_LIST_BACKOFF, Backoff
 from tests.support.socket_world import run_until
 
 EXAMPLES = Path(__file__).parent.parent.parent / "examples"
@@ -29,7 +29,7 @@
     """A record of so many allocators that wait `step(asking, i)` after each try; back at their next one."""
     found = []
     for i in range(count):
-        asking, at = Backoff(LIST, Random(i)), 0.0
+        asking, at = Backoff(MACHINE_LIST_BACKOFF, Random(i)), 0.0
         while at < DOWN_MS:
             at += step(asking, i)
             kind = "refused" if at < DOWN_MS else "opened"
--- a/tests/emulators/test_proxy.py
+++ b/tests/emulators/test_proxy.py
@@ -117,7 +117,7 @@
         while not done():
             assert self.loop.now() < end, self.told
             self.loop.call_in(2.0, lambda: None)
-            self.loop.round()
+            self.loop.run_once()
 
     def says(self, sock, ms=4_000.0):
         found = []
@@ -265,7 +265,7 @@
     while len(heard) < 2:
         assert loop.now() < end
         loop.call_in(1.0, lambda: None)
-        loop.round()
+        loop.run_once()
         try:
             data, sender = service.recvfrom(100)
             service.sendto(data + data, sender)
--- a/tests/platform_server/test_attempt_delivery.py
+++ b/tests/platform_server/test_attempt_delivery.py
@@ -146,10 +146,10 @@
     peer.streams[0].close()  # it breaks with the release on its way
     world.until(lambda: len(peer.streams) == 2)
     assert world.module.events[-1].__class__ is api.AttemptAccepted  # a break proves nothing
-    peer.streams[1].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peer.streams[1].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
     assert world.back() == [api.Outcome.COMPLETED]
-    assert world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
-    world.until(lambda: m.RELEASE_HEARD in kinds(peer))
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    world.until(lambda: m.RELEASE_COMPLETE in kinds(peer))
 
 
 def test_links_go_by_host_and_not_by_address(world):
@@ -221,6 +221,6 @@
     world.until(lambda: "h1" in world.exchange.standing)
     for link in list(world.hosts.hosts_by_name["h1"].connections):
         link.stream.close()
-    owner.send(m.caused(m.RELEASE, 1, 16))
+    owner.send(m.encode_with_cause(m.RELEASE, 1, 16))
     world.until(lambda: m.RELEASE in kinds(peer))
     assert peer.got[-1][0] is peer.streams[1] and world.back() == [api.Outcome.STOPPED]
--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -23,15 +23,15 @@
 @pytest.mark.parametrize("data", UNREADABLE, ids=str)
 def test_what_cannot_be_read_is_closed_and_costs_no_other(world, data):
     bad, good = world.client(), world.client()
-    good.send(m.encode(m.TEST, 9, {m.CAUSE: b"\0"}))
+    good.send(m.encode(m.PROBE, 9, {m.CAUSE: b"\0"}))
     bad.send(data)
-    assert world.says(bad) == b"" and world.says(good) == m.caused(m.TESTED, 9, 1)
+    assert world.says(bad) == b"" and world.says(good) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
 
 
 def test_endless_bytes_end_at_the_first_that_is_wrong(world):
     bad = world.client()
     bad.send(setup(1, cls="nope") + b"\xee" * 100_000)
-    assert world.says(bad) in (m.caused(m.RELEASE, 1, m.NOT_TAKEN), b"")
+    assert world.says(bad) in (m.encode_with_cause(m.RELEASE, 1, m.INVALID_CONTENTS), b"")
     world.until(lambda: not world.owners.owners)
 
 
@@ -40,14 +40,14 @@
     monkeypatch.setattr(client_connections, "SPEAK_MS", 60.0)
     bad = world.client()
     bad.send(data)
-    assert world.says(bad) == b"" and client_connections.SPEAK_MS < 3_000.0
+    assert world.says(bad) == b"" and client_connections.MESSAGE_TIMEOUT_MS < 3_000.0
 
 
 def test_the_same_again_after_each_refusal_ends(world):
     bad = world.client()
-    for i in range(client_connections.MOST_BAD + 1):
+    for i in range(client_connections.MAX_INVALID_SETUPS + 1):
         bad.send(setup(i + 1, cls="nope"))
-    world.until(lambda: world.exchange.bad > client_connections.MOST_BAD and not world.owners.owners)
+    world.until(lambda: world.exchange.bad > client_connections.MAX_INVALID_SETUPS and not world.owners.owners)
     assert world.module.events == []
 
 
@@ -55,15 +55,15 @@
     flood, good = world.client(), world.client()
     world.until(lambda: len(world.owners.owners) == 2)
     flood.send(b"".join(m.encode(m.PROGRESS, i) for i in range(1, 500)))
-    good.send(m.encode(m.TEST, 9))
+    good.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._message
     world.owners._message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
-    world.until(lambda: m.TEST in seen)
-    assert len(seen) <= 3 * client_connections.TURN
+    world.until(lambda: m.PROBE in seen)
+    assert len(seen) <= 3 * client_connections.MESSAGES_PER_TURN
 
 
 def test_one_that_sends_long_messages_faster_than_we_read_takes_turns_too(world):
@@ -76,20 +76,20 @@
             data = data[flood.send(data) :]
         except BlockingIOError:
             break
-    good.send(m.encode(m.TEST, 9))
+    good.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._message
     world.owners._message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
-    world.until(lambda: m.TEST in seen)
+    world.until(lambda: m.PROBE in seen)
     assert len(seen) <= 3
 
 
 def test_a_full_house_closes_who_has_nothing_open(world):
     world.descriptors.room = 3
-    world.descriptors.rights = {Side.OWNERS: 3, Side.LINKS: 0}
+    world.descriptors.rights = {Side.CLIENTS: 3, Side.HOSTS: 0}
     lasting = world.client()
     world.until(lambda: len(world.owners.owners) == 1)
     world.owners.proves(next(iter(world.owners.owners)))  # the longest unused, yet one that tasks came by
@@ -99,11 +99,11 @@
     world.until(lambda: len(world.owners.owners) == 3)
     busy_owner = next(o for o in world.owners.owners if o.open)
     late = world.client()
-    late.send(m.encode(m.TEST, 9))
-    assert world.says(late) == m.caused(m.TESTED, 9, 1)
+    late.send(m.encode(m.PROBE, 9))
+    assert world.says(late) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
     assert world.says(quiet) == b"" and busy_owner.stream.closed is None
-    lasting.send(m.encode(m.TEST, 9))
-    assert world.says(lasting) == m.caused(m.TESTED, 9, 1)
+    lasting.send(m.encode(m.PROBE, 9))
+    assert world.says(lasting) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
 
 
 def test_a_release_owed_goes_by_a_proven_owner_and_else_by_the_next(world):
@@ -117,20 +117,20 @@
     rude = world.client()
     world.module.next.append([api.Fail(4)])
     rude.send(setup(9))
-    assert world.says(rude) == m.caused(m.RELEASE, 9, m.RESET)
+    assert world.says(rude) == m.encode_with_cause(m.RELEASE, 9, m.TEMPORARY_FAILURE)
     owner.close()
     world.until(lambda: len(world.owners.owners) == 2)
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.says(other) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    assert world.says(other) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
     other.close()
     world.until(lambda: len(world.owners.owners) == 1)
-    peer.streams[0].send(m.caused(m.RELEASE, 2, m.ENDED))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2))
     world.back(2)
     later, world.calls = world.client(), 4
     world.module.next.append([api.Bind(5, "h1", 2000.0)])
     later.send(setup(10))
-    heard = m.caused(m.RELEASE, 2, m.ENDED) + m.encode(m.ANSWER, 10, {m.DESCRIPTION: b"ok"})
-    assert world.says(later) in (heard, m.caused(m.RELEASE, 2, m.ENDED))
+    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2) + m.encode(m.ANSWER, 10, {m.DESCRIPTION: b"ok"})
+    assert world.says(later) in (heard, m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2))
     with pytest.raises(BlockingIOError):
         rude.recv(100)
 
@@ -159,5 +159,5 @@
     sock = world.client()
     for number, (listed, leaving) in enumerate(((True, False), (False, False), (True, True))):
         world.owners.ready, world.owners.draining = lambda listed=listed: listed, leaving
-        sock.send(m.encode(m.TEST, number, {m.CAUSE: b"\0"}))
-        assert world.says(sock) == m.caused(m.TESTED, number, int(listed and not leaving))
+        sock.send(m.encode(m.PROBE, number, {m.CAUSE: b"\0"}))
+        assert world.says(sock) == m.encode_with_cause(m.PROBE_RESULT, number, int(listed and not leaving))
--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -28,7 +28,7 @@
     assert len(world.hosts.pending_queue) == 1 and not peers[1].streams
     world.until(lambda: peers[0].got)
     stands(*peers[0].got[0])
-    peers[0].streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peers[0].streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
     world.until(lambda: peers[1].got)
     assert world.back(1) == [api.Outcome.NOT_SENT, api.Outcome.COMPLETED] and not world.hosts.pending_queue
     assert world.descriptors.most == world.descriptors.room
@@ -58,20 +58,20 @@
     """With a task there, each link that broke was opened again at once: some thousand times a second."""
     monkeypatch.setattr(host_maintenance, "TICK_MS", 5.0)
     (peer,), owner = standing(world, 1)
-    taken, real = [], peer.listener.accept
+    taken, real = [], peer.listener.on_connection
 
     def accept(stream):
         taken.append(world.loop.now())
         stream.close()
 
-    peer.listener.accept = accept
+    peer.listener.on_connection = accept
     for stream in peer.streams:
         stream.close()
     end = world.loop.now() + 1_500.0
     world.until(lambda: world.loop.now() > end)
     assert 3 <= len(taken) <= 9
     assert world.exchange.standing  # it lives: its tasks do too
-    peer.listener.accept = real
+    peer.listener.on_connection = real
     world.until(lambda: live(world))
 
 
@@ -127,7 +127,7 @@
 def test_what_nobody_needs_goes_first_whichever_host_it_is(world):
     """Room was made among hosts with several links only; one link each for 400 hosts did not fit."""
     (first, second), owner = standing(world, 2)
-    first.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    first.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
     world.back()
     world.descriptors.room = world.descriptors.held
     third = Peer(world.loop, stands)
@@ -142,7 +142,7 @@
     monkeypatch.setattr(host_maintenance, "TICK_MS", 10.0)
     monkeypatch.setattr(failure_detector, "EVICTED_QUIET_MS", 100.0)
     monkeypatch.setattr(host_connection, "LIVENESS_CHECK_MS", 20.0)
-    world.descriptors.room, world.descriptors.rights = 3, {Side.OWNERS: 1, Side.LINKS: 2}
+    world.descriptors.room, world.descriptors.rights = 3, {Side.CLIENTS: 1, Side.HOSTS: 2}
     peers, owner = standing(world, 6)
     owed = {}
 
@@ -158,7 +158,7 @@
 
     for task, peer in enumerate(peers, 1):
         accept(peer, task)
-        owed[task] = m.caused(m.RELEASE, task, m.ENDED)
+        owed[task] = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2)
     world.back(6)
     assert not world.exchange.standing and world.descriptors.most <= 3
 
@@ -192,13 +192,13 @@
     (peer,), owner = standing(world, 1)
     (first,) = live(world)
     world.until(lambda: len(live(world)) == 2)
-    assert first.worth() is EvictionPriority.LISTENED or first.worth() is EvictionPriority.LISTENING
-    assert [link.worth() for link in live(world) if link is not first] == [EvictionPriority.SPARE]
+    assert first.worth() is EvictionPriority.MONITOR_SETTLED or first.worth() is EvictionPriority.MONITOR_RECENT
+    assert [link.worth() for link in live(world) if link is not first] == [EvictionPriority.REDUNDANT]
     world.descriptors.room = world.descriptors.held  # nothing is free: a visit makes way for the next one
     seen = len(peer.streams)
     world.until(lambda: len(peer.streams) >= seen + 2)
     assert first in live(world) and len(live(world)) <= 2
-    owner.send(m.caused(m.RELEASE, 1, 16))
+    owner.send(m.encode_with_cause(m.RELEASE, 1, 16))
     world.until(lambda: live(world) == [first])
 
 
@@ -207,8 +207,8 @@
     assert world.says(owner)
     (link,) = live(world)
     link.close_gracefully("room is wanted")
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
     world.until(lambda: not world.descriptors.leaving)
 
 
@@ -268,11 +268,11 @@
     """A crowd of new connections may not close the one way to tell owners that their tasks are over."""
     (peer,), owner = standing(world, 1)
     assert world.says(owner)
-    world.descriptors.room, world.descriptors.rights = 2, {Side.OWNERS: 1, Side.LINKS: 1}
+    world.descriptors.room, world.descriptors.rights = 2, {Side.CLIENTS: 1, Side.HOSTS: 1}
     crowd = [world.client() for _ in range(5)]
     assert [world.says(sock) for sock in crowd] == [b""] * 5
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
 
 
 def test_a_further_link_goes_once_it_is_not_needed(world, monkeypatch):
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -7,9 +7,9 @@
 import pytest
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
+from glencleat.descriptor_budget import RESERVED_DESCRIPTORS, STALL_MS, Demand, Side
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.ended_tasks import KEEP_MS
+from glencleat.platform_protocol.ended_tasks import RETENTION_MS
 from glencleat.platform_server import client_connections
 from tests.support.exchange_world import World as Virtual
 from tests.support.exchange_world import read, setup
@@ -75,7 +75,7 @@
     sock.send(cancel(9))
     world.until(lambda: m.RELEASE in kinds(peer))
     if heard:
-        peer.streams[0].send(m.encode(m.RELEASE_HEARD, 9))
+        peer.streams[0].send(m.encode(m.RELEASE_COMPLETE, 9))
         settled(world)
     peer.streams[0].close()
     end = world.loop.now() + 1_500.0
@@ -102,7 +102,7 @@
 
 def test_a_connection_is_not_idle_while_a_set_up_lies_unread_on_it(world):
     """Held: both are told in one round, the newcomer first."""
-    world.descriptors.room, world.descriptors.rights = 2, {Side.OWNERS: 2, Side.LINKS: 0}
+    world.descriptors.room, world.descriptors.rights = 2, {Side.CLIENTS: 2, Side.HOSTS: 0}
     quiet, busy = world.client(), world.client()
     world.until(lambda: len(world.owners.owners) == 2)
     settled(world)
@@ -116,13 +116,13 @@
 
 
 def test_a_connection_is_not_idle_while_an_answer_is_unsent_on_it(world, monkeypatch):
-    world.descriptors.room, world.descriptors.rights = 2, {Side.OWNERS: 2, Side.LINKS: 0}
+    world.descriptors.room, world.descriptors.rights = 2, {Side.CLIENTS: 2, Side.HOSTS: 0}
     clients = [world.client(), world.client()]
     world.until(lambda: len(world.owners.owners) == 2)
     first, second = world.owners.owners
     first.stream.out += b"\0"  # as if its client had not read the rest
     world.descriptors.file(first)
-    assert world.descriptors.make_room(Demand.OWNER)
+    assert world.descriptors.make_room(Demand.CLIENT)
     assert first.stream.closed is None and second.stream.closed is not None
     monkeypatch.setattr(client_connections, "READS_MS", -1.0)
     world.owners._sweep()
@@ -134,7 +134,7 @@
     monkeypatch.setattr(client_connections, "SWEEP_MS", 10.0)
     world.owners._sweep()
     sock = world.client()
-    sock.send(m.encode(m.TEST, 1))
+    sock.send(m.encode(m.PROBE, 1))
     drip = iter(setup(1))
 
     def more():
@@ -169,21 +169,21 @@
 def test_an_end_that_came_before_its_task_was_named_is_told(world):
     """After a restart: the host tells what ended on our first connection, before any client has come."""
     peer, sock = placed(world)
-    peer.streams[0].send(m.caused(m.RELEASE, 77, m.ENDED) + m.caused(m.RELEASE, 78, m.RESET))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE))
     settled(world)
     sock.send(named(77) + named(78) + named(79))
     settled(world)
     assert list(world.exchange.standing["h1"]) == [1, 79]
-    assert world.says(sock) == m.caused(m.RELEASE, 77, m.ENDED) + m.caused(m.RELEASE, 78, m.RESET)
+    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE)
 
 
 def test_a_task_named_again_as_its_release_is_on_its_way_stays_over(world):
     peer, sock = placed(world)
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
     settled(world)
     sock.send(named(1))  # sent before the release was read
     settled(world)
-    assert not world.exchange.standing and world.says(sock) == m.caused(m.RELEASE, 1, m.ENDED)
+    assert not world.exchange.standing and world.says(sock) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
     with pytest.raises(BlockingIOError):
         sock.recv(100)  # told once
 
@@ -200,10 +200,10 @@
 def test_ends_are_kept_for_a_time():
     world = Virtual()
     world.asks(1, api.Bind(1, "h1", 300.0))
-    world.host(m.RELEASE, 77, cause=m.ENDED)
-    world.advance(KEEP_MS + 1.0)
+    world.host(m.RELEASE, 77, cause=m.NORMAL_CLEARING_2)
+    world.advance(RETENTION_MS + 1.0)
     world.asks(77, extras="cores:1;memory:1;service:s;at:h1", wait=None)
-    assert 77 in world.exchange.standing["h1"]
+    assert 77 in world.exchange.running_by_host["h1"]
 
 
 # ---- newcomers faster than they are taken ----
@@ -220,13 +220,13 @@
             for _ in range(per):
                 came.append(socket.create_connection(world.address))
             world.loop.poller.poll(0.0)  # what those who were closed by us last time owe is not looked at
-            most = max(most, world.descriptors.held + per)
-            now[0] += STANDSTILL_MS
+            most = max(most, world.descriptors.held_count + per)
+            now[0] += STALL_MS
             for _ in range(3):
-                world.loop.round(wait=False)
-            assert world.owners.listener.take() == 0, "all were taken"
-        assert most <= 400 + ASIDE and world.descriptors.most <= 400
-        assert world.descriptors.turned_away == 0 and world.descriptors.held > 400 - 2 * per
+                world.loop.run_once(wait=False)
+            assert world.owners.listener.accept_pending() == 0, "all were taken"
+        assert most <= 400 + RESERVED_DESCRIPTORS and world.descriptors.peak_held <= 400
+        assert world.descriptors.rejected_count == 0 and world.descriptors.held_count > 400 - 2 * per
     finally:
         for sock in came:
             sock.close()
--- a/tests/platform_server/test_garbage.py
+++ b/tests/platform_server/test_garbage.py
@@ -81,7 +81,7 @@
     world.until(lambda: task in world.exchange.standing.get("h1", {}))
     for stream in world.peer.streams:
         if stream.closed is None:
-            stream.send(m.caused(m.RELEASE, task, m.ENDED))
+            stream.send(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
             break
     settled(world, 6)
     goes(world)
--- a/tests/platform_server/test_host_failures.py
+++ b/tests/platform_server/test_host_failures.py
@@ -65,7 +65,7 @@
     answer = world.says(owner)
     peer.die()
     assert world.back() == [api.Outcome.LOST] and any("refused" in text for text in world.logs)
-    assert answer and world.says(owner) == m.caused(m.RELEASE, 1, m.RESET)
+    assert answer and world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.TEMPORARY_FAILURE)
 
 
 def test_all_links_at_once_tell_that_a_draining_host_ended(world):
@@ -108,8 +108,8 @@
     monkeypatch.setattr(failure_detector, "QUIET_MS", 50.0)
     monkeypatch.setattr(failure_detector, "UNREACHABLE_MS", 600.0 if "nothing" not in says else 60_000.0)
 
-    words = {"notes": m.encode(m.NOTE, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
-             "tests passed": m.caused(m.TESTED, 9, 0)}  # fmt: skip
+    words = {"notes": m.encode(m.OBSERVATION, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
+             "tests passed": m.encode_with_cause(m.PROBE_RESULT, 9, 0)}  # fmt: skip
 
     def speak():
         if says in words and peer.streams[0].put(words[says]):
@@ -132,7 +132,7 @@
     assert ("h1" not in world.exchange.standing) is over
     if over:
         assert world.back() == [api.Outcome.LOST]
-    assert m.TEST not in kinds(peer)
+    assert m.PROBE not in kinds(peer)
 
 
 @pytest.mark.parametrize("how", ["replaced", "restarted", "unlisted"])
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -15,8 +15,8 @@
 
 from glencleat.event_loop import Loop
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_server.graceful_shutdown import WINDOW_MS
-from glencleat.platform_server.process import READY_MS, PlatformProcess, load
+from glencleat.platform_server.graceful_shutdown import ADMISSION_WINDOW_MS
+from glencleat.platform_server.process import READY_WITHOUT_HOSTS_MS, PlatformProcess, load_config
 from tests.support.exchange_world import setup
 
 SETTINGS = {
@@ -145,7 +145,7 @@
 def test_a_day_in_short(platform):
     """Ready, an answer, a reload, a broken file, a planned restart with a call open."""
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.hold.set()
     sock.send(setup(7))
@@ -159,12 +159,12 @@
     assert platform.asked[1].wait(20.0) and platform.resumed[1][0] == b"resume 1\n"
 
     platform.hold.clear()
-    sock.send(setup(8) + m.encode(m.TEST, 2, {m.CAUSE: b"\0"}))
+    sock.send(setup(8) + m.encode(m.PROBE, 2, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.process.send_signal(signal.SIGTERM)
     platform.line("stopping, 1 calls open")
     for token in range(3, 13):  # rounds of its loop go by
-        sock.send(m.encode(m.TEST, token, {m.CAUSE: b"\0"}))
+        sock.send(m.encode(m.PROBE, token, {m.CAUSE: b"\0"}))
         assert reader.next().cause == 0
     late, late_reader = platform.owner()
     late.send(setup(9))
@@ -205,7 +205,7 @@
     """It was taken: after a standstill the end's timer is due in the very turn that reads it."""
     sock, reader = platform.owner()
     platform.hold.set()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(setup(8))
@@ -219,7 +219,7 @@
     platform.line("stopping, 0 calls open")
     platform.process.send_signal(signal.SIGSTOP)
     yield
-    time.sleep(2.0 * WINDOW_MS / 1e3)  # nothing is waited for but the time itself
+    time.sleep(2.0 * ADMISSION_WINDOW_MS / 1e3)  # nothing is waited for but the time itself
     platform.process.send_signal(signal.SIGCONT)
 
 
@@ -238,7 +238,7 @@
     """Several times as many on one connection as have their turn at once."""
     platform.hold.set()
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(b"".join(setup(number) for number in range(1, 101)))
@@ -257,7 +257,7 @@
             socket.create_connection(platform.address).close()
     sock.send(setup(7)[30:])
     told = reader.next()
-    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.FULL)
+    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.NO_CAPACITY)
     assert platform.process.wait(20.0) == 0
 
 
@@ -274,7 +274,7 @@
 def test_a_process_that_is_not_ready_ends_on_sigterm(tmp_path):
     made = Platform(tmp_path, known=False)
     sock, reader = made.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 0
     made.process.send_signal(signal.SIGTERM)
     assert "Traceback" not in made.process.stderr.read() and made.process.wait(20.0) == 0
@@ -315,9 +315,9 @@
         "known": known, "settings": SETTINGS,
     }))  # fmt: skip
     loop = Loop(Clock())
-    process = PlatformProcess(load(str(tmp_path / "config.json")), loop, lambda text: None, "")
-    assert not process.owners.ready()
-    loop.clock.at += READY_MS
-    assert not process.owners.ready()
+    process = PlatformProcess(load_config(str(tmp_path / "config.json")), loop, lambda text: None, "")
+    assert not process.clients.is_ready()
+    loop.clock.at += READY_WITHOUT_HOSTS_MS
+    assert not process.clients.is_ready()
     loop.clock.at += 1.0
-    assert process.owners.ready() and READY_MS < 9_000.0  # nine in ten within 10 s
+    assert process.clients.is_ready() and READY_WITHOUT_HOSTS_MS < 9_000.0  # nine in ten within 10 s
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -15,9 +15,9 @@
 from glencleat.platform_protocol.delivery import (
     AttemptEvidence,
     DeliveryOutcome,
-    harmless,
-    held_back,
-    turn_holds,
+    is_duplicate_safe,
+    find_hold_reason,
+    is_turn_current,
 )
 from glencleat.platform_protocol.inbox import Inbox
 from glencleat.platform_server import client_connections, watch_client
@@ -89,7 +89,7 @@
     world.ask(sock, 1)
     world.until(lambda: first.got)
     world.module.next.append([api.Bind(2, "h2", 2000.0)])
-    first.streams[0].send(m.caused(m.RELEASE, 1, m.FULL))
+    first.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NO_CAPACITY))
     leave(sock, how)
     settled(world)
     assert sent(second) == [9]
@@ -133,7 +133,7 @@
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
     last = world.client()
-    last.send(b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.TURN)) + cancel(1))
+    last.send(b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.MESSAGES_PER_TURN)) + cancel(1))
     last.close()
     settled(world)
     assert m.RELEASE in kinds(peer) and not world.exchange.standing
@@ -144,20 +144,20 @@
     data = setup(1) + setup(2) + cancel(2) + setup(2)[:20]
     for byte in data:
         inbox.feed(bytes((byte,)), 5.0)
-    assert (inbox.waits(1), inbox.waits(2)) == (True, False)
-    found = [inbox.next() for _ in range(3)]
+    assert (inbox.is_answer_awaited(1), inbox.is_answer_awaited(2)) == (True, False)
+    found = [inbox.next_message() for _ in range(3)]
     assert [message.kind for message, _ in found] == [m.SETUP, m.SETUP, m.RELEASE]
     assert (
-        inbox.next() is None and inbox.partial and inbox.waits(2) and len(inbox.arrivals) == 2
+        inbox.next_message() is None and inbox.has_partial_message and inbox.is_answer_awaited(2) and len(inbox.arrivals) == 2
     )  # not one a byte
     inbox.feed(setup(2)[20:], 9.0)
-    assert inbox.next()[1] == 9.0 and not inbox.partial
+    assert inbox.next_message()[1] == 9.0 and not inbox.has_partial_message
     inbox.feed(b"\0\1", 10.0)
-    assert inbox.waiting and not inbox.partial
-    with pytest.raises(m.PeerError):
-        inbox.next()
-    inbox.ended = True
-    assert not inbox.waits(1)
+    assert inbox.has_next and not inbox.has_partial_message
+    with pytest.raises(m.RemoteProtocolError):
+        inbox.next_message()
+    inbox.is_closed = True
+    assert not inbox.is_answer_awaited(1)
 
 
 # ---- what is looked at last before the first byte leaves ----
@@ -169,22 +169,22 @@
         expected = (
             None
             if all(values)
-            else DeliveryOutcome.DISCONNECTED
-            if not seen.client_waits
-            else DeliveryOutcome.NEVER_SENT
+            else DeliveryOutcome.CLIENT_DISCONNECTED
+            if not seen.is_client_waiting
+            else DeliveryOutcome.NOT_SENT
         )
-        assert held_back(seen) is expected
+        assert find_hold_reason(seen) is expected
     assert (
-        harmless(SAFE, 0.0, 1e9, 2.0)
-        and harmless(UNSAFE, None, 1e9, 2.0)
-        and not harmless(UNSAFE, 0.0, 0.0, 2.0)
+        is_duplicate_safe(SAFE, 0.0, 1e9, 2.0)
+        and is_duplicate_safe(UNSAFE, None, 1e9, 2.0)
+        and not is_duplicate_safe(UNSAFE, 0.0, 0.0, 2.0)
     )
-    assert harmless(KEYED, 10.0, 10.0 + 4996.0, 2.0) and not harmless(KEYED, 10.0, 10.0 + 4996.5, 2.0)
+    assert is_duplicate_safe(KEYED, 10.0, 10.0 + 4996.0, 2.0) and not is_duplicate_safe(KEYED, 10.0, 10.0 + 4996.5, 2.0)
     assert (
-        turn_holds(False, 9e9, 1.0)
-        and turn_holds(True, 9e9, 0.0)
-        and turn_holds(True, 250.0, 1000.0)
-        and not turn_holds(True, 251.0, 1000.0)
+        is_turn_current(False, 9e9, 1.0)
+        and is_turn_current(True, 9e9, 0.0)
+        and is_turn_current(True, 250.0, 1000.0)
+        and not is_turn_current(True, 251.0, 1000.0)
     )
 
 
@@ -220,9 +220,9 @@
     first, second = world.offers
     assert world.outcomes() == [api.Outcome.TIMED_OUT]
     world.advance(KEYED.deduplication_window_ms - 2.0 - 300.0)
-    assert world.exchange.held_back(second, True, False) is None
+    assert world.exchange.find_hold_reason(second, True, False) is None
     world.advance(1.0)
-    assert world.exchange.held_back(second, True, False) is DeliveryOutcome.NEVER_SENT
+    assert world.exchange.find_hold_reason(second, True, False) is DeliveryOutcome.NOT_SENT
 
 
 def test_nothing_queues_behind_bytes_that_a_host_does_not_read(world):
@@ -303,7 +303,7 @@
     peer.listener.close()
     host = world.hosts.hosts_by_name["h1"]
     host.record_connect_failure(world.loop.now(), refused=True, disconnected=False)
-    peer.streams[0].send(m.encode(m.NOTE, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
+    peer.streams[0].send(m.encode(m.OBSERVATION, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
     standstill(world, 8_000.0)
     settled(world)
     assert list(world.exchange.standing["h1"]) == [9]
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -26,10 +26,10 @@
         if is_late:
             return
         pool.on_capacity_freed()
-        for name in [name for name in pool.exchange.standing if name not in pool.hosts_by_name]:
+        for name in [name for name in pool.exchange.running_by_host if name not in pool.hosts_by_name]:
             pool.registry.add_host(name).record_removed(now)
         for host in sorted(pool.hosts_by_name.values(), key=lambda host: host.last_heard_at_ms):
-            if host.name in pool.exchange.standing:
+            if host.name in pool.exchange.running_by_host:
                 self._assess_host(host, now)
             elif host.unsent_releases:
                 pool.reconnect(host, Demand.ATTEMPT)
@@ -254,11 +254,11 @@
     turns = world.hosts.maintenance.due_hosts
     assert not (
         world.hosts.hosts_by_name
-        or world.exchange.standing
+        or world.exchange.running_by_host
         or world.hosts.connected_hosts
         or world.hosts.releasing_hosts
     )
-    assert not turns.dirty and not len(turns.due) and world.hosts.connection_count == 0
+    assert not turns.dirty and not len(turns.due_queue) and world.hosts.connection_count == 0
 
 
 # ---- marks that drawn streams seldom need ----
--- a/tests/platform_server/test_watch_client.py
+++ b/tests/platform_server/test_watch_client.py
@@ -50,7 +50,7 @@
     world.until(lambda: tower.got)
     more()
     world.until(lambda: told, ms=2_000.0)
-    assert made.breaks == 0
+    assert made.disconnect_count == 0
 
 
 @pytest.mark.parametrize("when", ["backs off", "connects"])
@@ -61,10 +61,10 @@
     world.until(lambda: told)
     new = Tower(world.loop, lambda n: list_event(2))
     tower.streams[0].close()
-    world.until(lambda: made.pause.asleep)
-    made.asking.pace = BackoffPolicy(1.0, 600_000.0, 9e9)  # what a move draws its wait from
+    world.until(lambda: made.retry_pause.is_asleep)
+    made.backoff.policy = BackoffPolicy(1.0, 600_000.0, 9e9)  # what a move draws its wait from
     if when == "connects":
-        made.pause.end()  # the try at the old one has been begun by nobody yet
-    made.move(new.address)
+        made.retry_pause.interrupt()  # the try at the old one has been begun by nobody yet
+    made.change_address(new.address)
     world.until(lambda: len(told) == 2)
     assert new.got == [b"resume 1\n"]
--- a/tests/platform_server/test_watch_recovery.py
+++ b/tests/platform_server/test_watch_recovery.py
@@ -33,6 +33,6 @@
         world.loop, world.channel, asking(), old.address, told.append, world.logs.append
     )
     world.until(lambda: told)
-    made.move(new.address)
+    made.change_address(new.address)
     world.until(lambda: len(told) == 2)
     assert new.got == [b"resume 1\n"]
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -15,7 +15,7 @@
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import EpollPoller
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_server.process import PlatformProcess, load
+from glencleat.platform_server.process import PlatformProcess, load_config
 from glencleat.scale.hosts import listen_on_loopback
 from tests.support.exchange_world import setup
 
@@ -92,8 +92,8 @@
         path.write_text(json.dumps(config))
         self.clock = LeapingClock()
         self.loop = Loop(self.clock, LeapingPoller(self.clock))
-        self.process = PlatformProcess(load(str(path)), self.loop, lambda text: None, str(path))
-        self.place, self.client = self.process.owners.listen(("127.0.0.1", 0)), None
+        self.process = PlatformProcess(load_config(str(path)), self.loop, lambda text: None, str(path))
+        self.place, self.client = self.process.clients.listen(("127.0.0.1", 0)), None
         self.last = self.asked = 0
         self.run(300.0)
         for i in range(standing):
@@ -104,7 +104,7 @@
         end = self.clock.at + ms
         self.loop.call_in(ms, lambda: None)
         while self.clock.at < end:
-            self.loop.round()
+            self.loop.run_once()
 
     def ask(self, extras="cores:0.1;memory:0.1;service:s"):
         """A request comes, is placed, and a connection for it is begun."""
@@ -112,8 +112,8 @@
         self.asked += 1
         self.client.send(setup(self.asked, extras=extras))
         for _ in range(20):
-            self.loop.round()
-            if self.process.exchange.taken == self.asked:
+            self.loop.run_once()
+            if self.process.exchange.accepted_calls == self.asked:
                 return
         raise AssertionError("it was not taken")
 
@@ -132,7 +132,7 @@
         for host in list(self.process.hosts.hosts_by_name.values()):
             for link in list(host.connections):
                 link.abort("the end")
-        self.process.owners.close()
+        self.process.clients.close()
         if self.client is not None:
             self.client.close()
         self.sock.close()
@@ -181,10 +181,10 @@
     with Work() as none:
         sum(i for i in range(1_000))
     with Work() as some:
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
     with Work() as twice:
-        m.encode(m.TEST, 1)
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
+        m.encode(m.PROBE, 1)
     assert none.count == 0 < some.count and twice.count == 2 * some.count
 
 
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -45,8 +45,8 @@
         while (due := self.timers.next_due()) is not None and due <= until:
             self.at = max(self.at, due)
             for timer in self.timers.pop_due(self.at):
-                if timer.call is not None:
-                    timer.call()
+                if timer.callback is not None:
+                    timer.callback()
         self.at = until
 
 
@@ -162,7 +162,7 @@
     def launch(self, task, cls="safe", cores=1.0, memory=100.0, left=8000.0, **more):
         labels = {"class": cls, "service": "svc", "time_left_ms": str(left), **more}
         told = m.Labels([m.Label(key, value) for key, value in labels.items()])
-        info = m.TaskInfo(task, m.Value(task), resources=m.resources(cores, memory), labels=told)
+        info = m.TaskInfo(task, m.Value(task), resources=m.build_resources(cores, memory), labels=told)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
         self.cluster.core.owners.accept(self.framework, m.Accept([offer], [operation]))
@@ -201,11 +201,11 @@
         names = [f"h{i}" for i in range(machines)]
         self.agents = {name: Agent(self, name).subscribe() for name in names}
         self.list(names)
-        self.timing.advance(self.core.options.grace_ms if not machines else 0.0)
+        self.timing.advance(self.core.options.startup_grace_ms if not machines else 0.0)
 
     def list(self, names, kind=api.ListUpdateKind.SNAPSHOT, phase=api.MachinePhase.SERVING):
         told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
-        self.core.list_told(api.MachineListUpdated(kind, told))
+        self.core.update_machine_list(api.MachineListUpdated(kind, told))
 
     def offered(self):
         """The agent and task of every LAUNCH so far, in the order of their calls."""
@@ -216,5 +216,5 @@
 
     def check(self):
         """What must hold at any instant."""
-        assert self.core.figures.mismatch() == {}
-        assert self.core.ledger.open == sum(c.given is None for c in self.core.ledger.calls.values())
+        assert self.core.counters.find_mismatches() == {}
+        assert self.core.call_table.unanswered_count == sum(c.final_answer is None for c in self.core.call_table.active_calls.values())
--- a/tests/support/daemon_world.py
+++ b/tests/support/daemon_world.py
@@ -67,7 +67,7 @@
             host.start(cold=False)
         self.directory.start()
         self.core = self.daemon.core
-        self.until(lambda: self.core.opening.done or not self.hosts)
+        self.until(lambda: self.core.startup_gate.is_open or not self.hosts)
 
     @staticmethod
     def parse(text):
@@ -91,7 +91,7 @@
         tick()
         while not condition():
             assert self.loop.now() < end, "it did not come about"
-            self.loop.round()
+            self.loop.run_once()
         ticking[0].cancel()
 
     def owner(self, name="o"):
@@ -123,6 +123,6 @@
             host.stop("the end")
         for server in self.daemon.servers.values():
             server.close()
-            for stream in list(server.listener.open):
+            for stream in list(server.listener.open_streams):
                 stream.close("the end")
         self.directory.close()
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, DescriptorBudget
+from glencleat.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
 from glencleat.event_loop import ConnectError, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
@@ -105,7 +105,7 @@
     def up(self, stream):
         self.streams[stream] = None
         for task in self.owed:
-            stream.bring(m.caused(m.RELEASE, task, m.ENDED))
+            stream.bring(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
 
     def hears(self, stream, data):
         if self.mode == "silent" or stream.closed is not None:
@@ -114,18 +114,18 @@
             task = message.task
             if message.kind == m.SETUP:
                 self._asked(stream, task)
-            elif message.kind == m.RELEASE_HEARD:
+            elif message.kind == m.RELEASE_COMPLETE:
                 self.owed.pop(task, None)
             elif message.kind == m.RELEASE:
                 self.tasks.pop(task, None)
                 if task % 5:
-                    self.say(stream, m.encode(m.RELEASE_HEARD, task))
+                    self.say(stream, m.encode(m.RELEASE_COMPLETE, task))
 
     def _asked(self, stream, task):
         if task % 7 == 3:
             return  # it hangs
         if task % 7 == 5:
-            self.say(stream, m.caused(m.RELEASE, task, m.FULL))
+            self.say(stream, m.encode_with_cause(m.RELEASE, task, m.NO_CAPACITY))
             return
         self.tasks[task] = stream
         self.say(stream, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"}), 1.0 + task % 40)
@@ -139,12 +139,12 @@
         self.owed[task] = None
         link = link if link in self.streams else next(iter(self.streams), None)
         if link is not None:
-            self.say(link, m.caused(m.RELEASE, task, m.ENDED))
+            self.say(link, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
 
     def notes(self):
         for task, stream in list(self.tasks.items()):
             if stream in self.streams:
-                self.say(stream, m.encode(m.NOTE, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
+                self.say(stream, m.encode(m.OBSERVATION, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
 
     def breaks(self, most=99):
         for stream in list(self.streams)[:most]:
@@ -190,8 +190,8 @@
     def __init__(self, room=40, patch=None):
         self.clock, self.record, self.counts = Clock(), [], Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
-        self.descriptors = DescriptorBudget(room + ASIDE)
-        self.descriptors.room = room
+        self.descriptors = DescriptorBudget(room + RESERVED_DESCRIPTORS)
+        self.descriptors.capacity = room
         self.channel = CommandChannel(1.7e12)
         self.hosts = ConnectionPool(
             self.loop, self.channel, self.descriptors, 250.0, 30_000.0, Random(1), lambda text: self.note("log", text)
@@ -262,7 +262,7 @@
         reached = []
         self.loop.call_in(ms, lambda: reached.append(True))
         while not reached:
-            self.loop.round()
+            self.loop.run_once()
         self.clock.at = max(self.clock.at, end)
 
     def peer(self, name, port):
@@ -279,11 +279,11 @@
     def ask(self, task, host, cls="safe", **more):
         self.target = host
         (message,) = read(setup(task, cls=cls, **more))
-        self.exchange.owner_asks(self.owner, message, 0.0)
+        self.exchange.receive_setup(self.owner, message, 0.0)
 
     def adopt(self, task, host):
         self.ask(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
 
     def release(self, task):
-        (message,) = read(m.caused(m.RELEASE, task, m.ENDED))
-        self.exchange.owner_releases(self.owner, message)
+        (message,) = read(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+        self.exchange.receive_client_release(self.owner, message)
--- a/tests/support/reference_order.py
+++ b/tests/support/reference_order.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from glencleat import interface as api
-from glencleat.index.rendezvous import hashed, mixed
+from glencleat.index.rendezvous import hash_name, mix_hash
 from glencleat.policy import profiles
 from glencleat.policy.cluster_state import MachineState
 from glencleat.policy.machine_list import MachineListTracker
@@ -37,8 +37,8 @@
 
     def order(self, service):
         if service not in self.orders:
-            seed = hashed(service)
-            self.orders[service] = sorted(self.machines, key=lambda m: (mixed(seed ^ m.hash), m.name))
+            seed = hash_name(service)
+            self.orders[service] = sorted(self.machines, key=lambda m: (mix_hash(seed ^ m.hash), m.name))
         return self.orders[service]
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -509,7 +509,7 @@
                 link.ended = told.begin(link)
         cluster.timing.advance(100.0)
         cluster.check()
-    assert cluster.core.figures.mismatch() == {}
+    assert cluster.core.counters.find_mismatches() == {}
 
 
 def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
