--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -14,6 +14,7 @@
     CallTaken,
     TaskStatusReported,
 )
+from glencleat.allocator.framework_offers import FrameworkOffers
 from glencleat.allocator.frameworks import MS_PER_S, Framework
 from glencleat.allocator.pending_reasons import PendingReasons
 from glencleat.allocator.ports import CorePort
@@ -29,8 +30,6 @@
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
-DEFAULT_REFUSE_S = 5.0  # of a DECLINE without filters, as the specification of the API has it
-MAX_REFUSE_S = 31_536_000.0  # a year
 MAX_LOGGED_TYPE_CHARACTERS = 40  # of an operation's type that is not known here
 UNKNOWN_CLASS = "-"  # in the counters, for a task whose class is not known
 
@@ -42,7 +41,7 @@
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
-        self.last_offer_number = 0
+        self.offers = FrameworkOffers(core)
         self.reconciliation_queue = ReconciliationQueue(core, self._send_reconciliation)
 
     # ---- sessions ----
@@ -64,11 +63,11 @@
         framework = subscription.framework
         if subscription.replaced_session is not None:
             self._end_replaced_session(subscription.replaced_session)
-        subscribed = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_interval_ms / MS_PER_S)
+        subscribed = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / MS_PER_S)
         session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=subscribed)))
         for status in core.frameworks.unacknowledged_statuses(framework):
             self._send_update(framework, status)
-        self._send_due_offer(framework, now_ms)
+        self.offers.send_if_due(framework, now_ms)
         core.log("framework subscribed", framework=framework.id, role=framework.role())
         return framework
 
@@ -86,7 +85,7 @@
     def teardown(self, framework: Framework, why: str) -> None:
         """Removes a framework: its tasks are cancelled, and nobody waits for their updates."""
         core = self.core
-        for call in core.call_table.calls_of(framework.id):
+        for call in core.ledger.of(framework.id):
             self.cancel(call)
         core.frameworks.remove(framework)
         session = framework.session
@@ -106,52 +105,17 @@
             if framework.unacknowledged_by_uuid:
                 for status in frameworks.take_due_retries(framework, now_ms):
                     self._send_update(framework, status)
-            self._send_due_offer(framework, now_ms)
-
-    # ---- offers ----
-
-    def _send_due_offer(self, framework: Framework, now_ms: float) -> None:
-        core = self.core
-        if core.is_shutting_down or not core.frameworks.wants_offer(framework, now_ms):
-            return
-        self.last_offer_number += 1
-        offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
-        offer = self._make_offer(framework, offer_id)
-        rescinded_id = core.frameworks.record_offer(framework, offer_id, now_ms)
-        if rescinded_id is not None:
-            rescind = m.Rescind(m.Value(rescinded_id))
-            self._send(framework, m.SchedulerEvent("RESCIND", rescind=rescind))
-        self._send(framework, m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
-
-    def _make_offer(self, framework: Framework, offer_id: str) -> m.Offer:
-        """An offer of the whole pool, as if it were one agent: the capacity of one machine of each kind."""
-        core = self.core
-        sizes = core.settings.machine_sizes.values()
-        cores = sum(size.cores for size in sizes)
-        memory_mb = sum(size.memory for size in sizes)
-        return m.Offer(
-            m.Value(offer_id),
-            m.Value(framework.id),
-            m.Value(core.options.pool),
-            core.options.pool,
-            m.build_resources(cores, memory_mb),
-            [m.Attribute("zone", text=m.Text(core.settings.zone))],
-        )
+            self.offers.send_if_due(framework, now_ms)
 
     def decline(self, framework: Framework, decline: m.Decline) -> None:
         """Handles a DECLINE of offers."""
-        refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
-        refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
-        for offer_id in decline.offer_ids:
-            self.core.frameworks.decline_offer(
-                framework, offer_id.value, self.core.now(), refuse_ms=refuse_ms
-            )
+        self.offers.decline(framework, decline)
 
     # ---- launches ----
 
     def accept(self, framework: Framework, accept: m.Accept) -> None:
         """Handles an ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
-        has_valid_offers = self._use_offers(framework, accept)
+        has_valid_offers = self.offers.use(framework, accept)
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
                 type_text = operation.type[:MAX_LOGGED_TYPE_CHARACTERS]
@@ -166,24 +130,12 @@
                     )
                     self._reject_launch(framework, info, answer, INVALID_OFFERS_TEXT)
 
-    def _use_offers(self, framework: Framework, accept: m.Accept) -> bool:
-        """Whether all offers of an ACCEPT are valid, and there is one."""
-        core = self.core
-        now_ms = core.now()
-        used = [
-            core.frameworks.use_offer(
-                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_interval_ms
-            )
-            for offer_id in accept.offer_ids
-        ]
-        return bool(used) and all(used)
-
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
-        before = core.call_table.find_call(framework.id, info.task_id.value)
-        if admission.classify_repeat(before) == "same" and before is not None:
-            core.counters.events["launch repeated"] += 1
-            if before.final_answer is not None:
+        before = core.ledger.task(framework.id, info.task_id.value)
+        if admission.repeats(before) == "same" and before is not None:
+            core.figures.events["launch repeated"] += 1
+            if before.given is not None:
                 self._send_reconciliation(framework, before.task_id, before)
             return
         decision = self._check_admission(
@@ -197,7 +149,7 @@
         try:
             request = read_task_request(
                 info,
-                core.classes_by_name,
+                core.classes,
                 default_class=core.options.default_class,
                 answer_margin_ms=core.options.answer_margin_ms,
             )
@@ -210,7 +162,7 @@
             self._reject_launch(framework, info, admitted.answer, admitted.text)
             return
         framework.open_task_count += 1
-        core.request_placement(admitted)
+        core.ask(admitted)
 
     def _check_admission(
         self, before: Call | None, *, open_task_count: int, has_update_backlog: bool
@@ -220,17 +172,17 @@
         `before` is the latest call of the same task, if there is one: no repeat that is still open or placed.
         """
         core = self.core
-        if admission.classify_repeat(before) == "never" and before is not None:
-            answer = status_mapping.reconciliation_answer(before.execution_status())
+        if admission.repeats(before) == "never" and before is not None:
+            answer = status_mapping.reconciliation_answer(before.fate())
             return AdmissionDecision(answer, "it may have run before")
         load = admission.AdmissionLoad(
-            unanswered=core.call_table.unanswered_count,
-            framework_unanswered=open_task_count,
-            active=len(core.call_table.active_calls),
-            is_framework_behind=has_update_backlog,
-            is_shutting_down=core.is_shutting_down,
+            open=core.ledger.open,
+            open_here=open_task_count,
+            known=len(core.ledger.calls),
+            behind=has_update_backlog,
+            ending=core.ending,
         )
-        why = admission.find_exceeded_limit(load, core.options.admission_limits)
+        why = admission.refuses(load, core.options.limits)
         if why is None:
             return None
         return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
@@ -241,25 +193,25 @@
         """Takes a task as a new call, unless the admission chain decides against it."""
         core = self.core
         task_id = info.task_id.value
-        idempotency = core.classes_by_name[request.task_class].idempotency
-        decision = core.decide_admission(
-            AdmissionRequest(owner_id=owner, tenant=tenant, task_id=task_id, idempotency=idempotency, request=request)
+        idempotency = core.classes[request.task_class].idempotency
+        decision = core.decide(
+            AdmissionRequest(owner=owner, tenant=tenant, task_id=task_id, effect=idempotency, ask=request)
         )
         if decision is not None:
             return decision
         call = Call(
-            number=next(core.call_numbers),
+            number=next(core.numbers),
             framework=owner,
             task_id=task_id,
             info=info,
-            request=request,
-            idempotency=idempotency,
+            ask=request,
+            effect=idempotency,
             tenant=tenant,
-            accepted_at_ms=core.now(),
+            taken_at=core.now(),
         )
-        core.call_table.add_call(call)
-        core.counters.count_taken(request.task_class)
-        core.publish(CallTaken(call))
+        core.ledger.take(call)
+        core.figures.take(request.task_class)
+        core.happened(CallTaken(call))
         return call
 
     def take_in_process(
@@ -285,9 +237,9 @@
 
         """
         core = self.core
-        before = core.call_table.find_call(owner, info.task_id.value)
-        if admission.classify_repeat(before) == "same" and before is not None:
-            core.counters.events["launch repeated"] += 1
+        before = core.ledger.task(owner, info.task_id.value)
+        if admission.repeats(before) == "same" and before is not None:
+            core.figures.events["launch repeated"] += 1
             return before
         decision = self._check_admission(before, open_task_count=0, has_update_backlog=False)
         if decision is not None:
@@ -295,24 +247,24 @@
         admitted = self._admit(owner, tenant, info, request)
         if isinstance(admitted, Call):
             if pending_reasons is not None:
-                admitted.pending_reasons = pending_reasons
-            core.request_placement(admitted)
+                admitted.why = pending_reasons
+            core.ask(admitted)
         return admitted
 
     def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """Answers without a call: the module was never asked. Counted as taken, and as refused or failed."""
-        label = m.find_label(info.labels, "class")
-        task_class = label if label in self.core.classes_by_name else UNKNOWN_CLASS
+        label = m.label(info.labels, "class")
+        task_class = label if label in self.core.classes else UNKNOWN_CLASS
         is_harmless = answer.retry_advice is RetryAdvice.HARMLESS
-        self.core.counters.count_taken(task_class)
-        self.core.counters.count_answered(task_class, FinalAnswer.REJECTED if is_harmless else FinalAnswer.FAILED)
+        self.core.figures.take(task_class)
+        self.core.figures.give(task_class, FinalAnswer.REFUSED if is_harmless else FinalAnswer.FAILED)
         self._send_status(framework, info.task_id.value, answer, text=text)
 
     # ---- cancellation ----
 
     def kill(self, framework: Framework, task_id: str) -> None:
         """Handles a KILL of a task."""
-        call = self.core.call_table.find_call(framework.id, task_id)
+        call = self.core.ledger.task(framework.id, task_id)
         if call is not None:
             self.cancel(call)
             return
@@ -322,33 +274,33 @@
     def cancel(self, call: Call) -> None:
         """The owner wants no more of the task; with an attempt dispatched, the answer waits for its end."""
         core = self.core
-        if call.is_closed or call.is_abandoned:
+        if call.over or call.left:
             return
-        attempt = call.active_attempt()
-        call.is_abandoned = True
-        if call.is_requested:
-            core.dispatch(api.CallAbandoned(call.number))
+        attempt = call.out()
+        call.left = True
+        if call.told:
+            core.tell(api.CallAbandoned(call.number))
         if attempt is not None:
-            core.kill_attempt(attempt)
-        elif call.final_answer is None:
+            core.kill(attempt)
+        elif call.given is None:
             self._answer_cancelled(call)
 
     def _answer_cancelled(self, call: Call) -> None:
-        if call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT:
-            self.core.answer_call(call, FinalAnswer.FAILED, status_mapping.failure_answer())
+        if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
+            self.core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
         else:
             answer = StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS)
-            self.core.answer_call(call, FinalAnswer.REJECTED, answer)
+            self.core.answer(call, FinalAnswer.REFUSED, answer)
 
     # ---- updates ----
 
     def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
         """Reports a status of a call's task to its owner, if that is still known."""
-        self.core.publish(TaskStatusReported(call, answer, text))
-        framework = self.core.find_framework(call)
+        self.core.happened(TaskStatusReported(call, answer, text))
+        framework = self.core.framework_of(call)
         if framework is not None:
-            last = call.last_attempt()
-            is_placed = last is not None and call.final_answer is FinalAnswer.PLACED
+            last = call.last()
+            is_placed = last is not None and call.given is FinalAnswer.SERVED
             machine = last.machine if last is not None and is_placed else None
             self._send_status(framework, call.task_id, answer, machine=machine, text=text)
 
@@ -363,21 +315,17 @@
         is_acknowledged: bool = True,
     ) -> None:
         """Sends a status; it is stored and repeated until the framework acknowledges it, if it has to be."""
-        status = self.core.build_status(task_id, answer, machine, text, is_acknowledged)
+        status = self.core.status(task_id, answer, machine, text, is_acknowledged)
         self.core.frameworks.record_update(framework, status, self.core.now())
         self._send_update(framework, status)
 
     def _send_update(self, framework: Framework, status: m.TaskStatus) -> None:
-        self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
-
-    def _send(self, framework: Framework, event: m.SchedulerEvent) -> None:
-        if framework.session is not None:
-            framework.session.send(m.encode(event))
+        framework.send_event(m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
 
     def acknowledge(self, framework: Framework, uuid: str) -> None:
         """Handles an ACKNOWLEDGE of an update."""
         if not self.core.frameworks.acknowledge(framework, uuid):
-            self.core.counters.events["acknowledge unknown"] += 1
+            self.core.figures.events["acknowledge unknown"] += 1
 
     # ---- reconciliation ----
 
@@ -389,11 +337,11 @@
         machine = None
         if call is None:
             answer = status_mapping.reconciliation_answer(None)
-        elif call.final_answer is None:
+        elif call.given is None:
             answer = StatusAnswer(TaskState.STAGING, RetryAdvice.NEVER, StatusReason.RECONCILIATION)
         else:
-            last = call.last_attempt()
+            last = call.last()
             is_accepted = last is not None and last.step is AttemptStep.ACCEPTED
-            answer = status_mapping.reconciliation_answer(call.execution_status(), is_accepted=is_accepted)
-            machine = last.machine if last is not None and call.is_placed() else None
+            answer = status_mapping.reconciliation_answer(call.fate(), is_accepted=is_accepted)
+            machine = last.machine if last is not None and call.placed() else None
         self._send_status(framework, task_id, answer, machine=machine, is_acknowledged=False)
