--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -39,9 +39,9 @@
     hosts = [LiveHost(loop, name, LIFE_MS) for name in names]
     pipe.send({host.name: host.port for host in hosts})
     over = [False]
-    loop.poller.watch(pipe.fileno(), READ, lambda _: over.__setitem__(0, True))
+    loop.poller.register(pipe.fileno(), READ, lambda _: over.__setitem__(0, True))
     while not over[0]:
-        loop.round()
+        loop.run_once()
     warm = pipe.recv() + COLD_MS  # when they started, on the monotonic clock that processes share
     found = []
     for host in hosts:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -29,7 +29,7 @@
         if loop.now() > end:
             return False
         loop.call_in(50.0, lambda: None)
-        loop.round()
+        loop.run_once()
     return True
 
 
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -88,8 +88,8 @@
 
     def pop_due(self, now: float) -> list[int]:
         for timer in self.wheel.pop_due(now):
-            if timer.call is not None:
-                timer.call()
+            if timer.callback is not None:
+                timer.callback()
         found, self.found = self.found, []
         for key in found:
             del self.timers[key]
@@ -152,7 +152,7 @@
             if self.loop.now() > end:
                 raise TimeoutError(self.nodes.log(0).read_text()[-500:])
             self.loop.call_in(20.0, lambda: None)
-            self.loop.round()
+            self.loop.run_once()
 
     def wait(self, seconds: float) -> None:
         end = self.loop.now() + 1e3 * seconds
@@ -170,7 +170,7 @@
         line = msgspec.json.encode({"cursor": number, "nodes": nodes}) + b"\n"
         self.service.events.append(line)
         for stream in self.service.streams:
-            stream.put(line)
+            stream.try_send(line)
 
     def adopt(self, tasks: int) -> None:
         """So many stand, on the live hosts in turns."""
@@ -189,7 +189,7 @@
                     m.EXTRAS: extras,
                     m.DESCRIPTION: "d",
                 }
-                stream.put(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
+                stream.try_send(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
             while True:
                 yield from stream.read()
 
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -64,7 +64,7 @@
         self.loop, self.accepted, self.peers = Loop(), 0, peers
         self.open: set[Any] = set()
         self.sock = listen_on_loopback()
-        self.loop.poller.watch(self.sock.fileno(), READ, self._take, last=True)
+        self.loop.poller.register(self.sock.fileno(), READ, self._take, last=True)
         self.port = self.sock.getsockname()[1]
         self.entries = [entry(i, port=self.port) for i in range(hosts)]
         self.service = ChannelService(self.loop, self.entries)
@@ -114,7 +114,7 @@
 
         self.loop.call_in(0.0, tick)
         while not over[0] and self.loop.now() < limit:
-            self.loop.round()
+            self.loop.run_once()
         return over[0]
 
     def rest(self, seconds: float) -> float:
@@ -208,7 +208,7 @@
                 extras = f"cores:0.25;memory:0.5;service:service-{task % services};at:{name}".encode()
                 told = {m.CLASS: b"safe", m.WAIT: b"8000", m.NAME: b"%016x" % task, m.EXTRAS: extras,
                         m.DESCRIPTION: b"v" * 60}  # fmt: skip
-                stream.put(m.encode(m.SETUP, 1 + task, told))
+                stream.try_send(m.encode(m.SETUP, 1 + task, told))
             while (yield from stream.read()):
                 pass
 
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -113,7 +113,7 @@
                 attempt.step = AttemptStep.ACCEPTED if attempt.step is AttemptStep.OUT else attempt.step
                 self._late_yes(attempt, attempt.placed)
             return
-        framework, name = m.label(task.labels, "framework"), m.label(task.labels, "task")
+        framework, name = m.find_label(task.labels, "framework"), m.find_label(task.labels, "task")
         try:
             if framework is None or name is None:
                 raise TaskRequestError("labels framework and task are missing")
@@ -124,7 +124,7 @@
         before = core.ledger.task(framework, name)
         elsewhere = before is not None and (before.given is None or before.placed())
         effect = core.classes[ask.task_class].idempotency
-        call = Call(0, framework, name, task, ask, effect, m.label(task.labels, "tenant"), core.now())
+        call = Call(0, framework, name, task, ask, effect, m.find_label(task.labels, "tenant"), core.now())
         attempt = Attempt(call, 0, agent, task.task_id.value, core.now(), step=AttemptStep.ACCEPTED)
         if delivery_status.on_unknown(elsewhere) is delivery_status.LateAcceptance.KILL:
             core.kill(attempt)
@@ -153,13 +153,13 @@
     def update(self, executor_id: str, status: m.TaskStatus) -> None:
         """An UPDATE; acknowledged whatever it says, as its agent repeats it until then."""
         core, agent = self.core, self.heartbeat(executor_id)
-        payload = m.unpack(status.data) if status.data else None
+        payload = m.decode_payload(status.data) if status.data else None
         attempt = core.ledger.attempts.get(status.task_id.value)
         if status.uuid is not None:
             link: Any = core.members.session(agent)
             done = m.Acknowledged(status.task_id, status.uuid)
             link.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=done)))
-        told = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
+        told = status_mapping.read_status(status.state, status.reason, m.find_label(status.labels, "cause"))
         if attempt is None or told is None or attempt.machine != agent:
             core.figures.events["update unknown"] += 1
             return
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -265,7 +265,7 @@
             name=call.info.name,
             task_id=m.Value(attempt.id),
             agent_id=m.Value(attempt.machine),
-            resources=m.resources(call.ask.cores, call.ask.memory),
+            resources=m.build_resources(call.ask.cores, call.ask.memory),
             labels=m.Labels([m.Label(k, v) for k, v in labels.items() if v is not None]),
             data=call.info.data,
         )
@@ -359,7 +359,7 @@
         timeout = self.options.probe_timeout_ms
         timer = self.timing.call_in(timeout, lambda: self.probe_back(machine, number, None))
         self.probes.setdefault(machine, deque()).append((number, timer))
-        payload = m.pack(m.Payload("probe", probe=number))
+        payload = m.encode_payload(m.Payload("probe", probe=number))
         link.send(m.encode(m.ExecutorEvent("MESSAGE", message=m.Message(payload))))
 
     def probe_back(self, machine: str, number: int, report: api.LoadReport | None) -> None:
--- a/glencleat/allocator/endpoint_list.py
+++ b/glencleat/allocator/endpoint_list.py
@@ -41,7 +41,8 @@
     kind, cell = attribute(info, "kind"), attribute(info, "cell")
     domain = info.domain.fault_domain if info.domain is not None else None
     left = [
-        (m.scalar(agent.total_resources, name) or 0.0) - (m.scalar(agent.allocated_resources, name) or 0.0)
+        (m.sum_scalar(agent.total_resources, name) or 0.0)
+        - (m.sum_scalar(agent.allocated_resources, name) or 0.0)
         for name in ("cpus", "mem")
     ]
     return api.Machine(
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -92,7 +92,7 @@
             m.Value(framework.id),
             m.Value(core.options.pool),
             core.options.pool,
-            m.resources(cores, memory),
+            m.build_resources(cores, memory),
             [m.Attribute("zone", text=m.Text(core.settings.zone))],
         )
         rescinded = core.frameworks.offer(framework, offer_id, now)
@@ -206,7 +206,7 @@
 
     def _turn_away(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """An answer without a call: the module was never asked. Counted as taken and refused or failed."""
-        name = m.label(info.labels, "class") or "-"
+        name = m.find_label(info.labels, "class") or "-"
         name = name if name in self.core.classes else "-"
         given = FinalAnswer.FAILED if answer.retry is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
         self.core.figures.take(name)
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -11,7 +11,7 @@
 
 from glencleat import interface as api
 from glencleat.allocator.call_table import TaskRequest
-from glencleat.mesos.messages import TaskInfo, label, scalar
+from glencleat.mesos.messages import TaskInfo, find_label, sum_scalar
 
 TEXT_MOST = 256  # characters of an id, a service or a key
 
@@ -21,7 +21,7 @@
 
 
 def number(info: TaskInfo, key: str) -> float | None:
-    text = label(info.labels, key)
+    text = find_label(info.labels, key)
     if text is None:
         return None
     try:
@@ -34,14 +34,14 @@
 
 
 def amount(info: TaskInfo, name: str) -> float:
-    value = scalar(info.resources, name)
+    value = sum_scalar(info.resources, name)
     if value is None or not math.isfinite(value) or value < 0.0:
         raise TaskRequestError(f"resource {name} is {value}; expected a SCALAR of 0 or more")
     return value
 
 
 def text(info: TaskInfo, key: str, default: str) -> str:
-    value = label(info.labels, key) or default
+    value = find_label(info.labels, key) or default
     if len(value) > TEXT_MOST:
         raise TaskRequestError(f"label {key} has {len(value)} characters; expected at most {TEXT_MOST}")
     return value
@@ -53,7 +53,7 @@
     """The ask; raises BadAsk. `margin_ms` is kept back of the owner's time, for the answer's way to it."""
     if not info.task_id.value or len(info.task_id.value) > TEXT_MOST:
         raise TaskRequestError(f"task_id has {len(info.task_id.value)} characters; expected 1 to {TEXT_MOST}")
-    name = label(info.labels, "class") or default_class
+    name = find_label(info.labels, "class") or default_class
     if name is None or name not in classes:
         raise TaskRequestError(f"label class is {name!r}; expected one of {', '.join(classes)}")
     told = number(info, "time_left_ms")
@@ -70,6 +70,6 @@
         memory=amount(info, "mem"),
         left_ms=left - margin_ms,
         life_ms=number(info, "life_ms"),
-        again=label(info.labels, "again") == "true",
-        key_told=bool(label(info.labels, "key")),
+        again=find_label(info.labels, "again") == "true",
+        key_told=bool(find_label(info.labels, "key")),
     )
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -57,7 +57,7 @@
     from glencleat.daemon import Daemon
 
     config = read(conf)
-    log = logging.set_up(config.log.form, config.log.level, allocator=config.allocator.name)
+    log = logging.configure_logging(config.log.form, config.log.level, allocator=config.allocator.name)
     daemon = Daemon(config, log, conf)
     daemon.follow_signals()
     try:
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -194,7 +194,9 @@
         until = self.loop.now() + FLUSH_MS
 
         def look() -> None:
-            unsent = any(stream.out for server in self.servers.values() for stream in server.listener.open)
+            unsent = any(
+                stream.unsent for server in self.servers.values() for stream in server.listener.open_streams
+            )
             if unsent and self.loop.now() < until:
                 self.loop.call_in(20.0, look)
             else:
@@ -223,7 +225,10 @@
         self.core.frameworks.unacked_most = config.limit.unacknowledged
         for server in self.servers.values():
             server.limits = server_limits(config)
-            server.listener.most, server.listener.limit = config.limit.connections, server.limits.unsent
+            server.listener.max_connections, server.listener.unsent_limit_bytes = (
+                config.limit.connections,
+                server.limits.unsent,
+            )
         if self.plane is not None:
             self.plane.retune(rest_limits(config))
         self.log.info("configuration read again")
--- a/glencleat/emulators/channel.py
+++ b/glencleat/emulators/channel.py
@@ -58,7 +58,7 @@
 
     def _put(self, stream: Stream, data: bytes) -> None:
         self.sent += len(data)
-        stream.put(data)
+        stream.try_send(data)
 
     def _accepted(self, stream: Stream) -> None:
         self.loop.spawn(self._serve(stream), "list service")
--- a/glencleat/emulators/client.py
+++ b/glencleat/emulators/client.py
@@ -10,7 +10,7 @@
 
 from glencleat.event_loop import Loop, LoopTask, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
-from glencleat.mesos.http import ClientConnection, End, Head, HttpError
+from glencleat.mesos.http import ClientConnection, EndOfBody, HttpError, ResponseHead
 from glencleat.mesos.messages import MessageError
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
@@ -65,7 +65,7 @@
         while True:
             data = yield from self.stream.read()
             for event in self.http.feed(data):
-                if isinstance(event, Head):
+                if isinstance(event, ResponseHead):
                     status, self.headers = event.status, event.headers
                 elif isinstance(event, bytes):
                     if status == 200:
@@ -94,7 +94,7 @@
                 for event in self.http.feed(data):
                     if isinstance(event, bytes):
                         found += self.decoder.feed(event)
-                    elif isinstance(event, End):
+                    elif isinstance(event, EndOfBody):
                         return found
             except HttpError:
                 return found  # cut off in the middle of a chunk
@@ -159,7 +159,7 @@
         """One request and its Answer, or None where none came; `wrote` is called when its bytes are handed to
         the socket."""
         try:
-            if self.stream is None or self.stream.closed is not None:
+            if self.stream is None or self.stream.close_reason is not None:
                 self.http = ClientConnection()
                 self.stream = yield from connect(self.loop, self.address, CONNECT_MS)
             if self.closed:
@@ -170,11 +170,11 @@
             while True:
                 data = yield from self.stream.read()
                 for event in self.http.feed(data):
-                    if isinstance(event, Head):
+                    if isinstance(event, ResponseHead):
                         answer.status, answer.headers = event.status, event.headers
                     elif isinstance(event, bytes):
                         answer.body += event
-                    elif isinstance(event, End):
+                    elif isinstance(event, EndOfBody):
                         return answer
                 if data == b"":
                     raise StreamClosedError("the allocator closed the connection")
--- a/glencleat/emulators/directory.py
+++ b/glencleat/emulators/directory.py
@@ -37,13 +37,13 @@
             m.Attribute("kind", text=m.Text(self.kind)),
             m.Attribute("cell", "SCALAR", scalar=m.Scalar(self.cell)),
         ]
-        total = m.resources(self.cores, self.memory)
+        total = m.build_resources(self.cores, self.memory)
         info = m.AgentInfo(self.name, m.Value(self.name), total, attributes, domain)
         return m.Agent(
             info,
             registered_time=m.TimeInfo(int(self.up_wall_ms * 1e6)) if self.up_wall_ms else None,
             total_resources=total,
-            allocated_resources=m.resources(*self.asked),
+            allocated_resources=m.build_resources(*self.asked),
             drain_info=m.DrainInfo("DRAINING") if self.draining else None,
         )
 
@@ -94,7 +94,7 @@
     def listen(self, allocator: str, address: tuple[str, int] = ("127.0.0.1", 0)) -> tuple[str, int]:
         """An address of its own for each allocator, so that the record can say who was told."""
         listener = Listener(
-            self.loop, address, lambda stream: self._accept(stream, allocator), limit=16 << 20
+            self.loop, address, lambda stream: self._accept(stream, allocator), unsent_limit_bytes=16 << 20
         )
         self.listeners[allocator] = listener
         return listener.address
@@ -187,7 +187,7 @@
     def close(self) -> None:
         for listener in self.listeners.values():
             listener.close()
-            for stream in list(listener.open):
+            for stream in list(listener.open_streams):
                 stream.close("the directory ended")
 
     def fail(self) -> None:
--- a/glencleat/emulators/hosts.py
+++ b/glencleat/emulators/hosts.py
@@ -86,7 +86,7 @@
         elif event.type == "ACKNOWLEDGED" and event.acknowledged is not None:
             self.unacked.pop(event.acknowledged.uuid, None)
         elif event.type == "MESSAGE" and event.message is not None:
-            payload = m.unpack(event.message.data)
+            payload = m.decode_payload(event.message.data)
             if payload.kind == "probe" and not host.machine.faults.silent:
                 self.report(payload.probe)
 
@@ -108,7 +108,7 @@
             reason,
             timestamp=host.loop.clock.wall() / 1000.0,
             uuid=token,
-            data=m.pack(host.load()),
+            data=m.encode_payload(host.load()),
             labels=m.Labels([m.Label("cause", cause)]) if cause is not None else None,
         )
         self.unacked[token] = status
@@ -127,7 +127,7 @@
                 attempt=status.task_id.value,
                 state=status.state,
                 reason=status.reason or "",
-                text=m.label(status.labels, "cause") or "",
+                text=m.find_label(status.labels, "cause") or "",
             )
 
     def report(self, probe: int | None) -> None:
@@ -138,7 +138,7 @@
             for h in self.host.machine.held.values()
             if h.running and h.allocator == self.allocator
         ]
-        self.post(self._call("MESSAGE", message=m.Message(m.pack(payload))))
+        self.post(self._call("MESSAGE", message=m.Message(m.encode_payload(payload))))
 
     def beat(self) -> None:
         self.post(self._call("HEARTBEAT"))
@@ -265,8 +265,8 @@
                 labels.get("key", ""),
                 labels.get("effect", ""),
                 int(labels.get("priority", "0")),
-                m.scalar(info.resources, "cpus") or 0.0,
-                m.scalar(info.resources, "mem") or 0.0,
+                m.sum_scalar(info.resources, "cpus") or 0.0,
+                m.sum_scalar(info.resources, "mem") or 0.0,
                 float(life) if life else None,
                 self.loop.now(),
                 within,
--- a/glencleat/emulators/owners.py
+++ b/glencleat/emulators/owners.py
@@ -162,7 +162,7 @@
         info = m.TaskInfo(
             job.service,
             m.Value(job.id),
-            resources=m.resources(job.cores, job.memory),
+            resources=m.build_resources(job.cores, job.memory),
             labels=m.Labels([m.Label(k, v) for k, v in labels.items()]),
         )
         operation = m.Operation("LAUNCH", m.Launch([info]))
@@ -231,7 +231,7 @@
     # ---- answers ----
 
     def _update(self, status: m.TaskStatus) -> None:
-        job, retry = self.jobs.get(status.task_id.value), m.label(status.labels, "retry") or ""
+        job, retry = self.jobs.get(status.task_id.value), m.find_label(status.labels, "retry") or ""
         self.recorder.add(
             "answer",
             who=self.name,
--- a/glencleat/emulators/platform_peers.py
+++ b/glencleat/emulators/platform_peers.py
@@ -57,7 +57,7 @@
                     if message.kind == m.SETUP:
                         self._take(stream, message.task)
                     elif message.kind == m.TEST:
-                        stream.put(m.caused(m.TESTED, message.task, 1))
+                        stream.try_send(m.caused(m.TESTED, message.task, 1))
         except (StreamClosedError, m.PeerError):
             pass
         finally:
@@ -73,7 +73,7 @@
 
     @staticmethod
     def _say(stream: Stream, data: bytes) -> None:
-        stream.put(data)  # on its own link or not at all: a stand-in owes nobody
+        stream.try_send(data)  # on its own link or not at all: a stand-in owes nobody
 
     def end(self) -> None:
         self.listener.close()
@@ -119,7 +119,7 @@
             self.waits.append((at, self.loop.now() - at))
             self.ends["placed"] += 1
         elif message.kind == m.RELEASE:
-            stream.put(m.encode(m.RELEASE_HEARD, message.task))
+            stream.try_send(m.encode(m.RELEASE_HEARD, message.task))
             turned = self.asked.pop(message.task, None) is not None
             self.ends["turned away" if turned else "ended"] += 1
 
@@ -132,7 +132,7 @@
             extras = f"cores:0.1;memory:0.1;service:s{self.random.randrange(20)}"
             told = {m.CLASS: "safe", m.WAIT: f"{WAIT_MS:.0f}", m.NAME: f"t{self.number}", m.EXTRAS: extras}
             raw = {code: text.encode() for code, text in told.items()}
-            if self.stream.put(m.encode(m.SETUP, self.number, {**raw, m.DESCRIPTION: b"d"})):
+            if self.stream.try_send(m.encode(m.SETUP, self.number, {**raw, m.DESCRIPTION: b"d"})):
                 self.asked[self.number] = self.loop.now()
                 self.ends["asked"] += 1
 
--- a/glencleat/emulators/play.py
+++ b/glencleat/emulators/play.py
@@ -90,13 +90,13 @@
 
                 def disarm() -> None:
                     timer.cancel()
-                    self.loop.poller.forget(fd)
+                    self.loop.poller.unregister(fd)
 
                 def told(events: int) -> None:
                     disarm()
                     self.loop.wake(task, events)
 
-                self.loop.poller.watch(fd, READ, told)
+                self.loop.poller.register(fd, READ, told)
                 return disarm
 
             mask = yield arm
--- a/glencleat/emulators/proxy.py
+++ b/glencleat/emulators/proxy.py
@@ -27,7 +27,7 @@
 
 def reset(stream: Stream, why: str) -> None:
     """Closes it as a machine that went: by a reset, with nothing more said."""
-    if stream.closed is None:
+    if stream.close_reason is None:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         stream.close(why)
 
@@ -66,7 +66,7 @@
             while data := (yield from source.read(PIECE)):
                 self.relay.tell("piece", self.number, way, len(data))
                 self._pass(way, flow, bytes(data))
-                while self.held[way] > HELD and source.closed is None:
+                while self.held[way] > HELD and source.close_reason is None:
                     yield from self.loop.sleep(10.0)
             self._later(flow, 0, lambda: self._ended(sink))
         except StreamClosedError:
@@ -79,7 +79,7 @@
 
         def arrive() -> None:
             self.held[way] -= len(data)
-            sink.put(data)
+            sink.try_send(data)
 
         self._later(flow, len(data), arrive)
 
@@ -91,9 +91,9 @@
 
     def _ended(self, sink: Stream) -> None:
         """One side has said its last; the other may go on."""
-        if sink.closed is None:
-            sink.shut()
-        if all(stream.closed is not None or not stream.out for stream, _ in self.sides.values()):
+        if sink.close_reason is None:
+            sink.shutdown_write()
+        if all(stream.close_reason is not None or not stream.unsent for stream, _ in self.sides.values()):
             self.relay.tell("ended", self.number)
 
     def end(self, as_reset: bool = False) -> None:
@@ -186,7 +186,7 @@
             stream.on_close.append(lambda _: self._over(pair))
 
     def _over(self, pair: Pair) -> None:
-        if all(stream.closed is not None for stream, _ in pair.sides.values()):
+        if all(stream.close_reason is not None for stream, _ in pair.sides.values()):
             self.pairs.pop(pair.number, None)
 
     def _swallow(self, number: int, near: Stream) -> Coroutine:
@@ -219,7 +219,7 @@
         self.senders: dict[tuple[str, int], tuple[int, socket.socket]] = {}
         self.sock = self._socket(self.address)
         self.address = self.sock.getsockname()
-        self.loop.poller.watch(self.sock.fileno(), READ, lambda _: self._there())
+        self.loop.poller.register(self.sock.fileno(), READ, lambda _: self._there())
 
     @staticmethod
     def _socket(address: tuple[str, int] = ("127.0.0.1", 0)) -> socket.socket:
@@ -242,7 +242,7 @@
     def _new(self, sender: tuple[str, int]) -> tuple[int, socket.socket]:
         number, out = found = len(self.senders) + 1, self._socket()
         self.senders[sender] = found
-        self.loop.poller.watch(out.fileno(), READ, lambda _: self._back(number, sender, out))
+        self.loop.poller.register(out.fileno(), READ, lambda _: self._back(number, sender, out))
         return found
 
     def _back(self, number: int, sender: tuple[str, int], out: socket.socket) -> None:
@@ -269,5 +269,5 @@
 
     def close(self) -> None:
         for sock in (self.sock, *(out for _, out in self.senders.values())):
-            self.loop.poller.forget(sock.fileno())
+            self.loop.poller.unregister(sock.fileno())
             sock.close()
--- a/glencleat/event_loop/__init__.py
+++ b/glencleat/event_loop/__init__.py
@@ -2,7 +2,15 @@
 
 It imports nothing of glencleat. Clock and sockets come in from outside (`Loop(clock, poller)`)."""
 
-from glencleat.event_loop.loop import CancelledError, Clock, Loop, LoopTask, Pause, Poller, SystemClock
+from glencleat.event_loop.loop import (
+    CancelledError,
+    Clock,
+    InterruptibleSleep,
+    Loop,
+    LoopTask,
+    Poller,
+    SystemClock,
+)
 from glencleat.event_loop.signals import Signals
 from glencleat.event_loop.streams import (
     ConnectError,
@@ -21,7 +29,7 @@
     "Listener",
     "Loop",
     "StreamOverflowError",
-    "Pause",
+    "InterruptibleSleep",
     "Poller",
     "Signals",
     "Stream",
--- a/glencleat/event_loop/signals.py
+++ b/glencleat/event_loop/signals.py
@@ -34,4 +34,4 @@
                 if number in calls:
                     calls[number]()
 
-        loop.poller.watch(self.reader, READ, told)
+        loop.poller.register(self.reader, READ, told)
--- a/glencleat/event_loop/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -16,10 +16,12 @@
 
 from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, LoopTask
 
-CHUNK = 65_536
-AT_ONCE = 4  # reads of one stream that need no wait before others have their turn
-PAUSE_MS = 50.0  # before a listener without any descriptor looks again
-TIMESTAMP = 35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
+READ_BYTES = 65_536
+IMMEDIATE_READS_MAX = 4  # reads of one stream that need no wait before others have their turn
+ACCEPT_PAUSE_MS = 50.0  # before a listener without any descriptor looks again
+SO_TIMESTAMPNS = (
+    35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
+)
 TIMESPEC = struct.Struct("qq")
 
 
@@ -42,89 +44,93 @@
 class Stream:
     """One connection. `queued` and `written` count bytes since its start, so that what left is known."""
 
-    def __init__(self, loop: Loop, sock: Any, limit: int = 1 << 20) -> None:
+    def __init__(self, loop: Loop, sock: Any, unsent_limit_bytes: int = 1 << 20) -> None:
         sock.setblocking(False)
-        self.loop, self.sock, self.limit, self.fd = loop, sock, limit, sock.fileno()
-        self.out = bytearray()
-        self.queued = self.written = 0
-        self.closed: str | None = None
+        self.loop, self.sock, self.unsent_limit_bytes, self.fd = loop, sock, unsent_limit_bytes, sock.fileno()
+        self.unsent = bytearray()
+        self.queued_bytes = self.written_bytes = 0
+        self.close_reason: str | None = None
         self.on_close: list[Callable[[str], None]] = []
         self.reader: LoopTask | None = None
         self.flusher: LoopTask | None = None
         self.interest = 0
-        self.readable = False
-        self.at_once = 0  # reads in a row that needed no wait
-        self.stamped = False
-        self.arrived: float | None = None  # when the system took the last bytes read, Unix milliseconds
-        loop.poller.watch(self.fd, 0, self._told)
-
-    def _want(self, interest: int) -> None:
-        if interest != self.interest and self.closed is None:
+        self.is_readable = False
+        self.immediate_reads = 0  # reads in a row that needed no wait
+        self.has_timestamps = False
+        self.received_at_ms: float | None = (
+            None  # when the system took the last bytes read, Unix milliseconds
+        )
+        loop.poller.register(self.fd, 0, self._on_event)
+
+    def _set_interest(self, interest: int) -> None:
+        if interest != self.interest and self.close_reason is None:
             self.interest = interest
-            self.loop.poller.change(self.fd, interest)
+            self.loop.poller.modify(self.fd, interest)
 
-    def _told(self, mask: int) -> None:
-        if mask & WRITE and self.out:
+    def _on_event(self, mask: int) -> None:
+        if mask & WRITE and self.unsent:
             self._write()
-        if self.closed is None and mask & ~WRITE:
-            self.readable = True
+        if self.close_reason is None and mask & ~WRITE:
+            self.is_readable = True
             if self.reader is not None:
-                self.nudge()
+                self.wake_reader()
             elif mask & ~(READ | WRITE):  # hang-up or error, and nobody reads
                 self.close("connection lost")
             else:
-                self._want(self.interest & ~READ)  # or a level-triggered loop spins until somebody reads
+                self._set_interest(
+                    self.interest & ~READ
+                )  # or a level-triggered loop spins until somebody reads
 
-    def read(self, size: int = CHUNK) -> Coroutine:
+    def read(self, size: int = READ_BYTES) -> Coroutine:
         """The next bytes, b"" at the peer's end; raises StreamClosed once it is closed."""
         while True:
-            yield from self.wait()
-            data = self.take(size)
+            yield from self.wait_readable()
+            data = self.read_available(size)
             if data is not None:
                 return data
 
-    def wait(self) -> Coroutine:
+    def wait_readable(self) -> Coroutine:
         """Until there may be something to read, or `nudge`; raises StreamClosed once it is closed.
 
         One who sends faster than we read is read in turns, or its reader would keep the loop to itself."""
-        if self.closed is None and not self.readable:
-            self.at_once = 0
+        if self.close_reason is None and not self.is_readable:
+            self.immediate_reads = 0
             yield self._arm_read
         else:
-            self.at_once += 1
-            if self.at_once % AT_ONCE == 0:
+            self.immediate_reads += 1
+            if self.immediate_reads % IMMEDIATE_READS_MAX == 0:
                 yield from self.loop.sleep(0.0)
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
 
-    def take(self, size: int = CHUNK) -> bytes | None:
+    def read_available(self, size: int = READ_BYTES) -> bytes | None:
         """What has come by this instant, whether the poller told of it or not.
 
         b"" at the peer's end, None if there is nothing; raises StreamClosed once it is closed."""
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
         try:
-            data: bytes = self._recv_stamped(size) if self.stamped else self.sock.recv(size)
+            data: bytes = self._recv_stamped(size) if self.has_timestamps else self.sock.recv(size)
         except (BlockingIOError, InterruptedError):
-            self._emptied()
+            self._await_readable()
             return None
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
-            raise StreamClosedError(self.closed or "") from None
+            raise StreamClosedError(self.close_reason or "") from None
         if len(data) < size:
-            self._emptied()
+            self._await_readable()
         else:
-            self.readable = True
+            self.is_readable = True
         return data
 
-    def _emptied(self) -> None:
+    def _await_readable(self) -> None:
         """The poller tells of more, also while the reader has its turn: until then there is nothing."""
-        self.readable = False
-        self._want(self.interest | READ)
+        self.is_readable = False
+        self._set_interest(self.interest | READ)
 
-    def hung_up(self) -> bool:
+    def has_hung_up(self) -> bool:
         """Whether the peer has closed by this instant, also where what it sent before lies unread."""
-        if self.closed is not None:
+        if self.close_reason is not None:
             return True
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
@@ -137,29 +143,29 @@
         poll.register(self.fd, select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def nudge(self) -> None:
+    def wake_reader(self) -> None:
         """Wakes who waits to read: what it waits for was taken in another way."""
         if self.reader is not None:
             reader, self.reader = self.reader, None
             self.loop.wake(reader)
 
-    def stamp(self) -> None:
+    def enable_timestamps(self) -> None:
         """From now on `arrived` tells how long bytes waited for us; it stays None where the system can't."""
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, TIMESTAMP, 1)
-            self.stamped = True
+            self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
+            self.has_timestamps = True
 
     def _recv_stamped(self, size: int) -> bytes:
         data, told, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
         for level, kind, raw in told:
-            if level == socket.SOL_SOCKET and kind == TIMESTAMP and len(raw) == TIMESPEC.size:
+            if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) == TIMESPEC.size:
                 seconds, nanoseconds = TIMESPEC.unpack(raw)
-                self.arrived = seconds * 1e3 + nanoseconds / 1e6
+                self.received_at_ms = seconds * 1e3 + nanoseconds / 1e6
         return bytes(data)
 
     def _arm_read(self, task: LoopTask) -> Callable[[], None]:
         self.reader = task
-        self._want(self.interest | READ)
+        self._set_interest(self.interest | READ)
 
         def disarm() -> None:
             self.reader = None
@@ -170,44 +176,44 @@
         """Queues bytes and writes what the socket takes; gives the position of their end.
 
         Raises StreamClosed, or Overflow when the peer reads too slowly (the stream is then closed)."""
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
-        self.queued += len(data)
-        waiting = bool(self.out)
-        self.out += data
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
+        self.queued_bytes += len(data)
+        waiting = bool(self.unsent)
+        self.unsent += data
         if not waiting:
             self._write()
-        if len(self.out) > self.limit:
-            self.close(f"slow reader: {len(self.out)} bytes unsent")
-            raise StreamOverflowError(self.closed or "")
-        return self.queued
+        if len(self.unsent) > self.unsent_limit_bytes:
+            self.close(f"slow reader: {len(self.unsent)} bytes unsent")
+            raise StreamOverflowError(self.close_reason or "")
+        return self.queued_bytes
 
-    def put(self, data: bytes) -> bool:
+    def try_send(self, data: bytes) -> bool:
         """`send` for who need not know why: False if the stream is closed, or was by this."""
         try:
             self.send(data)
         except StreamClosedError:
             return False
-        return self.closed is None
+        return self.close_reason is None
 
     def _write(self) -> None:
         try:
-            sent = self.sock.send(self.out)
+            sent = self.sock.send(self.unsent)
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
             return
-        self.written += sent
-        del self.out[:sent]
-        self._want(self.interest | WRITE if self.out else self.interest & ~WRITE)
-        if not self.out and self.flusher is not None:
+        self.written_bytes += sent
+        del self.unsent[:sent]
+        self._set_interest(self.interest | WRITE if self.unsent else self.interest & ~WRITE)
+        if not self.unsent and self.flusher is not None:
             flusher, self.flusher = self.flusher, None
             self.loop.wake(flusher)
 
     def flush(self) -> Coroutine:
         """Waits until all that is queued has been handed to the socket, or the stream is closed."""
-        while self.out and self.closed is None:
+        while self.unsent and self.close_reason is None:
 
             def arm(task: LoopTask) -> Callable[[], None]:
                 self.flusher = task
@@ -219,16 +225,16 @@
 
             yield arm
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """No more is written; what was written arrives, and the peer's bytes can still be read."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, why: str = "closed") -> None:
-        if self.closed is not None:
+        if self.close_reason is not None:
             return
-        self.closed = why
-        self.loop.poller.forget(self.fd)
+        self.close_reason = why
+        self.loop.poller.unregister(self.fd)
         with contextlib.suppress(OSError):
             self.sock.close()
         for task in (self.reader, self.flusher):
@@ -240,7 +246,9 @@
             call(why)
 
 
-def connect(loop: Loop, address: tuple[str, int], timeout_ms: float, limit: int = 1 << 20) -> Coroutine:
+def connect(
+    loop: Loop, address: tuple[str, int], timeout_ms: float, unsent_limit_bytes: int = 1 << 20
+) -> Coroutine:
     """A Stream to the address; raises ConnectFailed when it can't be made in time."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -262,9 +270,9 @@
 
         def disarm() -> None:
             timer.cancel()
-            loop.poller.forget(sock.fileno())
+            loop.poller.unregister(sock.fileno())
 
-        loop.poller.watch(sock.fileno(), WRITE, told)
+        loop.poller.register(sock.fileno(), WRITE, told)
         return disarm
 
     try:
@@ -276,7 +284,7 @@
     if code:
         sock.close()
         raise ConnectError(address, code)
-    return Stream(loop, sock, limit)
+    return Stream(loop, sock, unsent_limit_bytes)
 
 
 class Listener:
@@ -289,14 +297,20 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        accept: Callable[[Stream], None],
-        most: int = 10_000,
-        limit: int = 1 << 20,
-        dropped: Callable[[str], None] = lambda why: None,
+        on_connection: Callable[[Stream], None],
+        max_connections: int = 10_000,
+        unsent_limit_bytes: int = 1 << 20,
+        on_dropped: Callable[[str], None] = lambda why: None,
         make_room: Callable[[], bool] = lambda: False,
         backlog: int = 1_024,
     ) -> None:
-        self.loop, self.accept, self.most, self.limit, self.dropped = loop, accept, most, limit, dropped
+        self.loop, self.on_connection, self.max_connections, self.unsent_limit_bytes, self.on_dropped = (
+            loop,
+            on_connection,
+            max_connections,
+            unsent_limit_bytes,
+            on_dropped,
+        )
         self.make_room = make_room  # asked from `most` on: may a newcomer come in? Closes another for it
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -308,14 +322,14 @@
         self.sock.listen(backlog)
         self.sock.setblocking(False)
         self.address: tuple[str, int] = self.sock.getsockname()
-        self.open: set[Stream] = set()
-        self.spare: int | None = os.open(os.devnull, os.O_RDONLY)
-        loop.poller.watch(self.sock.fileno(), READ, self._told, last=True)
+        self.open_streams: set[Stream] = set()
+        self.spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
+        loop.poller.register(self.sock.fileno(), READ, self._on_event, last=True)
 
-    def _told(self, _: int) -> None:
-        self.take()
+    def _on_event(self, _: int) -> None:
+        self.accept_pending()
 
-    def take(self, most: int = 64) -> int:
+    def accept_pending(self, most: int = 64) -> int:
         """Accepts what waits, a bounded share of one round; gives how many were there."""
         for count in range(most):
             try:
@@ -331,45 +345,45 @@
                     self._pause()
                     return count
                 continue
-            self._accepted(sock)
+            self._admit(sock)
         return most
 
-    def _accepted(self, sock: socket.socket) -> None:
-        if len(self.open) >= self.most and not self.make_room():
+    def _admit(self, sock: socket.socket) -> None:
+        if len(self.open_streams) >= self.max_connections and not self.make_room():
             sock.close()
-            self.dropped(f"{self.most} connections are open")
+            self.on_dropped(f"{self.max_connections} connections are open")
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = Stream(self.loop, sock, self.limit)
-        self.open.add(stream)
-        stream.on_close.append(lambda _: self.open.discard(stream))
-        self.accept(stream)
+        stream = Stream(self.loop, sock, self.unsent_limit_bytes)
+        self.open_streams.add(stream)
+        stream.on_close.append(lambda _: self.open_streams.discard(stream))
+        self.on_connection(stream)
 
     def _shed(self) -> bool:
-        self.dropped("out of file descriptors")
-        if self.spare is not None:
-            os.close(self.spare)
-            self.spare = None
+        self.on_dropped("out of file descriptors")
+        if self.spare_fd is not None:
+            os.close(self.spare_fd)
+            self.spare_fd = None
             with contextlib.suppress(OSError):
                 self.sock.accept()[0].close()
         with contextlib.suppress(OSError):
-            self.spare = os.open(os.devnull, os.O_RDONLY)
-        return self.spare is not None
+            self.spare_fd = os.open(os.devnull, os.O_RDONLY)
+        return self.spare_fd is not None
 
     def _pause(self) -> None:
         """Nothing can be taken or shed: the queue stays full, and would wake the loop without end."""
         fd = self.sock.fileno()
-        self.loop.poller.change(fd, 0)
-        self.loop.call_in(PAUSE_MS, lambda: self._resume(fd))
+        self.loop.poller.modify(fd, 0)
+        self.loop.call_in(ACCEPT_PAUSE_MS, lambda: self._resume(fd))
 
     def _resume(self, fd: int) -> None:
         if self.sock.fileno() == fd:
-            self.loop.poller.change(fd, READ)
+            self.loop.poller.modify(fd, READ)
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:
-            self.loop.poller.forget(self.sock.fileno())
+            self.loop.poller.unregister(self.sock.fileno())
             self.sock.close()
-        if self.spare is not None:
-            os.close(self.spare)
-            self.spare = None
+        if self.spare_fd is not None:
+            os.close(self.spare_fd)
+            self.spare_fd = None
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -29,43 +29,45 @@
     ccc
     """
 
-    def __init__(self, order: Callable[[K], Any]) -> None:
-        self.order = order
+    def __init__(self, sort_key: Callable[[K], Any]) -> None:
+        self.sort_key = sort_key
         self.dirty: set[K] = set()
-        self.due: DueQueue[K] = DueQueue()
+        self.due_queue: DueQueue[K] = DueQueue()
         self.heap: list[tuple[Any, K]] = []  # of the turns that are being taken
-        self.place: Any = None  # where they have come to
-        self.taken = 0  # turns, in all
+        self.position: Any = None  # where they have come to
+        self.taken_total = 0  # turns, in all
 
     def mark(self, key: K) -> None:
         """Something has happened on it."""
         if key in self.dirty:
             return
         self.dirty.add(key)
-        if self.place is not None and self.order(key) > self.place:
-            heapq.heappush(self.heap, (self.order(key), key))
+        if self.position is not None and self.sort_key(key) > self.position:
+            heapq.heappush(self.heap, (self.sort_key(key), key))
 
-    def put(self, key: K, due: float) -> None:
+    def schedule(self, key: K, due: float) -> None:
         """It has its turn then, unless something happens on it before. `inf`: not by itself."""
         if due < float("inf"):
-            self.due.put(key, due)
+            self.due_queue.put(key, due)
         else:
-            self.due.discard(key)
+            self.due_queue.discard(key)
 
-    def gather(self, now: float) -> set[K]:
+    def collect_pending(self, now: float) -> set[K]:
         """All that have a turn now."""
-        self.dirty.update(self.due.pop_due(now))
+        self.dirty.update(self.due_queue.pop_due(now))
         return self.dirty
 
-    def take(self, now: float) -> Iterator[K]:
+    def take_pending(self, now: float) -> Iterator[K]:
         """Each that has a turn now; of what happens on one within its own turn its taker knows."""
-        self.heap = [(self.order(key), key) for key in self.gather(now)]
+        self.heap = [(self.sort_key(key), key) for key in self.collect_pending(now)]
         heapq.heapify(self.heap)
         try:
             while self.heap:
-                self.place, key = heapq.heappop(self.heap)
-                self.taken += 1
+                self.position, key = heapq.heappop(self.heap)
+                self.taken_total += 1
                 yield key
                 self.dirty.discard(key)
         finally:
-            self.place = None  # also where a turn raised: it and those after it come again in the next tick
+            self.position = (
+                None  # also where a turn raised: it and those after it come again in the next tick
+            )
--- a/glencleat/index/rendezvous.py
+++ b/glencleat/index/rendezvous.py
@@ -17,11 +17,14 @@
 from itertools import compress, islice
 from typing import ClassVar, Generic, Protocol, TypeVar, overload
 
-CHANGES = 512  # changes remembered
+MAX_CHANGES = 512  # changes remembered
 # Measured by benchmarks/order_index.py:
-SCANNED, SORTED = 64, 10  # members asked whether they stay, members sorted, in the time of one put in or out
-SHORT = 1 << 16  # slots that 2 bytes can tell
-SPARE = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
+SCANS_PER_INSERT, SORTS_PER_INSERT = (
+    64,
+    10,
+)  # members asked whether they stay, members sorted, in the time of one put in or out
+SHORT_SLOT_LIMIT = 1 << 16  # slots that 2 bytes can tell
+SPARE_SLOTS = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
 
 
 class RendezvousMember(Protocol):
@@ -34,51 +37,51 @@
 T = TypeVar("T", bound=RendezvousMember)
 
 
-def hashed(text: str) -> int:
+def hash_name(text: str) -> int:
     """A hash of 64 bits that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def mixed(value: int) -> int:
+def mix_hash(value: int) -> int:
     """Spreads the bits of two hashes joined by exclusive or; cheaper than hashing each pair of names."""
     value = (value ^ value >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     return (value ^ value >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     """Members by number, and their hashes. A name that is away keeps its number, as its place is the same."""
 
     def __init__(self) -> None:
-        self.numbers: dict[str, int] = {}  # by name
-        self.items: list[T] = []
+        self.slot_by_name: dict[str, int] = {}  # by name
+        self.members: list[T] = []
         self.hashes = array("Q")
-        self.there = bytearray()
+        self.is_present = bytearray()
 
-    def number(self, item: T) -> int:
+    def assign_slot(self, item: T) -> int:
         """Its number, a new one where its name has none."""
-        found = self.numbers.setdefault(item.name, len(self.items))
-        if found == len(self.items):
-            self.items.append(item)
+        found = self.slot_by_name.setdefault(item.name, len(self.members))
+        if found == len(self.members):
+            self.members.append(item)
             self.hashes.append(item.hash)
-            self.there.append(False)
-        self.items[found] = item
+            self.is_present.append(False)
+        self.members[found] = item
         return found
 
 
 class RendezvousOrder(Generic[T]):
     """The members in one key's order, as of the version at which it was last asked for."""
 
-    __slots__ = ("numbers", "seed", "slots", "version")
+    __slots__ = ("slots", "seed", "slot_table", "version")
 
-    def __init__(self, seed: int, slots: Slots[T]) -> None:
-        self.seed, self.version, self.slots = seed, -1, slots
-        self.numbers = array("H" if len(slots.items) <= SHORT else "I")
+    def __init__(self, seed: int, slots: SlotTable[T]) -> None:
+        self.seed, self.version, self.slot_table = seed, -1, slots
+        self.slots = array("H" if len(slots.members) <= SHORT_SLOT_LIMIT else "I")
 
     def __len__(self) -> int:
-        return len(self.numbers)
+        return len(self.slots)
 
     def __iter__(self) -> Iterator[T]:
-        return map(self.slots.items.__getitem__, self.numbers)
+        return map(self.slot_table.members.__getitem__, self.slots)
 
     @overload
     def __getitem__(self, at: int) -> T: ...
@@ -86,43 +89,43 @@
     def __getitem__(self, at: slice) -> list[T]: ...
     def __getitem__(self, at: int | slice) -> T | list[T]:
         if isinstance(at, slice):
-            return [self.slots.items[number] for number in self.numbers[at]]
-        return self.slots.items[self.numbers[at]]
+            return [self.slot_table.members[number] for number in self.slots[at]]
+        return self.slot_table.members[self.slots[at]]
 
-    def key(self, number: int) -> tuple[int, str]:
-        return mixed(self.seed ^ self.slots.hashes[number]), self.slots.items[number].name
+    def sort_key(self, number: int) -> tuple[int, str]:
+        return mix_hash(self.seed ^ self.slot_table.hashes[number]), self.slot_table.members[number].name
 
-    def key_of(self, item: T) -> tuple[int, str]:
-        return mixed(self.seed ^ item.hash), item.name
+    def member_sort_key(self, item: T) -> tuple[int, str]:
+        return mix_hash(self.seed ^ item.hash), item.name
 
     def insert(self, number: int) -> None:
         """To its place, by O(log members) hashes; nothing else is touched but what lies behind it."""
-        self.numbers.insert(bisect_left(self.numbers, self.key(number), key=self.key), number)
+        self.slots.insert(bisect_left(self.slots, self.sort_key(number), key=self.sort_key), number)
 
     def remove(self, gone: Collection[int]) -> None:
         for number in gone:
-            del self.numbers[bisect_left(self.numbers, self.key(number), key=self.key)]
+            del self.slots[bisect_left(self.slots, self.sort_key(number), key=self.sort_key)]
 
-    def keep(self) -> None:
+    def remove_absent(self) -> None:
         """Only those who are there stay."""
-        stay = map(self.slots.there.__getitem__, self.numbers)
-        self.numbers = array(self.numbers.typecode, compress(self.numbers, stay))
+        stay = map(self.slot_table.is_present.__getitem__, self.slots)
+        self.slots = array(self.slots.typecode, compress(self.slots, stay))
 
     def sort(self) -> None:
-        numbers = list(compress(range(len(self.slots.there)), self.slots.there))
-        seed, hashes = self.seed, self.slots.hashes
-        by_weight = {mixed(seed ^ hashes[number]): number for number in numbers}
+        numbers = list(compress(range(len(self.slot_table.is_present)), self.slot_table.is_present))
+        seed, hashes = self.seed, self.slot_table.hashes
+        by_weight = {mix_hash(seed ^ hashes[number]): number for number in numbers}
         if len(by_weight) == len(numbers):
             numbers = [by_weight[weight] for weight in sorted(by_weight)]
         else:  # two names of one hash
-            numbers.sort(key=self.key)
-        self.numbers = array(self.numbers.typecode, numbers)
+            numbers.sort(key=self.sort_key)
+        self.slots = array(self.slots.typecode, numbers)
 
-    def without(self, skipped: Iterable[T]) -> Without[T]:
-        return Without(self, skipped)
+    def without(self, skipped: Iterable[T]) -> FilteredOrder[T]:
+        return FilteredOrder(self, skipped)
 
 
-class Without(Generic[T]):
+class FilteredOrder(Generic[T]):
     """An order with some of its members (each named once) left out, by position: nothing is copied."""
 
     __slots__ = ("keys", "order", "skipped")
@@ -134,9 +137,9 @@
         """The least x with x = at + (those left out up to x), by steps from below."""
         order, place = self.order, at
         if not self.keys:
-            self.keys = sorted(map(order.key_of, self.skipped))
+            self.keys = sorted(map(order.member_sort_key, self.skipped))
         if self.keys:
-            while (further := at + bisect_right(self.keys, order.key(order.numbers[place]))) != place:
+            while (further := at + bisect_right(self.keys, order.sort_key(order.slots[place]))) != place:
                 place = further
         return order[place]
 
@@ -144,66 +147,72 @@
 class RendezvousIndex(Generic[T]):
     """The set, its latest changes, and the orders asked for: the longest unused go when `most` is passed."""
 
-    checked: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
+    is_checked: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
 
-    def __init__(self, most: int, keys: int) -> None:
+    def __init__(self, max_references: int, max_orders: int) -> None:
         """`most`: members in all orders together (2 bytes each, 4 beyond 65,536 names); `keys`: orders."""
-        self.most, self.most_keys = most, keys
-        self.items: dict[T, None] = {}
-        self.slots = Slots[T]()
-        self.version, self.held = 0, 0
-        self.changes: deque[tuple[int, bool]] = deque(maxlen=CHANGES)
+        self.max_references, self.max_orders = max_references, max_orders
+        self.members: dict[T, None] = {}
+        self.slot_table = SlotTable[T]()
+        self.version, self.reference_count = 0, 0
+        self.changes: deque[tuple[int, bool]] = deque(maxlen=MAX_CHANGES)
         self.orders: dict[str, RendezvousOrder[T]] = {}
 
     def __contains__(self, item: T) -> bool:
-        return item in self.items
+        return item in self.members
 
     def __len__(self) -> int:
-        return len(self.items)
+        return len(self.members)
 
     def put(self, item: T, there: bool) -> None:
         """Takes it in or out; O(1), also where that is how it stands already."""
-        if there is (item in self.items):
+        if there is (item in self.members):
             return
         if there:
-            self.items[item] = None
+            self.members[item] = None
         else:
-            del self.items[item]
-        if there and item.name not in self.slots.numbers:
+            del self.members[item]
+        if there and item.name not in self.slot_table.slot_by_name:
             self._number_anew_if_due()
-        number = self.slots.number(item)
-        if self.slots.there[number] != there:
-            self.slots.there[number] = there
+        number = self.slot_table.assign_slot(item)
+        if self.slot_table.is_present[number] != there:
+            self.slot_table.is_present[number] = there
             self.changes.append((number, there))
             self.version += 1
 
     def _number_anew_if_due(self) -> None:
         """Numbers of names that went for good are many, or the next takes more bytes: orders begin anew."""
-        slots = len(self.slots.items)
-        if slots <= 2 * len(self.items) + SPARE and slots != SHORT:
+        slots = len(self.slot_table.members)
+        if slots <= 2 * len(self.members) + SPARE_SLOTS and slots != SHORT_SLOT_LIMIT:
             return
-        self.slots, self.orders, self.held = Slots[T](), {}, 0
+        self.slot_table, self.orders, self.reference_count = SlotTable[T](), {}, 0
         self.changes.clear()
-        for item in self.items:
-            self.slots.there[self.slots.number(item)] = True
+        for item in self.members:
+            self.slot_table.is_present[self.slot_table.assign_slot(item)] = True
 
     def order(self, key: str) -> RendezvousOrder[T]:
         """The members in this key's order, up to date until the next `put`; not to be changed."""
-        order = self.orders.pop(key, None) or RendezvousOrder[T](hashed(key), self.slots)
+        order = self.orders.pop(key, None) or RendezvousOrder[T](hash_name(key), self.slot_table)
         self.orders[key] = order  # the last one used stands last
         if order.version != self.version:
             before = len(order)
             self._catch_up(order)
-            self.held += len(order) - before
-            while len(self.orders) > 1 and (self.held > self.most or len(self.orders) > self.most_keys):
-                self.held -= len(self.orders.pop(next(iter(self.orders))))
-            if self.checked:
+            self.reference_count += len(order) - before
+            while len(self.orders) > 1 and (
+                self.reference_count > self.max_references or len(self.orders) > self.max_orders
+            ):
+                self.reference_count -= len(self.orders.pop(next(iter(self.orders))))
+            if self.is_checked:
                 self.check(order)
         return order
 
     def _catch_up(self, order: RendezvousOrder[T]) -> None:
         behind, came = self.version - order.version, set[int]()
-        if order.version >= 0 and behind <= len(self.changes) and behind * SCANNED <= len(self.items):
+        if (
+            order.version >= 0
+            and behind <= len(self.changes)
+            and behind * SCANS_PER_INSERT <= len(self.members)
+        ):
             net = dict[int, bool]()
             for number, there in islice(self.changes, len(self.changes) - behind, None):
                 if net.pop(number, None) is None:  # else it went and is back, or came and went
@@ -211,11 +220,11 @@
             came.update(number for number, there in net.items() if there)
             order.remove(net.keys() - came)
         else:
-            order.keep()
-            if len(order) < len(self.items):
-                came.update(compress(range(len(self.slots.there)), self.slots.there))
-                came.difference_update(order.numbers)
-        if len(came) * SORTED > len(self.items):
+            order.remove_absent()
+            if len(order) < len(self.members):
+                came.update(compress(range(len(self.slot_table.is_present)), self.slot_table.is_present))
+                came.difference_update(order.slots)
+        if len(came) * SORTS_PER_INSERT > len(self.members):
             order.sort()
         else:
             for number in came:  # in whatever order: each goes to its place
@@ -224,11 +233,11 @@
 
     def check(self, order: RendezvousOrder[T]) -> None:
         """Compares an order, and the count of references, with what a sort of all members gives."""
-        plain = sorted(self.items, key=order.key_of)
+        plain = sorted(self.members, key=order.member_sort_key)
         if list(map(id, plain)) != list(map(id, order)):
             raise AssertionError(f"order {order.seed:x} is not that of its {len(plain)} members")
-        if self.held != sum(map(len, self.orders.values())):
-            raise AssertionError(f"{self.held} references counted")
+        if self.reference_count != sum(map(len, self.orders.values())):
+            raise AssertionError(f"{self.reference_count} references counted")
 
 
 class Columns:
--- a/glencleat/log.py
+++ b/glencleat/log.py
@@ -8,14 +8,19 @@
 
 import structlog
 
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+LEVEL_BY_NAME = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
 
 
-def set_up(form: str = "console", level: str = "info", **always: Any) -> Any:
+def configure_logging(log_format: str = "console", level: str = "info", **context: Any) -> Any:
     """Sets the process's logging up and gives a logger; `form` is "console" or "json"."""
     renderer: Any = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -25,8 +30,8 @@
             structlog.processors.format_exc_info,
             renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
+        wrapper_class=structlog.make_filtering_bound_logger(LEVEL_BY_NAME[level]),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=False,
     )
-    return structlog.get_logger(**always)
+    return structlog.get_logger(**context)
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -48,7 +48,12 @@
         self.begun: tuple[int, float] | None = None  # where a message that is not whole begins, since when
 
     def worth(self) -> EvictionPriority:
-        if self.open or self.inbox.scanned or self.stream.out or (self.proven and self.owners.friends == 1):
+        if (
+            self.open
+            or self.inbox.scanned
+            or self.stream.unsent
+            or (self.proven and self.owners.friends == 1)
+        ):
             return (
                 EvictionPriority.HELD
             )  # an answer is owed on it, or it is the last one that releases can go by
@@ -62,8 +67,8 @@
 
     def reads(self, now: float) -> bool:
         """What waits unsent for it is being taken."""
-        if self.stuck is None or self.stuck[0] != self.stream.written:
-            self.stuck = self.stream.written, now
+        if self.stuck is None or self.stuck[0] != self.stream.written_bytes:
+            self.stuck = self.stream.written_bytes, now
         return now - self.stuck[1] <= READS_MS
 
     def dates(self, now: float) -> None:
@@ -109,7 +114,7 @@
         waits its turn, and whether some message is half here."""
         came = False
         for _ in range(BACKLOGS):
-            if self.listener is None or not self.listener.take():
+            if self.listener is None or not self.listener.accept_pending():
                 break
             came = True
         for owner in list(self.owners):
@@ -119,12 +124,12 @@
     @property
     def unsent(self) -> bool:
         """Some answer has not been handed to the system yet."""
-        return any(owner.stream.out for owner in self.owners)
+        return any(owner.stream.unsent for owner in self.owners)
 
     # ---- connections ----
 
     def _accepted(self, stream: Stream) -> None:
-        stream.stamp()
+        stream.enable_timestamps()
         owner = ClientConnection(self, stream, self.loop.now())
         self.owners[owner] = None
         self.descriptors.hold(owner)
@@ -139,14 +144,14 @@
         inbox = owner.inbox
         try:
             while inbox.waiting or not inbox.ended:
-                came = owner.stream.readable and self._take_in(owner, READ, exact=False)
-                if inbox.ended or owner.stream.closed is not None:
+                came = owner.stream.is_readable and self._take_in(owner, READ, exact=False)
+                if inbox.ended or owner.stream.close_reason is not None:
                     inbox.ended = True
                     self.exchange.owner_gone(owner)  # before what lies unread: it may be set-ups
-                if self._turn(owner) or (came and owner.stream.readable):
+                if self._turn(owner) or (came and owner.stream.is_readable):
                     yield from self.loop.sleep(0.0)
                 elif not (came or inbox.ended):
-                    yield from owner.stream.wait()
+                    yield from owner.stream.wait_readable()
             owner.stream.close("the owner closed it")
         except StreamClosedError:
             inbox.ended = True
@@ -164,15 +169,15 @@
         inbox, came = owner.inbox, False
         try:
             while not inbox.ended and len(inbox.buffer) < most:
-                data = owner.stream.take(READ)
+                data = owner.stream.read_available(READ)
                 if data is None:
                     break
                 came, owner.used = True, self.loop.now()
                 if data:
-                    inbox.feed(data, owner.stream.arrived)
+                    inbox.feed(data, owner.stream.received_at_ms)
                 else:
                     inbox.ended = True
-                if not (exact or owner.stream.readable):
+                if not (exact or owner.stream.is_readable):
                     break
         except StreamClosedError:
             came = inbox.ended = True
@@ -185,14 +190,14 @@
         came = self._take_in(owner, LOOK, exact=True)
         owner.dates(self.loop.now())
         if came:
-            owner.stream.nudge()
-        elif len(owner.inbox.buffer) >= LOOK and owner.stream.hung_up():
+            owner.stream.wake_reader()
+        elif len(owner.inbox.buffer) >= LOOK and owner.stream.has_hung_up():
             owner.inbox.ended = True
         return came
 
     def look_if_told(self, owner: ClientConnection) -> None:
         """The same where the poller has told of something."""
-        if owner.stream.readable:
+        if owner.stream.is_readable:
             self.look(owner)
 
     def waits(self, owner: ClientConnection, task: int, exact: bool) -> bool:
@@ -241,15 +246,15 @@
         return 0.0 if arrived is None else min(MOST_WAITED_MS, max(0.0, self.loop.clock.wall() - arrived))
 
     def _write(self, owner: ClientConnection, data: bytes) -> bool:
-        return owner.stream.put(data)
+        return owner.stream.try_send(data)
 
     def proves(self, owner: ClientConnection) -> None:
         """A task of its stands: it is one of those that releases may be told to."""
         if not owner.proven:
             owner.proven = True
-            self.friends += owner.stream.closed is None
+            self.friends += owner.stream.close_reason is None
             self.descriptors.file(owner)
-            while self.owed and owner.stream.closed is None:
+            while self.owed and owner.stream.close_reason is None:
                 self._write(owner, self.owed.popleft()[1])
 
     def to_owner(self, owner: ClientConnection | None, data: bytes, owed: bool) -> None:
@@ -278,7 +283,7 @@
                 self.look(owner)  # after a standstill all of it may lie unread
                 if not owner.inbox.waiting:
                     owner.stream.close("no whole message in time")
-            if not owner.stream.out:
+            if not owner.stream.unsent:
                 owner.stuck = None
             elif not owner.reads(now):
                 owner.stream.close("it reads nothing")  # a descriptor that answers wait on is not given up
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -69,7 +69,7 @@
         descriptors.freed = self._freed
         self.made = 0  # hosts, which are numbered in the order in which they were made
         # The longest unheard first: where there are more hosts than descriptors they take turns.
-        self.turns = DirtySet[HostConnections](order=lambda host: (host.heard, host.number))
+        self.turns = DirtySet[HostConnections](sort_key=lambda host: (host.heard, host.number))
         self.unlisted: dict[str, None] = {}  # where tasks came to stand, and no list names it
         self.linked: set[HostConnections] = set()  # those with links, and some that have had
         self.releasing: set[HostConnections] = (
@@ -122,7 +122,7 @@
 
     def unread(self, attempt: SetupAttempt) -> bool:
         link: HostConnection | None = attempt.link
-        return link is not None and link.stream is not None and link.stream.readable
+        return link is not None and link.stream is not None and link.stream.is_readable
 
     def _wait(self, attempt: SetupAttempt) -> None:
         """For a descriptor, within its time: a connect that fails would be tried again at once."""
@@ -179,7 +179,9 @@
             link
             for link in host.links
             if not (link.doubtful or link.ended) and task not in link.spent and self._open(link)
-            if not (link.stream is not None and (silent or link.stream.out))  # nothing queues behind others
+            if not (
+                link.stream is not None and (silent or link.stream.unsent)
+            )  # nothing queues behind others
         ]
         free = [link for link in usable if not link.load]
         if free:
@@ -194,7 +196,7 @@
     def _open(self, link: HostConnection) -> bool:
         """Usable: not closed, and not idle for so long that the host may close it as we write."""
         fresh = self.loop.now() - link.used < self.idle_ms
-        return link.stream is None or (link.stream.closed is None and fresh)
+        return link.stream is None or (link.stream.close_reason is None and fresh)
 
     def _room(self, demand: Demand) -> bool:
         """Whether a connection may be begun now, by what comes up and by descriptors; makes room for it."""
@@ -391,13 +393,13 @@
                 self._add(name).leaves(now)
             elif name in self.hosts:
                 self.changed(self.hosts[name])
-        if DueQueue.checked:
+        if DueQueue.is_checked:
             self._check(now)
-        for host in self.turns.take(now):
+        for host in self.turns.take_pending(now):
             if self.hosts.get(host.name) is host:
                 self._visit(host, now)
             if self.hosts.get(host.name) is host:
-                self.turns.put(host, self._next(host))
+                self.turns.schedule(host, self._next(host))
             else:
                 self._forget(host)
 
@@ -417,7 +419,7 @@
     def _forget(self, host: HostConnections) -> None:
         self.linked.discard(host)
         self.releasing.discard(host)
-        self.turns.put(host, NEVER)
+        self.turns.schedule(host, NEVER)
 
     def _next(self, host: HostConnections) -> float:
         """When it has to be looked at again if nothing happens on it; what is past: in the next tick.
@@ -446,7 +448,7 @@
 
     def _check(self, now: float) -> None:
         """By the plain way: whoever is passed over has nothing to be done, and its links their worth."""
-        turns = self.turns.gather(now)
+        turns = self.turns.collect_pending(now)
         for host in self.hosts.values():
             if host not in turns:
                 assert self._next(host) > now, (host.name, now, self._next(host), vars(host))
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -82,7 +82,7 @@
         """Whether nothing more may be sent on it: that would be lost, and nobody could tell whether unread.
 
         The system is asked where the poller told of something, or, if not `polled`, had no chance to."""
-        if self.stream is not None and (self.stream.readable or not polled) and self.stream.hung_up():
+        if self.stream is not None and (self.stream.is_readable or not polled) and self.stream.has_hung_up():
             self.ended = True
         return self.ended
 
@@ -124,9 +124,9 @@
         if self.loop.now() - self.since > HOST.steady_ms:
             self.host.asking.well()
         stands = self.hosts.exchange.standing.get(self.host.name)
-        if stands and self.stream.closed is None and self.hosts.descriptors.leave(self):
+        if stands and self.stream.close_reason is None and self.hosts.descriptors.leave(self):
             stream = self.stream
-            stream.shut()
+            stream.shutdown_write()
             self.loop.call_in(LEAVE_MS, lambda: stream.close(why))
         else:
             self.stream.close(why)
@@ -167,13 +167,13 @@
             self.hosts.answer(attempt, held_back)
             return
         data = attempt.setup_message(self.loop.now())
-        self.out[attempt] = self.stream.queued + len(data)
+        self.out[attempt] = self.stream.queued_bytes + len(data)
         self.write(data)
 
     def write(self, data: bytes) -> None:
         """Queues bytes; a stream that breaks on it is noticed by its reader."""
         if self.stream is not None:
-            self.stream.put(data)
+            self.stream.try_send(data)
 
     def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
         self.hosts.changed(self.host)
@@ -183,15 +183,15 @@
         end = self.out.pop(attempt, None)
         if end is None or self.stream is None:
             return DeliveryOutcome.BROKEN
-        if self.stream.written < end:
+        if self.stream.written_bytes < end:
             self.stream.close("a set-up given up before it was sent whole")
             return DeliveryOutcome.NEVER_SENT
-        if self.stream.closed is not None:
+        if self.stream.close_reason is not None:
             return DeliveryOutcome.BROKEN
         self.doubtful = True
         self.spent.add(attempt.call.setup.task)
         self.write(m.caused(m.RELEASE, attempt.call.setup.task, m.GIVEN_UP))
-        if self.stream.out or self.decoder.partial:
+        if self.stream.unsent or self.decoder.partial:
             self.stream.close("a give-up that can't be written, or an answer that stopped short")
         return DeliveryOutcome.SILENT
 
@@ -283,7 +283,7 @@
                 self.host.cuts[task] = None
         out, self.out = self.out, {}
         for attempt, end in out.items():
-            whole = stream.written >= end
+            whole = stream.written_bytes >= end
             self.hosts.exchange.failed(
                 attempt, DeliveryOutcome.BROKEN if whole else DeliveryOutcome.NEVER_SENT
             )
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -233,11 +233,11 @@
     def run(self) -> None:
         """Until stopped. A fault of ours in one event is told and counted; the others go on."""
         self.loop.on_error = lambda task, error: self._fault(error)
-        self.loop.running = True
-        while self.loop.running:
+        self.loop.is_running = True
+        while self.loop.is_running:
             began, idle = self.loop.now(), self.loop.poller.idle_ms
             try:
-                self.loop.round()
+                self.loop.run_once()
             except Exception as error:
                 self._fault(error)
             self.lag = max(self.lag, self.loop.now() - began - (self.loop.poller.idle_ms - idle))
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from glencleat.event_loop import Loop, Pause, Stream, StreamClosedError, connect
+from glencleat.event_loop import InterruptibleSleep, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.flow_control.backoff import Backoff
 from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
@@ -33,7 +33,7 @@
         self.stream: Stream | None = None
         self.heard = 0.0
         self.half = 0  # bytes since the last whole line, or since as much was counted as a word
-        self.pause = Pause(loop)  # between two tries
+        self.pause = InterruptibleSleep(loop)  # between two tries
         self.up_at: float | None = None  # since when this connection tells something
         self.breaks = 0
         loop.spawn(self._run(), "command channel", urgent=True)
@@ -45,7 +45,7 @@
             self.asking.well()
             if self.stream is not None:
                 self.stream.close("the command channel moved")
-            self.pause.end()
+            self.pause.interrupt()
 
     def _run(self) -> Coroutine:
         while True:
@@ -87,10 +87,10 @@
         """Closes the stream once no line has come for too long: one that stops may stay open.
 
         `last`: what lay unread when it was due has been read since; after a standstill that may be all."""
-        if stream.closed is not None:
+        if stream.close_reason is not None:
             return
         left = self.heard + SILENT_MS - self.loop.now()
-        if left <= 0.0 and (last or not stream.readable):
+        if left <= 0.0 and (last or not stream.is_readable):
             stream.close("it is silent")
         else:
             self.loop.call_in(max(left, 50.0), lambda: self._watch(stream, left <= 0.0))
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -14,7 +14,7 @@
 from itertools import chain, count, islice
 from typing import Any
 
-from glencleat.index.rendezvous import Columns, RendezvousIndex, RendezvousOrder, hashed
+from glencleat.index.rendezvous import Columns, RendezvousIndex, RendezvousOrder, hash_name
 from glencleat.interface import (
     Action,
     AttemptAccepted,
@@ -174,7 +174,7 @@
         self.size: Pair = (size.cores, size.memory) if size else (1.0, 1.0)
         self.tasks: dict[int, TrackedTask] = {}
         self.due: dict[int, TrackedTask] = {}  # those not yet running
-        self.hash = hashed(told.name)
+        self.hash = hash_name(told.name)
         self.turned: dict[tuple[str, str | None], Pair] = {}  # class and tenant -> until when, for how long
         self.probing = float("inf")  # since when a probe is out
         self.told_at = self.left_at = -1e18  # left_at: own binds up to then are in what is told free
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -302,7 +302,7 @@
         info = m.TaskInfo(
             name=spec.service,
             task_id=m.Value(name),
-            resources=m.resources(spec.cores, spec.memory),
+            resources=m.build_resources(spec.cores, spec.memory),
             data=spec.data,
         )
         slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -115,7 +115,7 @@
             self._say(link, m.caused(m.RELEASE, task, m.GIVEN_UP))
 
     def _say(self, link: HollowLink, data: bytes) -> bool:
-        if link.stream is None or not link.stream.put(data):
+        if link.stream is None or not link.stream.try_send(data):
             return False
         link.used = self.loop.now()
         self.tally.sent(self.number, data)
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -59,7 +59,7 @@
         self.blockers: list[socket.socket] = []
         self.sock: socket.socket | None = listen_on_loopback()
         self.port = int(self.sock.getsockname()[1])
-        self.loop.poller.watch(self.sock.fileno(), READ, self._came)
+        self.loop.poller.register(self.sock.fileno(), READ, self._came)
 
     # ---- connections ----
 
@@ -106,7 +106,7 @@
         stream.close("it ended")
 
     def _say(self, stream: Stream | None, allocator: int, data: bytes) -> bool:
-        if self.silent or stream is None or not stream.put(data):
+        if self.silent or stream is None or not stream.try_send(data):
             return False
         self.group.tally.sent(allocator, data)
         return True
@@ -163,9 +163,9 @@
 
     def _way(self, held: Held) -> Stream | None:
         """The connection of its set-up, or else any open one of its allocator."""
-        if held.link is not None and held.link.closed is None:
+        if held.link is not None and held.link.close_reason is None:
             return held.link
-        return next((link for link in self.links.get(held.allocator, ()) if link.closed is None), None)
+        return next((link for link in self.links.get(held.allocator, ()) if link.close_reason is None), None)
 
     def _end(self, task: int, held: Held) -> None:
         if self.held.get(task) is not held:
@@ -184,7 +184,7 @@
         self.silent = True
         if power:
             self._cut_all()
-        self.loop.poller.forget(self.sock.fileno())
+        self.loop.poller.unregister(self.sock.fileno())
         self.sock.listen(0)  # and one that fills the queue: the system drops what comes to a full one
         blocker = socket.socket()
         blocker.setblocking(False)
@@ -201,7 +201,7 @@
         self._reset_all()
         self.silent = False
         self.sock.listen(BACKLOG)
-        self.loop.poller.watch(self.sock.fileno(), READ, self._came)
+        self.loop.poller.register(self.sock.fileno(), READ, self._came)
 
     def _cut_all(self) -> None:
         """No release will tell of what ran here, nor tell again of what has ended."""
@@ -230,7 +230,7 @@
     def _unlisten(self) -> None:
         if self.sock is not None:
             if not self.silent:
-                self.loop.poller.forget(self.sock.fileno())
+                self.loop.poller.unregister(self.sock.fileno())
             self.sock.close()
             self.sock = None
 
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -121,7 +121,7 @@
                     self._put(stream, m.encode(m.RELEASE_HEARD, message.task))
 
     def _put(self, stream: Stream, data: bytes) -> bool:
-        if not stream.put(data):
+        if not stream.try_send(data):
             return False
         self.tally.sent(self.allocator, data)
         return True
--- a/glencleat/scale/worker_processes.py
+++ b/glencleat/scale/worker_processes.py
@@ -48,7 +48,7 @@
         except Exception as error:  # told to the runner, which ends the run
             pipe.send((None, f"{name}: {type(error).__name__}: {error}"))
 
-    loop.poller.watch(pipe.fileno(), READ, ordered)
+    loop.poller.register(pipe.fileno(), READ, ordered)
     loop.run()
     part.close()
 
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -16,7 +16,7 @@
 from glencleat.event_loop.streams import connect
 from glencleat.flow_control.backoff import Backoff
 from glencleat.mesos import messages as m
-from glencleat.mesos.http import ClientConnection, End, Head, HttpError
+from glencleat.mesos.http import ClientConnection, EndOfBody, HttpError, ResponseHead
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 TARGET = "/api/v1"
@@ -104,10 +104,10 @@
                 silence.cancel()
                 silence = self.loop.call_in(self.silence_ms, lambda: stream.close("no heartbeat"))
                 for event in http.feed(data):
-                    if isinstance(event, Head) and event.status != 200:
+                    if isinstance(event, ResponseHead) and event.status != 200:
                         self.told_ms = retry_after_ms(event.headers)
                         raise HttpError(event.status, f"the directory answered {event.status}")
-                    if isinstance(event, End):
+                    if isinstance(event, EndOfBody):
                         return
                     for record in decoder.feed(event) if isinstance(event, bytes) else ():
                         self._event(m.decode(m.OperatorEvent, record))
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -55,7 +55,7 @@
         if call.type == "UPDATE":
             agents.update(name, need(call.update, "update").status)
         elif call.type == "MESSAGE":
-            agents.message(name, m.unpack(need(call.message, "message").data))
+            agents.message(name, m.decode_payload(need(call.message, "message").data))
         elif call.type == "HEARTBEAT":
             agents.heartbeat(name)
         else:
--- a/glencleat/servers/http_server.py
+++ b/glencleat/servers/http_server.py
@@ -40,8 +40,8 @@
         self.beat: Timer | None = None
 
     def send(self, record: bytes) -> tuple[int, int]:
-        begin = self.stream.queued
-        if self.stream.closed is not None:
+        begin = self.stream.queued_bytes
+        if self.stream.close_reason is not None:
             return begin, begin + 1
         framed = self.connection.chunk(recordio.encode(record))
         with contextlib.suppress(StreamClosedError):  # its on_close tells whom it concerns
@@ -49,11 +49,11 @@
         return begin, begin + len(framed) - 2  # the chunk's own line end comes after the record's last byte
 
     def written(self) -> int:
-        return self.stream.written
+        return self.stream.written_bytes
 
     def close(self, why: str) -> None:
         """Ends the response, as far as the socket takes it, and the connection."""
-        if self.stream.closed is None:
+        if self.stream.close_reason is None:
             try:
                 self.stream.send(self.connection.end_stream())
             except StreamClosedError:
@@ -79,7 +79,7 @@
 
     @property
     def closed(self) -> bool:
-        return self.stream.closed is not None
+        return self.stream.close_reason is not None
 
     def on_close(self, call: Callable[[], None]) -> None:
         self.stream.on_close.append(lambda _: call())
@@ -230,8 +230,8 @@
         connection = ServerConnection(self.limits.body)
         clock = Patience(self.loop, stream, self.limits)
         try:
-            while stream.closed is None:
-                clock.waits(connection.waits())
+            while stream.close_reason is None:
+                clock.waits(connection.has_partial_request())
                 data = yield from stream.read()
                 if self.turnstile is not None and not (yield from self.turnstile.enter()):
                     self._dropped("too many requests wait to be read")
@@ -248,11 +248,11 @@
                         clock.stop()
                         yield from self._hold(stream)
                         return
-                    if self.turnstile is not None and connection.waits():
+                    if self.turnstile is not None and connection.has_partial_request():
                         yield from self.turnstile.enter()  # what came behind it takes a turn of its own
                     began = self.loop.now()
-                    requests = requests[1:] or connection.more()
-                if data == b"" or connection.ended():
+                    requests = requests[1:] or connection.next_requests()
+                if data == b"" or connection.is_ended():
                     break
         except HttpError as error:
             self._complain(connection, stream, error)
@@ -269,9 +269,9 @@
         timer = self.loop.call_in(LINGER_MS, lambda: stream.close("done"))
         try:
             yield from stream.flush()
-            stream.shut()
+            stream.shutdown_write()
             left = LINGER_BYTES
-            while left > 0 and stream.closed is None:
+            while left > 0 and stream.close_reason is None:
                 data = yield from stream.read()
                 left -= len(data) or left
         except StreamClosedError:
@@ -282,7 +282,7 @@
     def _complain(self, connection: ServerConnection, stream: Stream, error: HttpError) -> None:
         self.log("bad request", status=error.status, why=error.text[:200])
         with contextlib.suppress(StreamClosedError):
-            stream.send(connection.refuse(error, self.problem(error)))
+            stream.send(connection.respond_with_error(error, self.problem(error)))
 
     def _answer(
         self,
@@ -301,11 +301,11 @@
             stream.send(connection.answer(told))
             if self.turnstile is not None:
                 self.turnstile.intake.spent(self.loop.now() - began)
-            if stream.out:
+            if stream.unsent:
                 clock.waits(True)  # the response, too, is to be taken in that time
                 yield from stream.flush()
-            if told.pause_ms:
-                yield from self.loop.sleep(told.pause_ms)
+            if told.read_pause_ms:
+                yield from self.loop.sleep(told.read_pause_ms)
             return None
         if isinstance(told, Pour):
             clock.stop()
@@ -324,7 +324,7 @@
         link = RecordLink(connection, stream)
 
         def beat() -> None:
-            if stream.closed is None:
+            if stream.close_reason is None:
                 link.send(told.heartbeat)
                 link.beat = self.loop.call_in(told.every_ms, beat)
 
@@ -337,8 +337,8 @@
 
         stream.on_close.append(closed)
         link.ended = told.begin(link)
-        if stream.closed is not None:  # it was cut off while it began
-            link.ended(stream.closed)
+        if stream.close_reason is not None:  # it was cut off while it began
+            link.ended(stream.close_reason)
         return link
 
     @staticmethod
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -126,7 +126,9 @@
             peer.refused = 0
             return
         peer.refused += 1
-        told.pause_ms = self.plane.gate.pause_ms(peer.refused, 1_000.0 * float(told.headers["retry-after"]))
+        told.read_pause_ms = self.plane.gate.pause_ms(
+            peer.refused, 1_000.0 * float(told.headers["retry-after"])
+        )
 
     def _peer(self, request: Request) -> Peer:
         origin: Any = request.origin
@@ -399,12 +401,12 @@
 
         yield arm
         if sink.closed:
-            raise StreamClosedError(sink.stream.closed or "")
+            raise StreamClosedError(sink.stream.close_reason or "")
 
     def _blocked(self, watcher: watches.Watcher) -> bool:
         """Whether it is the reader that does not take what lies ready, and not we that have not told it."""
         sink = self.watchers.get(watcher)
-        return sink is not None and bool(sink.stream.out)
+        return sink is not None and bool(sink.stream.unsent)
 
     def _cut(self, watcher: watches.Watcher) -> None:
         """The watcher stands still and is marked as cut: its coroutine waits in a send. If the reader takes
--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -204,7 +204,7 @@
     assert owner.statuses() == []
     labels = [m.Label(*pair) for pair in (("class", "safe"), ("framework", "owner"), ("task", "old"))]
     old = m.TaskInfo(
-        "old", m.Value("a0-before-1.0"), resources=m.resources(1.0, 100.0), labels=m.Labels(labels)
+        "old", m.Value("a0-before-1.0"), resources=m.build_resources(1.0, 100.0), labels=m.Labels(labels)
     )
     cluster.agents = {"h0": Agent(cluster, "h0").subscribe(tasks=[old])}
     cluster.timing.advance(1.0)
--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -40,7 +40,7 @@
     told = {label.key: label.value for label in task.labels.labels}
     assert told["class"] == "keyed" and told["effect"] == "keyed" and told["key"] == "t1"
     assert told["framework"] == "owner" and told["task"] == "t1" and told["tenant"] == "tenant"
-    assert m.scalar(task.resources, "cpus") == 1.0 and float(told["answer_within_ms"]) > 0
+    assert m.sum_scalar(task.resources, "cpus") == 1.0 and float(told["answer_within_ms"]) > 0
 
 
 def test_a_refusal_is_tried_elsewhere():
@@ -119,7 +119,7 @@
     cluster.timing.advance(5_000.0)
     assert len(cluster.offered()) == 1
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_LOST" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_LOST" and m.find_label(status.labels, "retry") == "reconcile"
     assert owner.reconcile("t1").state == "TASK_UNREACHABLE"
     cluster.check()
 
@@ -140,7 +140,7 @@
         cluster.timing.advance(500.0)
         [a.beat() for a in cluster.agents.values() if a is not agent]
     status = owner.statuses("t1")[-1]
-    assert status.state == "TASK_UNREACHABLE" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_UNREACHABLE" and m.find_label(status.labels, "retry") == "reconcile"
     assert owner.reconcile("t1").state in ("TASK_RUNNING", "TASK_STARTING", "TASK_UNREACHABLE")
     agent.subscribe(tasks=agent.launches())
     assert owner.statuses("t1")[-1].state in ("TASK_STARTING", "TASK_RUNNING")
@@ -189,7 +189,7 @@
     agent.subscribe()
     assert cluster.offered() == [] and owner.states("t1") == ["TASK_LOST"]
     assert owner.reconcile("t1").state == "TASK_GONE"
-    assert m.label(owner.statuses("t1")[-1].labels, "retry") == "never"
+    assert m.find_label(owner.statuses("t1")[-1].labels, "retry") == "never"
     cluster.check()
 
 
@@ -264,11 +264,11 @@
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 1
     status = owner.statuses("t1")[-1]
-    assert status.state == "TASK_UNREACHABLE" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_UNREACHABLE" and m.find_label(status.labels, "retry") == "reconcile"
     agent.say(cluster.offered()[0][1].task_id.value, "TASK_FINISHED")
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 1
-    assert m.label(owner.statuses("t1")[-1].labels, "retry") == "never"
+    assert m.find_label(owner.statuses("t1")[-1].labels, "retry") == "never"
     cluster.check()
 
 
@@ -388,7 +388,7 @@
         cluster.timing.advance(500.0)
         [agent.beat() for agent in cluster.agents.values()]
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_LOST" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_LOST" and m.find_label(status.labels, "retry") == "reconcile"
     cluster.check()
 
 
@@ -547,7 +547,7 @@
     owner.launch("t1", left=3_000.0)
     cluster.timing.advance(2_990.0)
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_DROPPED" and m.label(status.labels, "retry") == "harmless"
+    assert status.state == "TASK_DROPPED" and m.find_label(status.labels, "retry") == "harmless"
 
 
 def test_asks_wait_for_the_agents_of_a_restarted_allocator():
@@ -561,7 +561,7 @@
     old = m.TaskInfo(
         "old",
         m.Value("a0-before-1.0"),
-        resources=m.resources(1.0, 100.0),
+        resources=m.build_resources(1.0, 100.0),
         labels=m.Labels(
             [
                 m.Label("class", "safe"),
@@ -588,7 +588,7 @@
         m.TaskInfo(
             "old",
             m.Value(f"a0-before-1.{i}"),
-            resources=m.resources(1.0, 100.0),
+            resources=m.build_resources(1.0, 100.0),
             labels=m.Labels(
                 [
                     m.Label("class", "keyed"),
@@ -665,7 +665,7 @@
     )
     core.module.timers = 5
     core.tell(api.TimerFired(0))
-    payload = m.unpack(agent.link.of("MESSAGE")[-1].message.data)
+    payload = m.decode_payload(agent.link.of("MESSAGE")[-1].message.data)
     core.agents.message(agent.id, m.Payload("report", probe=payload.probe, cores_free=3.0))
     core.agents.message(agent.id, m.Payload("report", probe=payload.probe))
     assert not core.module.probes
--- a/tests/allocator/test_decisions.py
+++ b/tests/allocator/test_decisions.py
@@ -274,8 +274,8 @@
         info,
         registered_time=m.TimeInfo(up_ns),
         drain_info=m.DrainInfo("DRAINING") if drain else None,
-        total_resources=m.resources(16.0, 100.0),
-        allocated_resources=m.resources(18.0, 40.0),
+        total_resources=m.build_resources(16.0, 100.0),
+        allocated_resources=m.build_resources(18.0, 40.0),
         **more,
     )
 
--- a/tests/emulators/test_play.py
+++ b/tests/emulators/test_play.py
@@ -132,9 +132,9 @@
     )
     start = loop.spawn(process.start(), "a0")
     while process.child is None:
-        loop.round(wait=False)
+        loop.run_once(wait=False)
     process.kill()
     loop.call_in(1_000.0, lambda: None)
-    loop.round()
-    assert start.done and start.error is None and process.child.poll() is not None
+    loop.run_once()
+    assert start.is_done and start.error is None and process.child.poll() is not None
     process.release()
--- a/tests/emulators/test_proxy.py
+++ b/tests/emulators/test_proxy.py
@@ -117,7 +117,7 @@
         while not done():
             assert self.loop.now() < end, self.told
             self.loop.call_in(2.0, lambda: None)
-            self.loop.round()
+            self.loop.run_once()
 
     def says(self, sock, ms=4_000.0):
         found = []
@@ -215,7 +215,7 @@
     made.until(lambda: made.relay.pairs)
     made.relay.reset()
     assert made.says(sock) is None
-    made.until(lambda: made.streams and made.streams[0].closed is not None)
+    made.until(lambda: made.streams and made.streams[0].close_reason is not None)
     assert made.kinds().count("reset") == 1 and not made.relay.pairs
 
 
@@ -224,7 +224,7 @@
     sock = made.client()
     made.until(lambda: made.relay.pairs)
     next(iter(made.relay.pairs.values())).half_open()
-    made.until(lambda: made.streams and made.streams[0].closed is not None)
+    made.until(lambda: made.streams and made.streams[0].close_reason is not None)
     sock.send(b"x")
     made.until(lambda: "piece" in made.kinds())
     with pytest.raises(BlockingIOError):
@@ -245,7 +245,7 @@
         except TimeoutError:
             break
         made.loop.call_in(0.0, lambda: None)
-        made.loop.round()
+        made.loop.run_once()
         pair = next(iter(made.relay.pairs.values()), None)
     assert pair is not None and pair.held[Way.THERE] <= (1 << 20) + 16_384 and sent < 32 << 20
 
@@ -265,7 +265,7 @@
     while len(heard) < 2:
         assert loop.now() < end
         loop.call_in(1.0, lambda: None)
-        loop.round()
+        loop.run_once()
         try:
             data, sender = service.recvfrom(100)
             service.sendto(data + data, sender)
--- a/tests/index/test_rendezvous.py
+++ b/tests/index/test_rendezvous.py
@@ -8,7 +8,7 @@
 import glencleat.policy.scheduler
 from glencleat import interface as api
 from glencleat.index import rendezvous as index
-from glencleat.index.rendezvous import RendezvousIndex, hashed
+from glencleat.index.rendezvous import RendezvousIndex, hash_name
 from glencleat.policy.scheduler import EXAMINED, Scheduler
 from tests.support.reference_order import CLASSES, KINDS, Plain, Stream, differ
 
@@ -17,12 +17,12 @@
     """A member; with `bits` its hash is short, so that some are equal and names decide."""
 
     def __init__(self, name, bits=64):
-        self.name, self.hash = name, hashed(name) % 2**bits
+        self.name, self.hash = name, hash_name(name) % 2**bits
 
 
 def plain(members, key):
-    seed = hashed(key)
-    return sorted(members.items, key=lambda item: (index.mixed(seed ^ item.hash), item.name))
+    seed = hash_name(key)
+    return sorted(members.members, key=lambda item: (index.mix_hash(seed ^ item.hash), item.name))
 
 
 # ---- the index ----
@@ -53,7 +53,7 @@
         else:
             order = members.order(what)
             assert list(order) == plain(members, what) and len(order) == len(members)
-            assert len(members.orders) <= 2 and (members.held <= most or len(members.orders) == 1)
+            assert len(members.orders) <= 2 and (members.reference_count <= most or len(members.orders) == 1)
 
 
 @given(st.integers(1, 60), st.data())
@@ -94,16 +94,16 @@
 @pytest.mark.parametrize("short", [16, 1 << 16])
 def test_names_that_went_for_good_leave_no_numbers(short, monkeypatch):
     """Orders begin anew when numbers run out, or more than as many as there are members are of such names."""
-    monkeypatch.setattr(index, "SHORT", short)
+    monkeypatch.setattr(index, "SHORT_SLOT_LIMIT", short)
     members = RendezvousIndex[Item](10_000, 10)
     for i in range(2_000):
         members.put(Item(f"m{i}"), True)
         if i >= 30:
-            members.put(next(iter(members.items)), False)
+            members.put(next(iter(members.members)), False)
         if i % 7 == 0:
             assert list(members.order("a")) == plain(members, "a")
-        assert len(members.slots.items) <= 2 * (len(members) + 1) + index.SPARE + 1
-    assert [members.order("a").numbers.typecode] == (["I"] if short == 16 else ["H"])
+        assert len(members.slot_table.members) <= 2 * (len(members) + 1) + index.SPARE_SLOTS + 1
+    assert [members.order("a").slots.typecode] == (["I"] if short == 16 else ["H"])
 
 
 def test_the_longest_unused_orders_go():
@@ -112,13 +112,13 @@
         members.put(Item(f"m{i}"), True)
     for key in ("a", "b", "c", "a", "d"):
         members.order(key)
-    assert list(members.orders) == ["c", "a", "d"] and members.held == 90
+    assert list(members.orders) == ["c", "a", "d"] and members.reference_count == 90
     for i in range(30, 60):
         members.put(Item(f"m{i}"), True)
     members.order("c")  # it has grown
-    assert list(members.orders) == ["d", "c"] and members.held == 30 + 60
+    assert list(members.orders) == ["d", "c"] and members.reference_count == 30 + 60
     members.order("d")
-    assert list(members.orders) == ["d"] and members.held == 60
+    assert list(members.orders) == ["d"] and members.reference_count == 60
 
 
 def test_the_check_sees_a_wrong_order_and_a_wrong_count():
@@ -126,38 +126,38 @@
     for i in range(9):
         members.put(Item(f"m{i}"), True)
     order = members.order("a")
-    order.numbers[3], order.numbers[4] = order.numbers[4], order.numbers[3]
+    order.slots[3], order.slots[4] = order.slots[4], order.slots[3]
     with pytest.raises(AssertionError, match="is not that of its 9 members"):
         members.check(order)
-    order.numbers[3], order.numbers[4] = order.numbers[4], order.numbers[3]
+    order.slots[3], order.slots[4] = order.slots[4], order.slots[3]
     members.check(order)
-    members.held += 1
+    members.reference_count += 1
     with pytest.raises(AssertionError, match="10 references"):
         members.check(order)
 
 
 @pytest.mark.parametrize("size", [400, 6_300])
 def test_hashes_follow_changes_not_the_members(size, monkeypatch):
-    monkeypatch.setattr(RendezvousIndex, "checked", False)
+    monkeypatch.setattr(RendezvousIndex, "is_checked", False)
     members, counted = RendezvousIndex[Item](10**6, 100), []
     for i in range(size):
         members.put(Item(f"m{i}"), True)
     members.order("a")
-    real = index.mixed
-    monkeypatch.setattr(index, "mixed", lambda value: counted.append(value) or real(value))
+    real = index.mix_hash
+    monkeypatch.setattr(index, "mix_hash", lambda value: counted.append(value) or real(value))
     members.order("a")
     assert counted == []
-    for item in list(members.items)[:5]:
+    for item in list(members.members)[:5]:
         members.put(item, False)
     members.order("a")
     assert len(counted) <= 5 * (1 + size.bit_length())
     counted.clear()
-    for item in list(members.items)[:10]:  # away and back before anybody looked
+    for item in list(members.members)[:10]:  # away and back before anybody looked
         members.put(item, False)
         members.put(item, True)
     members.order("a")
     assert counted == []
-    for item in list(members.items)[: size // 7]:  # many at once: those that stay are found, none is hashed
+    for item in list(members.members)[: size // 7]:  # many at once: those that stay are found, none is hashed
         members.put(item, False)
     members.order("a")
     assert counted == []
@@ -198,10 +198,10 @@
     """Machines listed, machines looked at and hashes, for three machines gone and a placement after it."""
     scheduler, machines = fleet(size)
     scheduler.handle(1.0, api.PlacementRequested(1, "safe", "s", 1.0, 1.0, 8000.0))
-    monkeypatch.setattr(RendezvousIndex, "checked", False)
-    seen, real, listed, allowed = [], index.mixed, scheduler.list_as, scheduler.allowed
+    monkeypatch.setattr(RendezvousIndex, "is_checked", False)
+    seen, real, listed, allowed = [], index.mix_hash, scheduler.list_as, scheduler.allowed
     with monkeypatch.context() as patched:
-        patched.setattr(index, "mixed", lambda value: seen.append("hash") or real(value))
+        patched.setattr(index, "mix_hash", lambda value: seen.append("hash") or real(value))
         scheduler.list_as = lambda *a: seen.append("listed") or listed(*a)
         scheduler.allowed = lambda *a: seen.append("looked") or allowed(*a)
         gone = [api.Machine(m.name, m.kind, m.zone, m.cell, api.MachinePhase.REMOVED) for m in machines[5:8]]
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -95,7 +95,7 @@
     (owner,) = world.owners.owners
     sock.send(setup(1))
     world.owners._sweep()
-    assert owner.stream.closed is None
+    assert owner.stream.close_reason is None
     settled(world)
     assert world.told(api.PlacementRequested)
 
@@ -110,7 +110,7 @@
     world.client()
     quiet.send(setup(1))
     world.loop.poller.poll(0.0)
-    assert first.stream.closed is None and second.stream.closed is not None
+    assert first.stream.close_reason is None and second.stream.close_reason is not None
     settled(world)
     assert world.told(api.PlacementRequested) and world.says(busy) == b""
 
@@ -120,13 +120,13 @@
     clients = [world.client(), world.client()]
     world.until(lambda: len(world.owners.owners) == 2)
     first, second = world.owners.owners
-    first.stream.out += b"\0"  # as if its client had not read the rest
+    first.stream.unsent += b"\0"  # as if its client had not read the rest
     world.descriptors.file(first)
     assert world.descriptors.make_room(Demand.OWNER)
-    assert first.stream.closed is None and second.stream.closed is not None
+    assert first.stream.close_reason is None and second.stream.close_reason is not None
     monkeypatch.setattr(client_connections, "READS_MS", -1.0)
     world.owners._sweep()
-    assert first.stream.closed == "it reads nothing" and clients
+    assert first.stream.close_reason == "it reads nothing" and clients
 
 
 def test_one_that_drips_a_message_is_closed_in_time(world, monkeypatch):
@@ -223,8 +223,8 @@
             most = max(most, world.descriptors.held + per)
             now[0] += STANDSTILL_MS
             for _ in range(3):
-                world.loop.round(wait=False)
-            assert world.owners.listener.take() == 0, "all were taken"
+                world.loop.run_once(wait=False)
+            assert world.owners.listener.accept_pending() == 0, "all were taken"
         assert most <= 400 + ASIDE and world.descriptors.most <= 400
         assert world.descriptors.turned_away == 0 and world.descriptors.held > 400 - 2 * per
     finally:
--- a/tests/platform_server/test_garbage.py
+++ b/tests/platform_server/test_garbage.py
@@ -80,7 +80,7 @@
     world.ask(world.client(), task)
     world.until(lambda: task in world.exchange.standing.get("h1", {}))
     for stream in world.peer.streams:
-        if stream.closed is None:
+        if stream.close_reason is None:
             stream.send(m.caused(m.RELEASE, task, m.ENDED))
             break
     settled(world, 6)
--- a/tests/platform_server/test_platform_server.py
+++ b/tests/platform_server/test_platform_server.py
@@ -273,7 +273,7 @@
              "tests passed": m.caused(m.TESTED, 9, 0)}  # fmt: skip
 
     def speak():
-        if says in words and peer.streams[0].put(words[says]):
+        if says in words and peer.streams[0].try_send(words[says]):
             world.loop.call_in(50.0, speak)
 
     peer, owner = Peer(world.loop, stands), world.client()
@@ -396,7 +396,7 @@
     world.list(("h1", peer.address))
     world.ask(world.client(), 1, timeout=60.0)
     assert world.back() == [api.Outcome.TIMED_OUT]
-    world.until(lambda: peer.streams[0].closed is not None)
+    world.until(lambda: peer.streams[0].close_reason is not None)
 
 
 def test_a_cut_waits_for_a_host_that_cannot_be_reached(world):
@@ -466,20 +466,20 @@
     """With a task there, each link that broke was opened again at once: some thousand times a second."""
     monkeypatch.setattr(connection_pool, "TICK_MS", 5.0)
     (peer,), owner = standing(world, 1)
-    taken, real = [], peer.listener.accept
+    taken, real = [], peer.listener.on_connection
 
     def accept(stream):
         taken.append(world.loop.now())
         stream.close()
 
-    peer.listener.accept = accept
+    peer.listener.on_connection = accept
     for stream in peer.streams:
         stream.close()
     end = world.loop.now() + 1_500.0
     world.until(lambda: world.loop.now() > end)
     assert 3 <= len(taken) <= 9
     assert world.exchange.standing  # it lives: its tasks do too
-    peer.listener.accept = real
+    peer.listener.on_connection = real
     world.until(lambda: live(world))
 
 
@@ -558,7 +558,7 @@
             if task in owed:
                 stream.send(owed[task])
 
-        peer.listener.accept = told
+        peer.listener.on_connection = told
 
     for task, peer in enumerate(peers, 1):
         accept(peer, task)
@@ -574,7 +574,7 @@
     (first,) = live(world)
     world.until(lambda: len(peer.streams) >= 4)
     assert len(live(world)) <= 2 and first in live(world)  # the one that is paid for stays
-    world.until(lambda: sum(stream.closed is None for stream in peer.streams) <= 2)
+    world.until(lambda: sum(stream.close_reason is None for stream in peer.streams) <= 2)
 
 
 def test_a_visit_ends_only_when_the_next_is_opened(world, monkeypatch):
@@ -621,10 +621,10 @@
     (peer,), _ = standing(world, 1)
     peer.serve = lambda stream: iter(())
     (link,) = live(world)
-    monkeypatch.setattr(link.stream, "shut", lambda: None)
+    monkeypatch.setattr(link.stream, "shutdown_write", lambda: None)
     link.leave("room is wanted")
     assert world.descriptors.leaving == {link}
-    world.until(lambda: link.stream.closed == "room is wanted" and not world.descriptors.leaving)
+    world.until(lambda: link.stream.close_reason == "room is wanted" and not world.descriptors.leaving)
 
 
 def test_links_that_we_end_do_not_tell_that_a_host_ended(world):
@@ -804,7 +804,7 @@
     late = world.client()
     late.send(m.encode(m.TEST, 9))
     assert world.says(late) == m.caused(m.TESTED, 9, 1)
-    assert world.says(quiet) == b"" and busy_owner.stream.closed is None
+    assert world.says(quiet) == b"" and busy_owner.stream.close_reason is None
     lasting.send(m.encode(m.TEST, 9))
     assert world.says(lasting) == m.caused(m.TESTED, 9, 1)
 
--- a/tests/platform_server/test_process_races.py
+++ b/tests/platform_server/test_process_races.py
@@ -34,7 +34,7 @@
 
     def _drip(self):
         for stream in self.dripped:
-            stream.put(b" ")
+            stream.try_send(b" ")
         self.loop.call_in(50.0, self._drip)
 
 
@@ -202,7 +202,7 @@
     def _accepted(self, stream):
         super()._accepted(stream)
         for task in self.owed:
-            stream.put(m.caused(m.RELEASE, task, m.ENDED))
+            stream.try_send(m.caused(m.RELEASE, task, m.ENDED))
 
     def _take(self, stream, task):
         self.links[task] = stream
@@ -212,7 +212,7 @@
         self.owed |= set(self.links)
         for task in self.links:  # the link of its set-up may have been left since: on any open one, so on all
             for stream in list(self.streams):
-                stream.put(m.caused(m.RELEASE, task, m.ENDED))
+                stream.try_send(m.caused(m.RELEASE, task, m.ENDED))
 
     def die(self):
         """Its port stays taken, and refuses: a listener of somebody else there would pass for the host."""
@@ -230,7 +230,7 @@
         """Open links stay and say nothing more, connections do not come up: the queue of its listener is full."""
         self.listener.close()
         for stream in self.streams:
-            stream.put = lambda data: False
+            stream.try_send = lambda data: False
         full = self._bound()
         full.listen(0)
         self.fillers = [full]
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -231,7 +231,7 @@
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
     (link,) = world.hosts.hosts["h1"].links
-    link.stream.out += b"\0"  # as if the socket had taken no more
+    link.stream.unsent += b"\0"  # as if the socket had taken no more
     world.ask(sock, 2)
     world.until(lambda: len(peer.streams) == 2 and m.SETUP in kinds(peer)[1:])
     assert peer.got[-1][0] is peer.streams[1]
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -197,9 +197,9 @@
 
 def looked(world, ms):
     """Hosts looked at in so long, and ticks."""
-    before = world.hosts.turns.taken, world.hosts.ticks
+    before = world.hosts.turns.taken_total, world.hosts.ticks
     world.advance(ms)
-    return world.hosts.turns.taken - before[0], world.hosts.ticks - before[1]
+    return world.hosts.turns.taken_total - before[0], world.hosts.ticks - before[1]
 
 
 def test_idle_hosts_cost_nothing_whatever_their_number(monkeypatch):
@@ -240,7 +240,7 @@
     world.advance(10_000.0)
     turns = world.hosts.turns
     assert not (world.hosts.hosts or world.exchange.standing or world.hosts.linked or world.hosts.releasing)
-    assert not turns.dirty and not len(turns.due) and world.hosts.links == 0
+    assert not turns.dirty and not len(turns.due_queue) and world.hosts.links == 0
 
 
 # ---- marks that drawn streams seldom need ----
--- a/tests/rest/test_rest_service.py
+++ b/tests/rest/test_rest_service.py
@@ -521,7 +521,7 @@
 
     answers = [front.api.handle(Request("GET", "/v1/jobs", {}, b"", origin=Origin)) for _ in range(8)]
     assert [a.status for a in answers] == [200] * 3 + [429] * 5  # a list costs more than its request
-    assert [a.pause_ms > 0.0 for a in answers] == [False] * 5 + [True] * 3
+    assert [a.read_pause_ms > 0.0 for a in answers] == [False] * 5 + [True] * 3
     for call in Origin.on_close:
         call("gone")
     assert Origin not in front.api.peers
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -258,7 +258,7 @@
         for part in self.parts:
             part.close()
         for _ in range(5):
-            self.loop.round(wait=False)  # tasks whose connections were closed end
+            self.loop.run_once(wait=False)  # tasks whose connections were closed end
 
     def until(self, done):
         run_until(self.loop, done, 5_000.0, lambda: self.group.counts())
@@ -412,4 +412,4 @@
     assert last["reset"] and [told["instanceId"] for told in last["instances"]] == ["h0"]
     channels.close()
     for _ in range(5):
-        loop.round(wait=False)
+        loop.run_once(wait=False)
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -104,7 +104,7 @@
         end = self.clock.at + ms
         self.loop.call_in(ms, lambda: None)
         while self.clock.at < end:
-            self.loop.round()
+            self.loop.run_once()
 
     def ask(self, extras="cores:0.1;memory:0.1;service:s"):
         """A request comes, is placed, and a connection for it is begun."""
@@ -112,7 +112,7 @@
         self.asked += 1
         self.client.send(setup(self.asked, extras=extras))
         for _ in range(20):
-            self.loop.round()
+            self.loop.run_once()
             if self.process.exchange.taken == self.asked:
                 return
         raise AssertionError("it was not taken")
@@ -143,8 +143,8 @@
     """Indexes that are checked against all there is, as in the other tests, cost all there is."""
     for name, module in list(sys.modules.items()):
         for found in vars(module).values() if name.startswith("glencleat.index") else ():
-            if isinstance(found, type) and "checked" in vars(found):
-                monkeypatch.setattr(found, "checked", False)
+            if isinstance(found, type) and "is_checked" in vars(found):
+                monkeypatch.setattr(found, "is_checked", False)
 
 
 @pytest.fixture
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -42,8 +42,8 @@
         while (due := self.timers.next_due()) is not None and due <= until:
             self.at = max(self.at, due)
             for timer in self.timers.pop_due(self.at):
-                if timer.call is not None:
-                    timer.call()
+                if timer.callback is not None:
+                    timer.callback()
         self.at = until
 
 
@@ -138,7 +138,7 @@
     def launch(self, task, cls="safe", cores=1.0, memory=100.0, left=8000.0, **more):
         labels = {"class": cls, "service": "svc", "time_left_ms": str(left), **more}
         told = m.Labels([m.Label(key, value) for key, value in labels.items()])
-        info = m.TaskInfo(task, m.Value(task), resources=m.resources(cores, memory), labels=told)
+        info = m.TaskInfo(task, m.Value(task), resources=m.build_resources(cores, memory), labels=told)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
         self.cluster.core.owners.accept(self.framework, m.Accept([offer], [operation]))
--- a/tests/support/daemon_world.py
+++ b/tests/support/daemon_world.py
@@ -91,7 +91,7 @@
         tick()
         while not condition():
             assert self.loop.now() < end, "it did not come about"
-            self.loop.round()
+            self.loop.run_once()
         ticking[0].cancel()
 
     def owner(self, name="o"):
@@ -122,6 +122,6 @@
             host.stop("the end")
         for server in self.daemon.servers.values():
             server.close()
-            for stream in list(server.listener.open):
+            for stream in list(server.listener.open_streams):
                 stream.close("the end")
         self.directory.close()
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -40,32 +40,32 @@
 
 
 class FakeStream:
-    readable, out = False, b""
+    is_readable, unsent = False, b""
 
     def __init__(self, world, peer, number):
         self.world, self.peer, self.number = world, peer, number
-        self.closed, self.queued, self.written, self.on_close = None, 0, 0, []
+        self.close_reason, self.queued_bytes, self.written_bytes, self.on_close = None, 0, 0, []
         self.inbox, self.reader = [], None
 
-    def put(self, data):
-        if self.closed is None:
-            self.queued += len(data)
-            self.written = self.queued
+    def try_send(self, data):
+        if self.close_reason is None:
+            self.queued_bytes += len(data)
+            self.written_bytes = self.queued_bytes
             self.world.note("put", self.number, data)
             self.world.loop.call_in(1.0, lambda: self.peer.hears(self, data))
 
     def bring(self, data):
-        if self.closed is None:
+        if self.close_reason is None:
             self.inbox.append(data)
             if self.reader is not None:
                 reader, self.reader = self.reader, None
                 self.world.loop.wake(reader)
 
     def read(self):
-        while not self.inbox and self.closed is None:
+        while not self.inbox and self.close_reason is None:
             yield self._arm
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
         return self.inbox.pop(0)
 
     def _arm(self, task):
@@ -76,16 +76,16 @@
 
         return disarm
 
-    def hung_up(self):
-        return self.closed is not None or b"" in self.inbox
+    def has_hung_up(self):
+        return self.close_reason is not None or b"" in self.inbox
 
-    def shut(self):
+    def shutdown_write(self):
         self.world.note("shut", self.number)
         self.world.loop.call_in(3.0, lambda: self.bring(b""))
 
     def close(self, why="closed"):
-        if self.closed is None:
-            self.closed = why
+        if self.close_reason is None:
+            self.close_reason = why
             self.world.note("close", self.number, why)
             self.peer.streams.pop(self, None)
             if self.reader is not None:
@@ -108,7 +108,7 @@
             stream.bring(m.caused(m.RELEASE, task, m.ENDED))
 
     def hears(self, stream, data):
-        if self.mode == "silent" or stream.closed is not None:
+        if self.mode == "silent" or stream.close_reason is not None:
             return
         for message in read(data):
             task = message.task
@@ -258,7 +258,7 @@
         reached = []
         self.loop.call_in(ms, lambda: reached.append(True))
         while not reached:
-            self.loop.round()
+            self.loop.run_once()
         self.clock.at = max(self.clock.at, end)
 
     def peer(self, name, port):
--- a/tests/support/reference_order.py
+++ b/tests/support/reference_order.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from glencleat import interface as api
-from glencleat.index.rendezvous import hashed, mixed
+from glencleat.index.rendezvous import hash_name, mix_hash
 from glencleat.policy import scheduler
 from glencleat.policy.scheduler import EXAMINED, MachineState, Scheduler
 
@@ -24,8 +24,8 @@
 
     def order(self, service):
         if service not in self.sorted:
-            seed = hashed(service)
-            self.sorted[service] = sorted(self.serves, key=lambda n: (mixed(seed ^ n.hash), n.name))
+            seed = hash_name(service)
+            self.sorted[service] = sorted(self.serves, key=lambda n: (mix_hash(seed ^ n.hash), n.name))
         return self.sorted[service]
 
     def walk(self, task):
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -19,7 +19,7 @@
     while not done():
         assert loop.now() < end, say()
         loop.call_in(5.0, lambda: None)
-        loop.round()
+        loop.run_once()
 
 
 class Peer:
@@ -140,7 +140,7 @@
     """Everything that lies ready is handled, and what follows from it."""
     for _ in range(rounds):
         world.loop.call_in(1.0, lambda: None)
-        world.loop.round()
+        world.loop.run_once()
 
 
 def linked(world):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -116,8 +116,8 @@
     (session,) = stuck.sessions.values()
     session.pause()
     link = day.core.members.session(stuck.name)
-    link.stream.limit = 1 << 30
-    while not link.stream.out:
+    link.stream.unsent_limit_bytes = 1 << 30
+    while not link.stream.unsent:
         link.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
     owner.ask(day.job("t1", "store-compact", "unsafe"))
     day.until(lambda: any(a.machine == stuck.name for a in day.core.ledger.attempts.values()))
@@ -152,7 +152,7 @@
     framework = day.core.frameworks.known[slow.framework]
     day.until(lambda: day.core.figures.given["pull-front", "served"] == 40)
     stream = framework.session.stream
-    stream.limit = 10  # as if its socket had been full for long
+    stream.unsent_limit_bytes = 10  # as if its socket had been full for long
     stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     i = 0
     while framework.session is not None:
@@ -214,9 +214,9 @@
         host.machine.faults.silent = True
     owner.ask(day.job("t1", "store-compact", "unsafe"))
     day.until(lambda: any(e.kind == "offered" for e in day.recorder.entries))
-    day.loop.running = True
+    day.loop.is_running = True
     day.daemon.stop()
-    day.until(lambda: not day.loop.running, 10_000.0)
+    day.until(lambda: not day.loop.is_running, 10_000.0)
     assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.ledger.open
 
 
@@ -264,7 +264,7 @@
     while not done():
         assert loop.now() < until
         loop.call_in(5.0, lambda: None)
-        loop.round()
+        loop.run_once()
 
 
 @pytest.mark.parametrize(
@@ -429,7 +429,7 @@
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
     for sock in crowd:
         sock.close()
-    assert len(day.daemon.servers["owners"].listener.open) <= 100
+    assert len(day.daemon.servers["owners"].listener.open_streams) <= 100
 
 
 JSON = st.recursive(
