--- a/glencleat/index/__init__.py
+++ b/glencleat/index/__init__.py
@@ -1,4 +1,5 @@
-"""Indexes: what answers "which of many" without looking at all. No decision, no tuned value, no clock.
+"""Indexes that answer "which of many" without a scan: due keys, changed keys, rendezvous-hash orders.
 
-Imports nothing of glencleat. Each has a check mode that recomputes its answers from scratch; tests turn it
-on."""
+The package holds no decision, no tuned value and no clock, and imports nothing else of the project.
+`DueQueue` and `RendezvousIndex` have a check mode that recomputes each answer from scratch; the tests turn it on.
+"""
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -1,9 +1,10 @@
-"""Whose turn it is in a tick: those on which something has happened and those that are due, in an order.
+"""A dirty set beside a timer queue: the keys with work to do now, handed out in a fixed order.
 
-Imports `index.due` alone; `platform_server/connection_pool.py` keeps its hosts in one. A dirty set
-beside an index by due time.
-What is marked while the turns are taken has its own among them if its place in the order is yet to come, else
-in the next tick: as if all were gone through in that order each time."""
+A key is pending when something has happened on it (`mark`) or when its due time has come (`schedule`). The
+connection pool keeps its hosts in one, so that a tick costs what is pending and not what there is. The order
+of work equals that of a loop over all keys: a key marked while others are handed out still comes in the same
+pass if its place in the order is ahead, and otherwise in the next pass.
+"""
 
 from __future__ import annotations
 
@@ -14,31 +15,34 @@
 from glencleat.index.due_queue import DueQueue
 
 K = TypeVar("K", bound=Hashable)
+SortKey = Any  # any comparable value; typing has no public protocol for these
 
 
 class DirtySet(Generic[K]):
-    """`order` gives a key's place: no two have the same, and none changes while turns are taken.
+    """Pending keys, handed out by ascending `sort_key`.
 
-    >>> turns = Turns[str](order=len)
-    >>> turns.mark("ccc"); turns.put("a", 5.0); turns.put("bb", 9.0)
-    >>> for key in turns.take(5.0):
-    ...     print(key)
-    ...     if key == "a": turns.mark("a"); turns.mark("bb")
+    `sort_key` gives distinct values for distinct keys, and none may change during a pass.
+
+    >>> hosts = DirtySet[str](sort_key=len)
+    >>> hosts.mark("ccc"); hosts.schedule("a", 5.0); hosts.schedule("bb", 9.0)
+    >>> for host in hosts.take_pending(5.0):
+    ...     print(host)
+    ...     if host == "a": hosts.mark("a"); hosts.mark("bb")
     a
     bb
     ccc
     """
 
-    def __init__(self, sort_key: Callable[[K], Any]) -> None:
+    def __init__(self, sort_key: Callable[[K], SortKey]) -> None:
         self.sort_key = sort_key
         self.dirty: set[K] = set()
         self.due_queue: DueQueue[K] = DueQueue()
-        self.heap: list[tuple[Any, K]] = []  # of the turns that are being taken
-        self.position: Any = None  # where they have come to
-        self.taken_total = 0  # turns, in all
+        self.heap: list[tuple[SortKey, K]] = []  # what the present pass has yet to hand out
+        self.position: SortKey = None  # sort key of the one handed out last in this pass; None between passes
+        self.taken_total = 0  # keys handed out since the start
 
     def mark(self, key: K) -> None:
-        """Something has happened on it."""
+        """Make `key` pending at once: something has happened on it."""
         if key in self.dirty:
             return
         self.dirty.add(key)
@@ -46,19 +50,19 @@
             heapq.heappush(self.heap, (self.sort_key(key), key))
 
     def schedule(self, key: K, due: float) -> None:
-        """It has its turn then, unless something happens on it before. `inf`: not by itself."""
+        """Make `key` pending at `due`, in place of its earlier due time; `inf` removes the due time."""
         if due < float("inf"):
             self.due_queue.put(key, due)
         else:
             self.due_queue.discard(key)
 
     def collect_pending(self, now: float) -> set[K]:
-        """All that have a turn now."""
+        """Move the keys due at `now` into the dirty set, and return that set."""
         self.dirty.update(self.due_queue.pop_due(now))
         return self.dirty
 
     def take_pending(self, now: float) -> Iterator[K]:
-        """Each that has a turn now; of what happens on one within its own turn its taker knows."""
+        """Yield each pending key in order; a mark on a key while it is being handled has no effect."""
         self.heap = [(self.sort_key(key), key) for key in self.collect_pending(now)]
         heapq.heapify(self.heap)
         try:
@@ -68,6 +72,5 @@
                 yield key
                 self.dirty.discard(key)
         finally:
-            self.position = (
-                None  # also where a turn raised: it and those after it come again in the next tick
-            )
+            # Also where the caller raised: that key and those after it are still dirty for the next pass.
+            self.position = None
--- a/glencleat/index/due_queue.py
+++ b/glencleat/index/due_queue.py
@@ -1,10 +1,10 @@
-"""Which of many are due: a priority queue by due time with lazy deletion.
+"""A priority queue of keys by due time, with lazy deletion.
 
-Imports nothing of glencleat; `platform_server/connection_pool.py` keeps its hosts in one. Times
-are the caller's, of any unit, and
-nothing here reads a clock. A time that is put off leaves its old entry in the heap until that comes up, or
-until the heap holds more of such entries than of others: then it is built anew. So each verb costs
-O(log n) amortized, and what is not due costs nothing. `docs/design-scale.md` sets it against others."""
+Times are the caller's, of any unit; nothing here reads a clock. A due time that is replaced leaves its
+old entry in the heap until that comes up, or until stale entries outnumber live ones: then the heap is rebuilt.
+So each operation costs O(log n) amortized, and keys that are not due cost nothing. `docs/design-scale.md` compares
+it with alternatives.
+"""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from typing import ClassVar, Generic, TypeVar
 
 K = TypeVar("K", bound=Hashable)
-STALE_ENTRIES_ALLOWED = 64  # stale entries that are let be
+STALE_ENTRIES_ALLOWED = 64  # beyond as many as there are live ones, before the heap is rebuilt
 
 
 class DueQueue(Generic[K]):
-    """
-    >>> index = DueIndex[str]()
-    >>> index.put("a", 5.0); index.put("b", 3.0); index.put("a", 9.0)
-    >>> index.pop_due(5.0), index.pop_due(5.0), len(index), index.next_due()
+    """Keys by due time; each key has at most one.
+
+    >>> queue = DueQueue[str]()
+    >>> queue.put("a", 5.0); queue.put("b", 3.0); queue.put("a", 9.0)
+    >>> queue.pop_due(5.0), queue.pop_due(5.0), len(queue), queue.next_due()
     (['b'], [], 1, 9.0)
     """
 
-    is_checked: ClassVar[bool] = False  # every answer is also worked out from scratch, which costs O(n)
+    is_checked: ClassVar[bool] = False  # in tests: compare every answer with one from scratch, at O(n)
 
     def __init__(self) -> None:
         self.due_by_key: dict[K, float] = {}
         self.heap: list[tuple[float, int, K]] = []
-        self.sequence = count()  # equal times come out in the order in which they were put
+        self.sequence = count()  # equal due times come out in the order in which they were put
 
     def __len__(self) -> int:
         return len(self.due_by_key)
 
     def put(self, key: K, due: float) -> None:
-        """`key` is due then, and no longer at the time that it had before."""
+        """Set the due time of `key`, in place of an earlier one."""
         if self.due_by_key.get(key) == due:
             return
         self.due_by_key[key] = due
@@ -45,10 +46,10 @@
             self._rebuild()
 
     def discard(self, key: K) -> None:
-        if (
-            self.due_by_key.pop(key, None) is not None
-            and len(self.heap) > 2 * len(self.due_by_key) + STALE_ENTRIES_ALLOWED
-        ):
+        """Remove `key` if it is there."""
+        if self.due_by_key.pop(key, None) is None:
+            return
+        if len(self.heap) > 2 * len(self.due_by_key) + STALE_ENTRIES_ALLOWED:
             self._rebuild()
 
     def _rebuild(self) -> None:
@@ -56,25 +57,26 @@
         heapify(self.heap)
 
     def next_due(self) -> float | None:
-        """The least time of all; None where there is none."""
+        """Return the earliest due time, None for an empty queue."""
         while self.heap and self.due_by_key.get(self.heap[0][2]) != self.heap[0][0]:
             heappop(self.heap)
-        found = self.heap[0][0] if self.heap else None
+        earliest = self.heap[0][0] if self.heap else None
         if self.is_checked:
-            assert found == min(self.due_by_key.values(), default=None)
-        return found
+            assert earliest == min(self.due_by_key.values(), default=None)
+        return earliest
 
     def pop_due(self, now: float) -> list[K]:
-        """Takes out all that are due at `now`, the earliest first."""
-        expected = (
-            {key for key, due in self.due_by_key.items() if due <= now} if self.is_checked else set[K]()
-        )
-        found = []
+        """Remove and return the keys due at `now`, the earliest first."""
+        expected = set[K]()
+        if self.is_checked:
+            expected = {key for key, due in self.due_by_key.items() if due <= now}
+        due_keys = []
         while self.heap and self.heap[0][0] <= now:
             due, _, key = heappop(self.heap)
             if self.due_by_key.get(key) == due:
                 del self.due_by_key[key]
-                found.append(key)
+                due_keys.append(key)
         if self.is_checked:
-            assert set(found) == expected and len(found) == len(expected)
-        return found
+            assert set(due_keys) == expected
+            assert len(due_keys) == len(expected)
+        return due_keys
