--- a/glencleat/event_loop/loop.py
+++ b/glencleat/event_loop/loop.py
@@ -1,7 +1,7 @@
-"""The loop: generators as coroutines over epoll, one thread. A task waits by yielding an arming function.
+"""The loop: generators as coroutines over epoll, in one thread; the package's docstring tells the pattern.
 
-Imports the timers only. Whoever starts the program makes one Loop and calls `run`. Clock and poller are
-arguments, so that the same tasks can run on a virtual clock."""
+Clock, poller and timers are arguments, so that the same tasks can run on a virtual clock.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +13,14 @@
 
 from glencleat.event_loop.timers import Timer, Timers, TimerWheel
 
-Arm = Callable[["LoopTask"], Callable[[], None]]  # starts a wait, returns what ends it early
+Disarm = Callable[[], None]  # ends a wait early
+Arm = Callable[["LoopTask"], Disarm]  # starts a wait
 Coroutine = Generator[Arm, Any, Any]
-MAX_EVENTS = 4_096  # of one poll; more than there are descriptors, so that it tells of all that has come
-READ, WRITE = select.EPOLLIN, select.EPOLLOUT
+WakeValue = Any  # what the `yield` of a wait gives; each waiting function knows its own
+TaskResult = Any  # what the coroutine returns; each caller knows its own
+MAX_EVENTS = 4_096  # of one poll; more than there are descriptors, so that one poll reports all of them
+READ = select.EPOLLIN
+WRITE = select.EPOLLOUT
 
 
 class CancelledError(BaseException):
@@ -24,35 +28,51 @@
 
 
 class Clock(Protocol):
+    """Time as the loop sees it."""
+
     def now(self) -> float:
-        """Monotonic milliseconds."""
+        """Return monotonic milliseconds."""
 
     def wall(self) -> float:
-        """Milliseconds since the epoch, for what leaves the process."""
+        """Return milliseconds since the epoch, for what leaves the process."""
 
 
 class SystemClock:
+    """The clocks of the operating system."""
+
     def now(self) -> float:
+        """Return monotonic milliseconds."""
         return time.monotonic() * 1000.0
 
     def wall(self) -> float:
+        """Return milliseconds since the epoch."""
         return time.time() * 1000.0
 
 
 class Poller(Protocol):
+    """Readiness of file descriptors; `interest` and masks are epoll's bits."""
+
     idle_ms: float  # spent waiting, in all
 
-    def register(self, fd: int, interest: int, call: Callable[[int], None], last: bool = False) -> None: ...
-    def modify(self, fd: int, interest: int) -> None: ...
-    def unregister(self, fd: int) -> None: ...
-    def poll(self, timeout_ms: float | None) -> int: ...
+    def register(self, fd: int, interest: int, call: Callable[[int], None], last: bool = False) -> None:
+        """Call `call(mask)` for events of `fd` from now on; with `last`, after all other calls of a poll."""
+
+    def modify(self, fd: int, interest: int) -> None:
+        """Replace the interest in a registered descriptor."""
+
+    def unregister(self, fd: int) -> None:
+        """Forget the descriptor, if it is registered; to be called before it is closed."""
+
+    def poll(self, timeout_ms: float | None) -> int:
+        """Wait for events at most so long (None: without end), make the calls, return their number."""
 
 
 class EpollPoller:
     """Level-triggered epoll with a callback for each descriptor.
 
-    `last`: called once all others of the poll were, for what has to know what they were told: who comes in
-    may put out one on whom something has come."""
+    Callbacks registered with `last` come after all others of a poll: a listener that admits a newcomer may
+    evict an idle connection, and must know first on which of them something has arrived.
+    """
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
@@ -61,35 +81,39 @@
         self.idle_ms = 0.0
 
     def register(self, fd: int, interest: int, call: Callable[[int], None], last: bool = False) -> None:
+        """Call `call(mask)` for events of `fd`; see `Poller`."""
         self.epoll.register(fd, interest)
         self.callbacks[fd] = call
         if last:
             self.deferred_fds.add(fd)
 
     def modify(self, fd: int, interest: int) -> None:
+        """Replace the interest in a registered descriptor."""
         self.epoll.modify(fd, interest)
 
     def unregister(self, fd: int) -> None:
+        """Forget the descriptor, if it is registered."""
         if self.callbacks.pop(fd, None) is not None:
             self.epoll.unregister(fd)
             self.deferred_fds.discard(fd)
 
     def poll(self, timeout_ms: float | None) -> int:
-        wait = None if timeout_ms is None else max(0.0, timeout_ms) / 1000.0
+        """Wait for events and make their calls; see `Poller`."""
+        timeout_s = None if timeout_ms is None else max(0.0, timeout_ms) / 1000.0
         began = time.monotonic()
-        events = self.epoll.poll(wait, MAX_EVENTS)
+        events = self.epoll.poll(timeout_s, MAX_EVENTS)
         self.idle_ms += 1_000.0 * (time.monotonic() - began)
         if self.deferred_fds:
             events.sort(key=lambda event: event[0] in self.deferred_fds)
         for fd, mask in events:
-            call = self.callbacks.get(fd)  # an earlier callback of this round may have closed it
+            call = self.callbacks.get(fd)  # an earlier callback of this poll may have closed it
             if call is not None:
                 call(mask)
         return len(events)
 
 
 class LoopTask:
-    """A running generator. Its children are cancelled when it ends."""
+    """A running coroutine. Its children are cancelled when it ends."""
 
     __slots__ = (
         "coroutine",
@@ -104,17 +128,27 @@
         "joiners",
     )
 
-    def __init__(self, gen: Coroutine, name: str, parent: LoopTask | None, urgent: bool = False) -> None:
-        self.coroutine, self.name, self.parent, self.is_urgent = gen, name, parent, urgent
+    def __init__(
+        self, coroutine: Coroutine, name: str, parent: LoopTask | None, is_urgent: bool = False
+    ) -> None:
+        self.coroutine = coroutine
+        self.name = name
+        self.parent = parent
+        self.is_urgent = is_urgent
         self.children: set[LoopTask] = set()
-        self.is_done, self.result = False, None
+        self.is_done = False
+        self.result: TaskResult = None
         self.error: BaseException | None = None
-        self.disarm: Callable[[], None] | None = None
+        self.disarm: Disarm | None = None  # of the present wait; None while the task is ready or runs
         self.joiners: list[LoopTask] = []
 
 
+# A ready task, what its wait gives, and what is thrown into it instead.
+Step = tuple[LoopTask, WakeValue, BaseException | None]
+
+
 class Loop:
-    """Runs tasks, timers and descriptors until stopped.
+    """Runs tasks, timers and descriptors until stopped; `on_error` takes errors of tasks without joiners.
 
     >>> loop = Loop()
     >>> def work():
@@ -130,15 +164,11 @@
         self.clock = clock or SystemClock()
         self.poller = poller or EpollPoller()
         self.timers: Timers = timers or TimerWheel(self.clock.now())
-        self.ready: deque[tuple[LoopTask, Any, BaseException | None]] = deque()
-        self.urgent_ready: deque[tuple[LoopTask, Any, BaseException | None]] = (
-            deque()
-        )  # the urgent ones of these
-        self.due_timers: deque[Timer] = (
-            deque()
-        )  # of this round; an error in one leaves the others to the next
+        self.ready: deque[Step] = deque()
+        self.urgent_ready: deque[Step] = deque()  # the steps of urgent tasks
+        self.due_timers: deque[Timer] = deque()  # of this round; an error in one leaves the rest to the next
         self.is_running = False
-        self.current: LoopTask | None = None
+        self.current: LoopTask | None = None  # the task that takes a step now
         self.on_error: Callable[[LoopTask, BaseException], None] = self._raise
 
     @staticmethod
@@ -146,29 +176,35 @@
         raise error
 
     def now(self) -> float:
+        """Return the clock's monotonic milliseconds."""
         return self.clock.now()
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
+        """Call `call` in so many milliseconds, unless the timer is cancelled before."""
         return self.timers.add(self.clock.now() + in_ms, call)
 
     def spawn(
-        self, gen: Coroutine, name: str, parent: LoopTask | None = None, urgent: bool = False
+        self, coroutine: Coroutine, name: str, parent: LoopTask | None = None, urgent: bool = False
     ) -> LoopTask:
-        """`urgent`: what the poller wakes it for is handled before all timers and other tasks of that round.
+        """Start a coroutine as a task; it takes its first step with the other ready tasks.
 
-        For what all the others have to know: after a standstill they would act on what is no longer so."""
-        task = LoopTask(gen, name, parent, urgent)
+        With a `parent`, the task is cancelled when the parent ends. An `urgent` task that the poller wakes
+        runs before all timers and other tasks of that round: for news that all others need, since after a
+        standstill they would act on what no longer holds.
+        """
+        task = LoopTask(coroutine, name, parent, urgent)
         if parent is not None:
             parent.children.add(task)
         self.ready.append((task, None, None))
         return task
 
-    def wake(self, task: LoopTask, value: Any = None) -> None:
-        """Ends the task's present wait; it goes on in this round of the loop."""
+    def wake(self, task: LoopTask, value: WakeValue = None) -> None:
+        """End the task's present wait, which gives `value`; the task goes on in this round of the loop."""
         task.disarm = None
         (self.urgent_ready if task.is_urgent else self.ready).append((task, value, None))
 
     def cancel(self, task: LoopTask) -> None:
+        """End the task's present wait and throw CancelledError into it; without effect on an ended task."""
         if task.is_done:
             return
         if task.disarm is not None:
@@ -177,16 +213,18 @@
         self.ready.append((task, None, CancelledError()))
 
     def sleep(self, ms: float) -> Coroutine:
-        def arm(task: LoopTask) -> Callable[[], None]:
+        """Wait so many milliseconds."""
+
+        def arm(task: LoopTask) -> Disarm:
             return self.call_in(ms, lambda: self.wake(task)).cancel
 
         yield arm
 
     def join(self, other: LoopTask) -> Coroutine:
-        """Waits for the end of another task; gives its result or raises its error."""
+        """Wait for the end of another task; return its result or raise its error."""
         if not other.is_done:
 
-            def arm(task: LoopTask) -> Callable[[], None]:
+            def arm(task: LoopTask) -> Disarm:
                 other.joiners.append(task)
                 return lambda: other.joiners.remove(task)
 
@@ -195,7 +233,8 @@
             raise other.error
         return other.result
 
-    def _step(self, task: LoopTask, value: Any, error: BaseException | None) -> None:
+    def _step(self, task: LoopTask, value: WakeValue, error: BaseException | None) -> None:
+        """Run the task up to its next wait or its end."""
         if task.is_done:
             return
         if error is not None and task.disarm is not None:
@@ -215,8 +254,10 @@
         finally:
             self.current = None
 
-    def _end(self, task: LoopTask, result: Any, error: BaseException | None) -> None:
-        task.is_done, task.result, task.error = True, result, error
+    def _end(self, task: LoopTask, result: TaskResult, error: BaseException | None) -> None:
+        task.is_done = True
+        task.result = result
+        task.error = error
         if task.parent is not None:
             task.parent.children.discard(task)
         for child in list(task.children):
@@ -228,15 +269,17 @@
         task.joiners = []
 
     def run_once(self, wait: bool = True) -> None:
-        """One turn: what the poller tells, urgent tasks, what is due, then the tasks that are ready.
+        """Run one round: events of the poller, urgent tasks, due timers, then the tasks that are ready.
 
-        Tasks come last, so that a loop that one of them has ended is not left waiting in the poller."""
+        Tasks come last, so that a loop that one of them has stopped is not left waiting in the poller. With
+        `wait` false the poller returns at once.
+        """
         if self.ready or self.urgent_ready or self.due_timers or not wait:
-            timeout: float | None = 0.0
+            timeout_ms: float | None = 0.0
         else:
             due = self.timers.next_due()
-            timeout = None if due is None else due - self.clock.now()
-        self.poller.poll(timeout)
+            timeout_ms = None if due is None else due - self.clock.now()
+        self.poller.poll(timeout_ms)
         for _ in range(len(self.urgent_ready)):
             self._step(*self.urgent_ready.popleft())
         self.due_timers.extend(self.timers.pop_due(self.clock.now()))
@@ -248,12 +291,13 @@
             self._step(*self.ready.popleft())
 
     def run(self) -> None:
+        """Run rounds until `stop`."""
         self.is_running = True
         while self.is_running:
             self.run_once()
 
-    def run_until(self, task: LoopTask) -> Any:
-        """Runs until the task has ended; gives its result or raises its error."""
+    def run_until(self, task: LoopTask) -> TaskResult:
+        """Run rounds until the task has ended; return its result or raise its error."""
         while not task.is_done:
             self.run_once()
         if task.error is not None:
@@ -261,6 +305,7 @@
         return task.result
 
     def stop(self) -> None:
+        """Let `run` return at the end of the present round."""
         self.is_running = False
 
 
@@ -268,9 +313,9 @@
     """A sleep of one task that others can end early.
 
     >>> loop = Loop()
-    >>> pause = Pause(loop)
-    >>> timer = loop.call_in(1.0, pause.end)
-    >>> loop.run_until(loop.spawn(pause.sleep(60_000.0), "sleeper"))
+    >>> retry_wait = InterruptibleSleep(loop)
+    >>> timer = loop.call_in(1.0, retry_wait.interrupt)
+    >>> loop.run_until(loop.spawn(retry_wait.sleep(60_000.0), "sleeper"))
     False
     """
 
@@ -280,28 +325,29 @@
 
     @property
     def is_asleep(self) -> bool:
+        """Whether a task sleeps now."""
         return self._wake is not None
 
     def sleep(self, ms: float) -> Coroutine:
-        """Whether it lasted as long as it should."""
+        """Sleep so many milliseconds; return whether it lasted to its end."""
 
-        def arm(task: LoopTask) -> Callable[[], None]:
+        def arm(task: LoopTask) -> Disarm:
             def disarm() -> None:
                 timer.cancel()
                 self._wake = None
 
-            def wake(whole: bool) -> None:
+            def wake(is_complete: bool) -> None:
                 disarm()
-                self.loop.wake(task, whole)
+                self.loop.wake(task, is_complete)
 
-            timer = self.loop.call_in(ms, lambda: wake(True))
+            timer = self.loop.call_in(ms, lambda: wake(is_complete=True))
             self._wake = wake
             return disarm
 
-        whole = yield arm
-        return whole
+        is_complete = yield arm
+        return is_complete
 
     def interrupt(self) -> None:
-        """Nobody may be asleep."""
+        """End the sleep early; without effect if no task sleeps."""
         if self._wake is not None:
-            self._wake(False)
+            self._wake(False)  # noqa: FBT003 - the one argument of a callback
--- a/glencleat/event_loop/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -1,7 +1,8 @@
-"""Bounded streams over non-blocking sockets, and a listener that survives running out of descriptors.
+"""Bounded streams over non-blocking sockets, and connecting.
 
-Imports the loop. A peer that stops reading is cut off when its unsent bytes pass the stream's limit: a slow
-reader may never hold up a decision or fill memory."""
+A peer that stops reading is cut off when its unsent bytes pass the stream's limit: a slow reader may never
+hold up a decision or fill memory.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +13,15 @@
 import socket
 import struct
 from collections.abc import Callable
-from typing import Any
 
-from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, LoopTask
+from glencleat.event_loop.loop import READ, WRITE, Coroutine, Disarm, Loop, LoopTask
 
+UNSENT_LIMIT_BYTES = 1 << 20  # what a slow reader may owe, unless the caller says otherwise
 READ_BYTES = 65_536
 IMMEDIATE_READS_MAX = 4  # reads of one stream that need no wait before others have their turn
-ACCEPT_PAUSE_MS = 50.0  # before a listener without any descriptor looks again
-SO_TIMESTAMPNS = (
-    35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
-)
+SO_TIMESTAMPNS = 35  # of Linux, which Python does not name: seconds and nanoseconds beside the bytes
 TIMESPEC = struct.Struct("qq")
+TIMED_OUT = -1  # in place of an event mask
 
 
 class StreamClosedError(Exception):
@@ -34,6 +33,7 @@
 
     def __init__(self, address: tuple[str, int], code: int) -> None:
         super().__init__(f"can't connect to {address[0]}:{address[1]}: {os.strerror(code)}")
+        self.address = address
         self.code = code
 
 
@@ -42,24 +42,30 @@
 
 
 class Stream:
-    """One connection. `queued` and `written` count bytes since its start, so that what left is known."""
-
-    def __init__(self, loop: Loop, sock: Any, unsent_limit_bytes: int = 1 << 20) -> None:
-        sock.setblocking(False)
-        self.loop, self.sock, self.unsent_limit_bytes, self.fd = loop, sock, unsent_limit_bytes, sock.fileno()
+    """One connection, read by one task at a time.
+
+    `queued_bytes` and `written_bytes` count from its start, so that what left the process is known.
+    `on_close` holds callbacks that take the reason; each is called once.
+    """
+
+    def __init__(self, loop: Loop, sock: socket.socket, unsent_limit_bytes: int = UNSENT_LIMIT_BYTES) -> None:
+        sock.setblocking(False)  # noqa: FBT003 - the standard library's signature
+        self.loop = loop
+        self.sock = sock
+        self.unsent_limit_bytes = unsent_limit_bytes
+        self.fd = sock.fileno()
         self.unsent = bytearray()
-        self.queued_bytes = self.written_bytes = 0
-        self.close_reason: str | None = None
+        self.queued_bytes = 0
+        self.written_bytes = 0
+        self.close_reason: str | None = None  # None while it is open
         self.on_close: list[Callable[[str], None]] = []
-        self.reader: LoopTask | None = None
+        self.reader: LoopTask | None = None  # the task that waits to read
         self.flusher: LoopTask | None = None
-        self.interest = 0
+        self.interest = 0  # events asked of the poller
         self.is_readable = False
         self.immediate_reads = 0  # reads in a row that needed no wait
         self.has_timestamps = False
-        self.received_at_ms: float | None = (
-            None  # when the system took the last bytes read, Unix milliseconds
-        )
+        self.received_at_ms: float | None = None  # when the system took the last bytes read, Unix time
         loop.poller.register(self.fd, 0, self._on_event)
 
     def _set_interest(self, interest: int) -> None:
@@ -82,7 +88,7 @@
                 )  # or a level-triggered loop spins until somebody reads
 
     def read(self, size: int = READ_BYTES) -> Coroutine:
-        """The next bytes, b"" at the peer's end; raises StreamClosed once it is closed."""
+        """Return the next bytes, b"" at the peer's end; raises StreamClosedError once it is closed."""
         while True:
             yield from self.wait_readable()
             data = self.read_available(size)
@@ -90,9 +96,11 @@
                 return data
 
     def wait_readable(self) -> Coroutine:
-        """Until there may be something to read, or `nudge`; raises StreamClosed once it is closed.
+        """Wait until there may be something to read, or `wake_reader`.
 
-        One who sends faster than we read is read in turns, or its reader would keep the loop to itself."""
+        A peer that sends faster than we read is read in turns with others, or its reader would keep the loop
+        to itself. Raises StreamClosedError once the stream is closed.
+        """
         if self.close_reason is None and not self.is_readable:
             self.immediate_reads = 0
             yield self._arm_read
@@ -104,9 +112,10 @@
             raise StreamClosedError(self.close_reason)
 
     def read_available(self, size: int = READ_BYTES) -> bytes | None:
-        """What has come by this instant, whether the poller told of it or not.
+        """Return what has arrived by now, whether the poller has reported it or not.
 
-        b"" at the peer's end, None if there is nothing; raises StreamClosed once it is closed."""
+        b"" at the peer's end, None if there is nothing; raises StreamClosedError once the stream is closed.
+        """
         if self.close_reason is not None:
             raise StreamClosedError(self.close_reason)
         try:
@@ -116,7 +125,7 @@
             return None
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
-            raise StreamClosedError(self.close_reason or "") from None
+            raise StreamClosedError(self.close_reason or "") from error
         if len(data) < size:
             self._await_readable()
         else:
@@ -124,12 +133,12 @@
         return data
 
     def _await_readable(self) -> None:
-        """The poller tells of more, also while the reader has its turn: until then there is nothing."""
+        """Have the poller report more bytes, also while the reader runs: until then there is nothing."""
         self.is_readable = False
         self._set_interest(self.interest | READ)
 
     def has_hung_up(self) -> bool:
-        """Whether the peer has closed by this instant, also where what it sent before lies unread."""
+        """Whether the peer has closed by now, also where what it sent before lies unread."""
         if self.close_reason is not None:
             return True
         try:
@@ -139,31 +148,32 @@
             return False
         except OSError:
             return True
-        poll = select.poll()  # the dearer question, for what lies behind bytes
+        poll = select.poll()  # costs more, but sees an end that lies behind unread bytes
         poll.register(self.fd, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def wake_reader(self) -> None:
-        """Wakes who waits to read: what it waits for was taken in another way."""
+        """Wake the task that waits to read: what it waits for was taken by `read_available`."""
         if self.reader is not None:
-            reader, self.reader = self.reader, None
+            reader = self.reader
+            self.reader = None
             self.loop.wake(reader)
 
     def enable_timestamps(self) -> None:
-        """From now on `arrived` tells how long bytes waited for us; it stays None where the system can't."""
+        """Set `received_at_ms` at each read from now on; it stays None where the system has no such time."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
             self.has_timestamps = True
 
     def _recv_stamped(self, size: int) -> bytes:
-        data, told, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
-        for level, kind, raw in told:
+        data, ancillary, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
+        for level, kind, raw in ancillary:
             if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) == TIMESPEC.size:
                 seconds, nanoseconds = TIMESPEC.unpack(raw)
                 self.received_at_ms = seconds * 1e3 + nanoseconds / 1e6
         return bytes(data)
 
-    def _arm_read(self, task: LoopTask) -> Callable[[], None]:
+    def _arm_read(self, task: LoopTask) -> Disarm:
         self.reader = task
         self._set_interest(self.interest | READ)
 
@@ -173,15 +183,17 @@
         return disarm
 
     def send(self, data: bytes) -> int:
-        """Queues bytes and writes what the socket takes; gives the position of their end.
+        """Queue bytes and write what the socket takes; return the value of `queued_bytes` at their end.
 
-        Raises StreamClosed, or Overflow when the peer reads too slowly (the stream is then closed)."""
+        Raises StreamClosedError, or StreamOverflowError when the peer reads too slowly (the stream is then
+        closed).
+        """
         if self.close_reason is not None:
             raise StreamClosedError(self.close_reason)
         self.queued_bytes += len(data)
-        waiting = bool(self.unsent)
+        had_unsent = bool(self.unsent)
         self.unsent += data
-        if not waiting:
+        if not had_unsent:
             self._write()
         if len(self.unsent) > self.unsent_limit_bytes:
             self.close(f"slow reader: {len(self.unsent)} bytes unsent")
@@ -189,7 +201,7 @@
         return self.queued_bytes
 
     def try_send(self, data: bytes) -> bool:
-        """`send` for who need not know why: False if the stream is closed, or was by this."""
+        """Send without raising; return False if the stream is closed, or was by this."""
         try:
             self.send(data)
         except StreamClosedError:
@@ -208,14 +220,15 @@
         del self.unsent[:sent]
         self._set_interest(self.interest | WRITE if self.unsent else self.interest & ~WRITE)
         if not self.unsent and self.flusher is not None:
-            flusher, self.flusher = self.flusher, None
+            flusher = self.flusher
+            self.flusher = None
             self.loop.wake(flusher)
 
     def flush(self) -> Coroutine:
-        """Waits until all that is queued has been handed to the socket, or the stream is closed."""
+        """Wait until all that is queued has been handed to the socket, or the stream is closed."""
         while self.unsent and self.close_reason is None:
 
-            def arm(task: LoopTask) -> Callable[[], None]:
+            def arm(task: LoopTask) -> Disarm:
                 self.flusher = task
 
                 def disarm() -> None:
@@ -226,11 +239,12 @@
             yield arm
 
     def shutdown_write(self) -> None:
-        """No more is written; what was written arrives, and the peer's bytes can still be read."""
+        """End our side: what was written arrives, and the peer's bytes can still be read."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, why: str = "closed") -> None:
+        """Close the socket, wake the waiting tasks, and call `on_close`; later calls have no effect."""
         if self.close_reason is not None:
             return
         self.close_reason = why
@@ -240,31 +254,22 @@
         for task in (self.reader, self.flusher):
             if task is not None:
                 self.loop.wake(task)
-        self.reader = self.flusher = None
-        calls, self.on_close = self.on_close, []  # they hold what holds the stream: a cycle for each peer
-        for call in calls:
-            call(why)
+        self.reader = None
+        self.flusher = None
+        callbacks = self.on_close
+        self.on_close = []  # callbacks hold what holds the stream: a reference cycle for each peer
+        for callback in callbacks:
+            callback(why)
 
 
 def connect(
-    loop: Loop, address: tuple[str, int], timeout_ms: float, unsent_limit_bytes: int = 1 << 20
+    loop: Loop, address: tuple[str, int], timeout_ms: float, unsent_limit_bytes: int = UNSENT_LIMIT_BYTES
 ) -> Coroutine:
-    """A Stream to the address; raises ConnectFailed when it can't be made in time."""
-    try:
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as error:  # out of descriptors: ours, not the peer's
-        raise ConnectError(address, error.errno or errno.EMFILE) from None
-    sock.setblocking(False)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    code = sock.connect_ex(address)
-    if code not in (0, errno.EINPROGRESS):
-        sock.close()
-        raise ConnectError(address, code)
+    """Connect and return a Stream; raises ConnectError when no connection comes up in time."""
+    sock = _begin_connecting(address)
 
-    def arm(task: LoopTask) -> Callable[[], None]:
-        timer = loop.call_in(timeout_ms, lambda: told(-1))
-
-        def told(mask: int) -> None:
+    def arm(task: LoopTask) -> Disarm:
+        def on_event(mask: int) -> None:
             disarm()
             loop.wake(task, mask)
 
@@ -272,7 +277,8 @@
             timer.cancel()
             loop.poller.unregister(sock.fileno())
 
-        loop.poller.register(sock.fileno(), WRITE, told)
+        timer = loop.call_in(timeout_ms, lambda: on_event(TIMED_OUT))
+        loop.poller.register(sock.fileno(), WRITE, on_event)
         return disarm
 
     try:
@@ -280,110 +286,23 @@
     except BaseException:
         sock.close()
         raise
-    code = errno.ETIMEDOUT if mask == -1 else sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    code = errno.ETIMEDOUT if mask == TIMED_OUT else sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         sock.close()
         raise ConnectError(address, code)
     return Stream(loop, sock, unsent_limit_bytes)
 
 
-class Listener:
-    """Accepts connections, never more than `most` at once.
-
-    When descriptors run out it gives up its spare one to take and drop the newcomer: otherwise the queue
-    stays full and a level-triggered loop spins."""
-
-    def __init__(
-        self,
-        loop: Loop,
-        address: tuple[str, int],
-        on_connection: Callable[[Stream], None],
-        max_connections: int = 10_000,
-        unsent_limit_bytes: int = 1 << 20,
-        on_dropped: Callable[[str], None] = lambda why: None,
-        make_room: Callable[[], bool] = lambda: False,
-        backlog: int = 1_024,
-    ) -> None:
-        self.loop, self.on_connection, self.max_connections, self.unsent_limit_bytes, self.on_dropped = (
-            loop,
-            on_connection,
-            max_connections,
-            unsent_limit_bytes,
-            on_dropped,
-        )
-        self.make_room = make_room  # asked from `most` on: may a newcomer come in? Closes another for it
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        try:
-            self.sock.bind(address)
-        except OSError:
-            self.sock.close()
-            raise
-        self.sock.listen(backlog)
-        self.sock.setblocking(False)
-        self.address: tuple[str, int] = self.sock.getsockname()
-        self.open_streams: set[Stream] = set()
-        self.spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
-        loop.poller.register(self.sock.fileno(), READ, self._on_event, last=True)
-
-    def _on_event(self, _: int) -> None:
-        self.accept_pending()
-
-    def accept_pending(self, most: int = 64) -> int:
-        """Accepts what waits, a bounded share of one round; gives how many were there."""
-        for count in range(most):
-            try:
-                sock, _ = self.sock.accept()
-            except (BlockingIOError, InterruptedError):
-                return count
-            except ConnectionAbortedError:
-                continue
-            except OSError as error:
-                if error.errno not in (errno.EMFILE, errno.ENFILE):
-                    raise
-                if not self._shed():
-                    self._pause()
-                    return count
-                continue
-            self._admit(sock)
-        return most
-
-    def _admit(self, sock: socket.socket) -> None:
-        if len(self.open_streams) >= self.max_connections and not self.make_room():
-            sock.close()
-            self.on_dropped(f"{self.max_connections} connections are open")
-            return
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = Stream(self.loop, sock, self.unsent_limit_bytes)
-        self.open_streams.add(stream)
-        stream.on_close.append(lambda _: self.open_streams.discard(stream))
-        self.on_connection(stream)
-
-    def _shed(self) -> bool:
-        self.on_dropped("out of file descriptors")
-        if self.spare_fd is not None:
-            os.close(self.spare_fd)
-            self.spare_fd = None
-            with contextlib.suppress(OSError):
-                self.sock.accept()[0].close()
-        with contextlib.suppress(OSError):
-            self.spare_fd = os.open(os.devnull, os.O_RDONLY)
-        return self.spare_fd is not None
-
-    def _pause(self) -> None:
-        """Nothing can be taken or shed: the queue stays full, and would wake the loop without end."""
-        fd = self.sock.fileno()
-        self.loop.poller.modify(fd, 0)
-        self.loop.call_in(ACCEPT_PAUSE_MS, lambda: self._resume(fd))
-
-    def _resume(self, fd: int) -> None:
-        if self.sock.fileno() == fd:
-            self.loop.poller.modify(fd, READ)
-
-    def close(self) -> None:
-        if self.sock.fileno() >= 0:
-            self.loop.poller.unregister(self.sock.fileno())
-            self.sock.close()
-        if self.spare_fd is not None:
-            os.close(self.spare_fd)
-            self.spare_fd = None
+def _begin_connecting(address: tuple[str, int]) -> socket.socket:
+    """Return a non-blocking socket that connects; raises ConnectError where that fails at once."""
+    try:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    except OSError as error:  # out of descriptors: ours, not the peer's
+        raise ConnectError(address, error.errno or errno.EMFILE) from error
+    sock.setblocking(False)  # noqa: FBT003 - the standard library's signature
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    code = sock.connect_ex(address)
+    if code not in (0, errno.EINPROGRESS):
+        sock.close()
+        raise ConnectError(address, code)
+    return sock
--- a/glencleat/event_loop/timers.py
+++ b/glencleat/event_loop/timers.py
@@ -1,7 +1,8 @@
-"""Timers made for many: a hierarchical wheel, and the plain heap that it is measured against.
+"""Timer queues: a hierarchical timer wheel, and a binary heap that it is tested and measured against.
 
-Imports nothing of glencleat. The loop calls `add`, `next_due` and `pop_due`; times are milliseconds. Most
-timers (attempt time-outs, heartbeats) are cancelled before they are due, so cancelling must cost O(1)."""
+The loop calls `add`, `next_due` and `pop_due`; times are milliseconds of the loop's clock. Most timers
+(attempt time-outs, heartbeats) are cancelled before they are due, so that cancelling must cost O(1).
+"""
 
 from __future__ import annotations
 
@@ -11,24 +12,25 @@
 from itertools import count
 from typing import Protocol
 
-LEVEL_COUNT, LEVEL_BITS = (
-    4,
-    8,
-)  # 2^32 ticks ahead at most; later ones wait in the last level and are placed again
-SLOT_COUNT, SLOT_MASK = 1 << LEVEL_BITS, (1 << LEVEL_BITS) - 1
+LEVEL_COUNT = 4
+LEVEL_BITS = 8  # 2^32 ticks ahead at most; later ones wait in the last level and are placed again
+SLOT_COUNT = 1 << LEVEL_BITS
+SLOT_MASK = SLOT_COUNT - 1
 ALL_SLOTS = (1 << SLOT_COUNT) - 1
 
 
 class Timer:
-    """One call in the future; `cancel` may be called at any time and more than once."""
+    """One call in the future, ordered by due time and then by the order of `add`."""
 
     __slots__ = ("due_ms", "callback", "sequence")
 
-    def __init__(self, when: float, call: Callable[[], None], order: int) -> None:
-        self.due_ms, self.sequence = when, order
-        self.callback: Callable[[], None] | None = call
+    def __init__(self, due_ms: float, callback: Callable[[], None], sequence: int) -> None:
+        self.due_ms = due_ms
+        self.sequence = sequence
+        self.callback: Callable[[], None] | None = callback  # None once cancelled
 
     def cancel(self) -> None:
+        """Prevent the call; may be called at any time and more than once."""
         self.callback = None
 
     def __lt__(self, other: Timer) -> bool:
@@ -36,29 +38,39 @@
 
 
 class Timers(Protocol):
-    def add(self, when: float, call: Callable[[], None]) -> Timer: ...
-    def next_due(self) -> float | None: ...
-    def pop_due(self, now: float) -> list[Timer]: ...
+    """What the loop needs of a timer queue."""
+
+    def add(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Add a call at `due_ms`."""
+
+    def next_due(self) -> float | None:
+        """Return when to call `pop_due` next, None without timers; may be too early, never too late."""
+
+    def pop_due(self, now: float) -> list[Timer]:
+        """Remove and return the timers due at `now` that were not cancelled, the earliest first."""
 
 
 class TimerHeap:
-    """The plain one: a heap in which cancelled timers stay until their time comes."""
+    """A binary heap in which cancelled timers stay until their time comes."""
 
     def __init__(self) -> None:
         self.heap: list[Timer] = []
         self.sequence = count()
 
-    def add(self, when: float, call: Callable[[], None]) -> Timer:
-        timer = Timer(when, call, next(self.sequence))
+    def add(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Add a call at `due_ms`."""
+        timer = Timer(due_ms, callback, next(self.sequence))
         heapq.heappush(self.heap, timer)
         return timer
 
     def next_due(self) -> float | None:
+        """Return the due time of the earliest timer, None without timers."""
         while self.heap and self.heap[0].callback is None:
             heapq.heappop(self.heap)
         return self.heap[0].due_ms if self.heap else None
 
     def pop_due(self, now: float) -> list[Timer]:
+        """Remove and return what is due; see `Timers`."""
         due = []
         while self.heap and self.heap[0].due_ms <= now:
             timer = heapq.heappop(self.heap)
@@ -71,16 +83,19 @@
     """Four wheels of 256 slots (Varghese and Lauck, scheme 7); a timer never fires before its time.
 
     A due time is rounded up to the next tick. Each level keeps its occupied slots as bits of one integer, so
-    that the next one is found without a scan."""
+    that the next one is found without a scan.
+    """
 
-    def __init__(self, start: float = 0.0, tick_ms: float = 1.0) -> None:
-        self.tick_ms, self.tick = tick_ms, math.floor(start / tick_ms)
+    def __init__(self, start_ms: float = 0.0, tick_ms: float = 1.0) -> None:
+        self.tick_ms = tick_ms
+        self.tick = math.floor(start_ms / tick_ms)  # up to which the wheels have turned
         self.slots: list[list[list[Timer]]] = [[[] for _ in range(SLOT_COUNT)] for _ in range(LEVEL_COUNT)]
         self.occupied = [0] * LEVEL_COUNT
         self.sequence = count()
 
-    def add(self, when: float, call: Callable[[], None]) -> Timer:
-        timer = Timer(when, call, next(self.sequence))
+    def add(self, due_ms: float, callback: Callable[[], None]) -> Timer:
+        """Add a call at `due_ms`."""
+        timer = Timer(due_ms, callback, next(self.sequence))
         self._place(timer)
         return timer
 
@@ -93,12 +108,13 @@
         self.occupied[level] |= 1 << index
 
     def _take(self, level: int, index: int) -> list[Timer]:
-        timers, self.slots[level][index] = self.slots[level][index], []
+        timers = self.slots[level][index]
+        self.slots[level][index] = []
         self.occupied[level] &= ~(1 << index)
         return timers
 
     def _next_tick(self) -> int | None:
-        """The next tick at which there is something to do: a slot to empty or a wheel to turn."""
+        """Return the next tick at which a slot is to be emptied or a wheel turned, None without timers."""
         first: int | None = None
         for level in range(LEVEL_COUNT):
             bits = self.occupied[level]
@@ -111,21 +127,30 @@
         return first
 
     def next_due(self) -> float | None:
+        """Return when a wheel has to turn next, which may be before any timer is due."""
         due = self._next_tick()
         return None if due is None else due * self.tick_ms
 
     def pop_due(self, now: float) -> list[Timer]:
-        target, found = math.floor(now / self.tick_ms), list[Timer]()
+        """Turn the wheels to `now`; see `Timers`."""
+        target = math.floor(now / self.tick_ms)
+        found = list[Timer]()
         while (due := self._next_tick()) is not None and due <= target:
             self.tick = due
-            for level in range(1, LEVEL_COUNT):
-                if due & ((1 << LEVEL_BITS * level) - 1):
-                    break
-                for timer in self._take(level, due >> (LEVEL_BITS * level) & SLOT_MASK):
-                    if timer.callback is not None and timer.due_ms > due * self.tick_ms:
-                        self._place(timer)
-                    elif timer.callback is not None:
-                        found.append(timer)
-            found += [t for t in self._take(0, due & SLOT_MASK) if t.callback is not None]
+            self._cascade(due, found)
+            found += [timer for timer in self._take(0, due & SLOT_MASK) if timer.callback is not None]
         self.tick = max(self.tick, target)
         return sorted(found)
+
+    def _cascade(self, tick: int, found: list[Timer]) -> None:
+        """Move the timers of each outer slot that begins at `tick` inwards, those due into `found`."""
+        for level in range(1, LEVEL_COUNT):
+            if tick & ((1 << LEVEL_BITS * level) - 1):
+                break
+            for timer in self._take(level, tick >> (LEVEL_BITS * level) & SLOT_MASK):
+                if timer.callback is None:
+                    continue
+                if timer.due_ms > tick * self.tick_ms:
+                    self._place(timer)
+                else:
+                    found.append(timer)
--- a/glencleat/index/due_queue.py
+++ b/glencleat/index/due_queue.py
@@ -1,9 +1,9 @@
 """A priority queue of keys by due time, with lazy deletion.
 
-Times are the caller's, of any unit; nothing here reads a clock. A due time that is replaced leaves its
-old entry in the heap until that comes up, or until stale entries outnumber live ones: then the heap is rebuilt.
-So each operation costs O(log n) amortized, and keys that are not due cost nothing. `docs/design-scale.md` compares
-it with alternatives.
+Times are the caller's, of any unit; nothing here reads a clock. A due time that is replaced leaves its old
+entry in the heap until that comes up, or until stale entries outnumber live ones: then the heap is rebuilt.
+So each operation costs O(log n) amortized, and keys that are not due cost nothing. `docs/design-scale.md`
+compares it with alternatives.
 """
 
 from __future__ import annotations
--- a/glencleat/index/rendezvous.py
+++ b/glencleat/index/rendezvous.py
@@ -2,10 +2,10 @@
 
 An order (highest random weight: Thaler and Ravishankar, 1998) is the members sorted by a hash of key and
 member: any two processes that know the same members agree on it. Members have slot numbers, and an order is
-an array of these, 2 bytes each, so that each of a thousand keys may have one. A member that joins or leaves is
-inserted or removed by bisection in the orders that are asked for; an order that has fallen far behind is
-filtered, or sorted anew where that takes less. An order equals a sort of all members: no choice is made here.
-The policy calls it.
+an array of these, 2 bytes each, so that each of a thousand keys may have one. A member that joins or leaves
+is inserted or removed by bisection in the orders that are asked for; an order that has fallen far behind is
+filtered, or sorted anew where that takes less. An order equals a sort of all members: no choice is made
+here. The policy calls it.
 """
 
 from __future__ import annotations
--- a/tests/event_loop/test_event_loop.py
+++ b/tests/event_loop/test_event_loop.py
@@ -20,6 +20,7 @@
     connect,
     streams,
 )
+from glencleat.event_loop.listener import ACCEPT_PAUSE_MS
 
 # ---- timers ----
 
@@ -267,8 +268,8 @@
     listener.sock = Full()
     with monkeypatch.context() as patch:
         patch.setattr(streams.os, "open", none_left)
-        end = loop.now() + 4.0 * streams.ACCEPT_PAUSE_MS
-        loop.call_in(4.0 * streams.ACCEPT_PAUSE_MS, lambda: None)
+        end = loop.now() + 4.0 * ACCEPT_PAUSE_MS
+        loop.call_in(4.0 * ACCEPT_PAUSE_MS, lambda: None)
         while loop.now() < end:
             loop.run_once()
     assert 2 <= len(tries) <= 12  # twice at each look: the queue, and the one to shed
