--- a/glencleat/mesos/__init__.py
+++ b/glencleat/mesos/__init__.py
@@ -1,4 +1,6 @@
 """The agent protocol: the Apache Mesos v1 HTTP API, without sockets.
 
 `recordio` frames records, `messages` holds the published schemas, `http` wraps h11 for both ends. Nothing
-here reads a clock, opens a socket or imports glencleat beyond this package."""
+here reads a clock, opens a socket or imports the rest of the project. Errors derive from
+`errors.MesosProtocolError`.
+"""
