--- a/glencleat/mesos/messages.py
+++ b/glencleat/mesos/messages.py
@@ -1,8 +1,9 @@
 """Codec of the v1 API: the messages that both ends check against, names as published (mesos/v1/*.proto).
 
 The JSON mapping of protobuf. Only the fields in use are declared; unknown ones are ignored, as protobuf
-readers do. What the specification has no field for travels in labels of TaskInfo or in payloads of MESSAGE and
-TaskStatus.data: see `Payload`. The messages of each API stand in a module of their own and are offered here.
+readers do. What the specification has no field for travels in labels of TaskInfo or in payloads of
+MESSAGE and TaskStatus.data: see `Payload`. The messages of each API stand in a module of their own and are
+offered here.
 """
 
 from __future__ import annotations
--- a/glencleat/mesos/payloads.py
+++ b/glencleat/mesos/payloads.py
@@ -18,7 +18,8 @@
     """Of MESSAGE and TaskStatus.data, as base64 of this JSON.
 
     `kind` is "probe" (allocator to agent, `probe` numbers it) or "report" (agent to allocator; `probe` where
-    it answers one). Free amounts are in cores and MB, the others are shares from 0 to 1, `queue` a count."""
+    it answers one). Free amounts are in cores and MB, the others are shares from 0 to 1, `queue` a count.
+    """
 
     kind: str
     probe: int | None = None
