--- a/glencleat/log.py
+++ b/glencleat/log.py
@@ -1,12 +1,12 @@
-"""Structured logging by structlog: one event a line, for people or as JSON. Standard error only."""
+"""Structured logging by structlog: one event a line on standard error, for people or as JSON."""
 
 from __future__ import annotations
 
 import logging
 import sys
-from typing import Any
 
 import structlog
+from structlog.typing import FilteringBoundLogger, Processor
 
 LEVEL_BY_NAME = {
     "debug": logging.DEBUG,
@@ -16,9 +16,14 @@
 }
 
 
-def configure_logging(log_format: str = "console", level: str = "info", **context: Any) -> Any:
-    """Sets the process's logging up and gives a logger; `form` is "console" or "json"."""
-    renderer: Any = (
+def configure_logging(
+    log_format: str = "console", level: str = "info", **context: object
+) -> FilteringBoundLogger:
+    """Configure the logging of the process, and return a logger.
+
+    `log_format` is "console" or "json", `level` a name of `LEVEL_BY_NAME`; `context` goes into each line.
+    """
+    renderer: Processor = (
         structlog.processors.JSONRenderer()
         if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
@@ -34,4 +39,5 @@
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=False,
     )
-    return structlog.get_logger(**context)
+    logger: FilteringBoundLogger = structlog.get_logger(**context)
+    return logger
--- a/tests/event_loop/test_event_loop.py
+++ b/tests/event_loop/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The kernel: timers against the plain ones, tasks, streams that bound what a peer can pile up."""
+"""The event loop: timer wheel against heap, tasks, streams with bounded buffers, listeners."""
 
 import contextlib
 import socket
@@ -36,7 +36,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(OPS, st.floats(0.0, 1e7))
-def test_the_wheel_fires_what_the_heap_fires(ops, start):
+def test_timer_wheel_fires_what_the_heap_fires(ops, start):
     """Each once, never early, at most a tick late, whatever is cancelled in between."""
     heap, wheel, now = TimerHeap(), TimerWheel(start), start
     both, fired = [], {0: set(), 1: set()}
@@ -65,7 +65,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=20))
-def test_the_wheel_tells_when_to_look_again(delays):
+def test_polling_the_wheel_at_next_due_misses_no_timer(delays):
     """Looking only when it says so misses nothing, and fires everything."""
     wheel, now, fired = TimerWheel(), 0.0, 0
     for delay in delays:
@@ -80,7 +80,7 @@
 # ---- tasks ----
 
 
-def test_a_cancelled_task_cleans_up_and_takes_its_children_along():
+def test_cancelled_task_cleans_up_and_cancels_its_children():
     loop, seen = Loop(), []
 
     def child():
@@ -104,7 +104,7 @@
     assert seen == ["parent", "child"]
 
 
-def test_a_cancel_that_comes_just_after_the_wake_leaves_no_wait_behind():
+def test_cancel_after_wake_leaves_no_wait_armed():
     loop = Loop()
 
     def twice():
@@ -120,7 +120,7 @@
     assert task.is_done and not loop.ready
 
 
-def test_join_gives_the_result_or_the_error():
+def test_join_returns_the_result_or_raises_the_error():
     loop = Loop()
 
     def works():
@@ -143,15 +143,15 @@
 # ---- streams ----
 
 
-def pair(loop, limit=1 << 16):
+def stream_pair(loop, limit=1 << 16):
     ours, theirs = socket.socketpair()
     theirs.setblocking(False)
     return Stream(loop, ours, limit), theirs
 
 
-def test_a_peer_that_stops_reading_is_cut_off():
+def test_slow_reader_is_closed_at_the_unsent_limit():
     loop = Loop()
-    stream, _theirs = pair(loop)
+    stream, _theirs = stream_pair(loop)
     why = []
     stream.on_close.append(why.append)
     with pytest.raises(StreamOverflowError):
@@ -162,9 +162,9 @@
         stream.send(b"more")
 
 
-def test_written_counts_what_was_handed_over_and_the_rest_follows():
+def test_written_bytes_counts_what_the_socket_took_until_flushed():
     loop = Loop()
-    stream, theirs = pair(loop, 1 << 22)
+    stream, theirs = stream_pair(loop, 1 << 22)
     end = stream.send(b"x" * 1_000_000)
     assert 0 < stream.written_bytes < end
     got = 0
@@ -178,9 +178,9 @@
     assert stream.written_bytes == end
 
 
-def test_read_gives_bytes_the_end_and_the_loss():
+def test_read_returns_bytes_then_end_then_raises_when_closed():
     loop = Loop()
-    stream, theirs = pair(loop)
+    stream, theirs = stream_pair(loop)
     theirs.send(b"abc")
     assert loop.run_until(loop.spawn(stream.read(), "r")) == b"abc"
     loop.call_in(5.0, theirs.close)
@@ -190,7 +190,7 @@
         loop.run_until(loop.spawn(stream.read(), "r"))
 
 
-def test_connecting_to_nobody_says_so():
+def test_connect_without_a_listener_raises_with_the_address():
     loop = Loop()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
@@ -199,7 +199,7 @@
             loop.run_until(loop.spawn(connect(loop, address, 500.0), "c"))
 
 
-def test_the_listener_sheds_newcomers_when_descriptors_run_out(monkeypatch):
+def test_listener_sheds_newcomers_when_descriptors_run_out(monkeypatch):
     """The queue is emptied by the spare one: otherwise a level-triggered loop spins at full speed."""
     loop, accepted, dropped = Loop(), [], []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append, on_dropped=dropped.append)
@@ -233,7 +233,7 @@
     listener.close()
 
 
-def test_the_listener_keeps_to_its_most():
+def test_listener_accepts_at_most_max_connections():
     loop, accepted, dropped = Loop(), [], []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append, max_connections=2, on_dropped=dropped.append)
     clients = [socket.create_connection(listener.address) for _ in range(3)]
@@ -247,7 +247,7 @@
     listener.close()
 
 
-def test_a_listener_that_can_shed_nobody_rests(monkeypatch):
+def test_listener_without_spare_descriptor_pauses_accepting(monkeypatch):
     """Without even the spare descriptor the queue stays full: the loop was told of it at once, without end."""
     loop, accepted = Loop(), []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append)
@@ -280,7 +280,7 @@
     listener.close()
 
 
-def test_an_error_in_one_timer_leaves_the_others():
+def test_error_in_one_timer_leaves_the_others_due():
     loop, rang = Loop(), []
     loop.call_in(0.0, lambda: 1 // 0)
     for n in range(3):
@@ -295,7 +295,7 @@
     assert (faults, rang) == (1, [0, 1, 2, "later"])
 
 
-def test_one_that_sends_faster_than_it_is_read_takes_turns():
+def test_fast_sender_is_read_in_turns_with_other_tasks():
     """Its reader never waits: before, one round went on for as long as bytes came."""
     loop, got = Loop(), []
     ours, theirs = socket.socketpair()
@@ -323,32 +323,32 @@
     theirs.close()
 
 
-@pytest.mark.parametrize("early", [True, False])
-def test_a_pause_ends_early_or_in_time_and_once(early):
+@pytest.mark.parametrize("early", [True, False], ids=["interrupted", "complete"])
+def test_interruptible_sleep_ends_once_early_or_in_time(early):
     loop = Loop()
-    pause, slept = InterruptibleSleep(loop), []
+    sleep, slept = InterruptibleSleep(loop), []
 
     def sleeper():
-        slept.append((yield from pause.sleep(60_000.0 if early else 1.0)))
-        slept.append((yield from pause.sleep(1.0)))
+        slept.append((yield from sleep.sleep(60_000.0 if early else 1.0)))
+        slept.append((yield from sleep.sleep(1.0)))
 
     task = loop.spawn(sleeper(), "sleeper")
-    pause.interrupt()  # nobody is asleep yet
+    sleep.interrupt()  # nobody is asleep yet
     if early:
         loop.run_once(wait=False)
-        assert pause.is_asleep
-        pause.interrupt()
-        pause.interrupt()
+        assert sleep.is_asleep
+        sleep.interrupt()
+        sleep.interrupt()
     loop.run_until(task)
-    assert slept == [not early, True] and not pause.is_asleep
+    assert slept == [not early, True] and not sleep.is_asleep
 
 
-def test_a_pause_that_is_cancelled_wakes_nobody():
+def test_cancelled_interruptible_sleep_wakes_no_task():
     loop = Loop()
-    pause = InterruptibleSleep(loop)
-    task = loop.spawn(pause.sleep(60_000.0), "sleeper")
+    sleep = InterruptibleSleep(loop)
+    task = loop.spawn(sleep.sleep(60_000.0), "sleeper")
     loop.run_once(wait=False)
     loop.cancel(task)
     loop.run_once(wait=False)
-    pause.interrupt()
-    assert task.is_done and not pause.is_asleep and not loop.ready
+    sleep.interrupt()
+    assert task.is_done and not sleep.is_asleep and not loop.ready
--- a/tests/index/test_due_queue.py
+++ b/tests/index/test_due_queue.py
@@ -1,4 +1,4 @@
-"""Indexes against the plain way, over drawn histories; each also checks itself (conftest turns that on)."""
+"""DueQueue and DirtySet against naive models over drawn histories; each also checks itself (conftest)."""
 
 import pytest
 from hypothesis import given
@@ -9,7 +9,7 @@
 
 NAMES = st.integers(0, 12)
 TIMES = st.integers(0, 40).map(float)
-VERBS = st.one_of(
+OPERATIONS = st.one_of(
     st.tuples(st.just("put"), NAMES, TIMES),
     st.tuples(st.just("discard"), NAMES, st.none()),
     st.tuples(st.just("mark"), NAMES, st.none()),
@@ -17,82 +17,84 @@
 )
 
 
-@given(st.lists(VERBS, max_size=150))
-def test_what_is_due_comes_out_once_the_earliest_first(verbs):
-    index, plain, now = DueQueue(), {}, 0.0
-    for verb, key, value in verbs:
-        if verb == "put":
-            index.put(key, value)
-            plain[key] = value
-        elif verb == "discard":
-            index.discard(key)
-            plain.pop(key, None)
-        elif verb == "take":
+@given(st.lists(OPERATIONS, max_size=150))
+def test_due_keys_are_popped_once_earliest_first(operations):
+    queue, expected_due, now = DueQueue(), {}, 0.0
+    for operation, key, value in operations:
+        if operation == "put":
+            queue.put(key, value)
+            expected_due[key] = value
+        elif operation == "discard":
+            queue.discard(key)
+            expected_due.pop(key, None)
+        elif operation == "take":
             now = max(now, value)
-            found = index.pop_due(now)
-            assert [plain[key] for key in found] == sorted(due for due in plain.values() if due <= now)
+            found = queue.pop_due(now)
+            expected = sorted(due for due in expected_due.values() if due <= now)
+            assert [expected_due[key] for key in found] == expected
             for key in found:
-                del plain[key]
-        assert len(index) == len(plain) and index.next_due() == min(plain.values(), default=None)
+                del expected_due[key]
+        assert len(queue) == len(expected_due)
+        assert queue.next_due() == min(expected_due.values(), default=None)
 
 
-def test_times_put_off_again_and_again_take_no_room():
-    index = DueQueue()
+def test_keys_put_off_repeatedly_leave_few_stale_entries():
+    queue = DueQueue()
     for i in range(20_000):
-        index.put(i % 10, float(i))
-    assert len(index) == 10 and len(index.heap) <= 2 * 10 + STALE_ENTRIES_ALLOWED
+        queue.put(i % 10, float(i))
+    assert len(queue) == 10 and len(queue.heap) <= 2 * 10 + STALE_ENTRIES_ALLOWED
     for key in range(10):
-        index.discard(key)
-    assert len(index.heap) <= STALE_ENTRIES_ALLOWED and index.next_due() is None
+        queue.discard(key)
+    assert len(queue.heap) <= STALE_ENTRIES_ALLOWED and queue.next_due() is None
 
 
-def test_a_check_finds_an_entry_that_was_lost():
-    index = DueQueue()
-    index.put("a", 1.0)
-    index.heap.clear()
+def test_check_mode_raises_for_a_lost_entry():
+    queue = DueQueue()
+    queue.put("a", 1.0)
+    queue.heap.clear()
     with pytest.raises(AssertionError):
-        index.pop_due(2.0)
+        queue.pop_due(2.0)
 
 
-@given(st.lists(VERBS, max_size=80), st.dictionaries(NAMES, st.lists(NAMES, max_size=3), max_size=8))
-def test_turns_are_those_of_one_who_goes_through_all(verbs, marks):
-    """`marks`: on whom something happens as one has its turn, the first time in a tick."""
-    turns, dirty, due, now = DirtySet(sort_key=lambda key: -key), set(), {}, 0.0
-    for verb, key, value in verbs:
-        if verb == "put":
-            turns.schedule(key, value)
+@given(st.lists(OPERATIONS, max_size=80), st.dictionaries(NAMES, st.lists(NAMES, max_size=3), max_size=8))
+def test_pending_keys_are_those_of_a_loop_over_all_keys(operations, marks):
+    """`marks`: keys that are marked while a key is handled."""
+    pending, dirty, due, now = DirtySet(sort_key=lambda key: -key), set(), {}, 0.0
+    for operation, key, value in operations:
+        if operation == "put":
+            pending.schedule(key, value)
             due[key] = value
-        elif verb == "discard":
-            turns.schedule(key, float("inf"))
+        elif operation == "discard":
+            pending.schedule(key, float("inf"))
             due.pop(key, None)
-        elif verb == "mark":
-            turns.mark(key)
+        elif operation == "mark":
+            pending.mark(key)
             dirty.add(key)
-        elif verb == "take":
+        elif operation == "take":
             now, expected, found = max(now, value), [], []
-            for one in range(12, -1, -1):
-                if one in dirty or due.get(one, now + 1.0) <= now:
-                    expected.append(one)
-                    due = {other: at for other, at in due.items() if other != one or at > now}
-                    dirty |= set(marks.get(one, ()))
-                    dirty.discard(one)
-            for one in turns.take_pending(now):
-                found.append(one)
-                for other in marks.get(one, ()):
-                    turns.mark(other)
+            for candidate in range(12, -1, -1):
+                if candidate in dirty or due.get(candidate, now + 1.0) <= now:
+                    expected.append(candidate)
+                    due = {other: at for other, at in due.items() if other != candidate or at > now}
+                    dirty |= set(marks.get(candidate, ()))
+                    dirty.discard(candidate)
+            for handled in pending.take_pending(now):
+                found.append(handled)
+                for other in marks.get(handled, ()):
+                    pending.mark(other)
             assert found == expected
 
 
-def test_a_turn_that_raises_comes_again_with_those_after_it():
-    turns = DirtySet(sort_key=lambda key: key)
+def test_key_whose_handling_raised_is_pending_again_with_those_after_it():
+    pending = DirtySet(sort_key=lambda key: key)
     for key in (1, 2, 3):
-        turns.mark(key)
+        pending.mark(key)
 
-    def goes_wrong():
-        for key in turns.take_pending(0.0):
+    def handle_and_raise():
+        for key in pending.take_pending(0.0):
             if key == 2:
                 raise ValueError(key)
 
     with pytest.raises(ValueError):
-        goes_wrong()
-    assert list(turns.take_pending(0.0)) == [2, 3] and not list(turns.take_pending(0.0))
+        handle_and_raise()
+    assert list(pending.take_pending(0.0)) == [2, 3] and not list(pending.take_pending(0.0))
--- a/tests/index/test_rendezvous.py
+++ b/tests/index/test_rendezvous.py
@@ -13,14 +13,14 @@
 from tests.support.reference_order import CLASSES, KINDS, Plain, Stream, differ
 
 
-class Item:
+class Member:
     """A member; with `bits` its hash is short, so that some are equal and names decide."""
 
     def __init__(self, name, bits=64):
         self.name, self.hash = name, hash_name(name) % 2**bits
 
 
-def plain(members, key):
+def sort_all(members, key):
     seed = hash_name(key)
     return sorted(members.members, key=lambda item: (index.mix_hash(seed ^ item.hash), item.name))
 
@@ -39,47 +39,47 @@
     remembered=st.sampled_from([1, 8, 1024]),
     most=st.integers(1, 120),
 )
-def test_an_order_is_what_a_sort_gives_after_any_changes(changes, bits, remembered, most):
-    members = RendezvousIndex[Item](most, 2)
+def test_order_equals_a_sort_of_all_members_after_any_changes(changes, bits, remembered, most):
+    members = RendezvousIndex[Member](most, 2)
     members.changes = index.deque(maxlen=remembered)
-    items = [Item(f"m{i}", bits) for i in range(41)]
+    items = [Member(f"m{i}", bits) for i in range(41)]
     for number, what in changes:
         if what in ("put", "take"):
             members.put(items[number], what == "put")
         elif what == "again":  # goes and comes back as another of the same name
             members.put(items[number], False)
-            items[number] = Item(f"m{number}", bits)
+            items[number] = Member(f"m{number}", bits)
             members.put(items[number], True)
         else:
             order = members.order(what)
-            assert list(order) == plain(members, what) and len(order) == len(members)
+            assert list(order) == sort_all(members, what) and len(order) == len(members)
             assert len(members.orders) <= 2 and (members.reference_count <= most or len(members.orders) == 1)
 
 
 @given(st.integers(1, 60), st.data())
-def test_places_are_found_as_in_a_copy_without_those_left_out(count, data):
-    members = RendezvousIndex[Item](10_000, 10)
+def test_filtered_order_equals_a_copy_without_the_skipped(count, data):
+    members = RendezvousIndex[Member](10_000, 10)
     bits = data.draw(st.sampled_from([3, 64]))
     for i in range(count):
-        members.put(Item(f"m{i}", bits), True)
+        members.put(Member(f"m{i}", bits), True)
     order = members.order("s")
     out = data.draw(st.lists(st.sampled_from(list(order)), unique=True))
     copy, rest = [item for item in order if item not in out], order.without(out)
     assert [rest[i] for i in range(len(copy))] == copy
 
 
-def test_equal_hashes_are_ordered_by_name_also_one_by_one():
-    members, items = RendezvousIndex[Item](10_000, 10), [Item(f"m{i}", bits=1) for i in range(40)]
+def test_equal_hashes_are_ordered_by_name_after_each_change():
+    members, items = RendezvousIndex[Member](10_000, 10), [Member(f"m{i}", bits=1) for i in range(40)]
     for item in items[::-2] + items[::2]:
         members.put(item, True)
-        assert list(members.order("a")) == plain(members, "a")
+        assert list(members.order("a")) == sort_all(members, "a")
     for item in items[::3]:
         members.put(item, False)
-        assert list(members.order("a")) == plain(members, "a")
+        assert list(members.order("a")) == sort_all(members, "a")
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.floats(0.1, 9.0), st.booleans()), max_size=60))
-def test_columns_sum_as_a_loop_over_the_rows_in_their_order(changes):
+def test_columns_sum_to_the_bit_as_a_loop_over_ordered_rows(changes):
     columns, rows = index.Columns(2), {}
     for key, value, there in changes:
         rows.pop(key, None)
@@ -92,39 +92,39 @@
 
 
 @pytest.mark.parametrize("short", [16, 1 << 16])
-def test_names_that_went_for_good_leave_no_numbers(short, monkeypatch):
-    """Orders begin anew when numbers run out, or more than as many as there are members are of such names."""
+def test_slots_of_absent_names_are_reclaimed(short, monkeypatch):
+    """Orders begin anew when slots run out, or when absent names hold more slots than members do."""
     monkeypatch.setattr(index, "SHORT_SLOT_LIMIT", short)
-    members = RendezvousIndex[Item](10_000, 10)
+    members = RendezvousIndex[Member](10_000, 10)
     for i in range(2_000):
-        members.put(Item(f"m{i}"), True)
+        members.put(Member(f"m{i}"), True)
         if i >= 30:
             members.put(next(iter(members.members)), False)
         if i % 7 == 0:
-            assert list(members.order("a")) == plain(members, "a")
+            assert list(members.order("a")) == sort_all(members, "a")
         assert len(members.slot_table.members) <= 2 * (len(members) + 1) + index.SPARE_SLOTS + 1
     assert [members.order("a").slots.typecode] == (["I"] if short == 16 else ["H"])
 
 
-def test_the_longest_unused_orders_go():
-    members = RendezvousIndex[Item](100, 10)
+def test_least_recently_used_orders_are_evicted():
+    members = RendezvousIndex[Member](100, 10)
     for i in range(30):
-        members.put(Item(f"m{i}"), True)
+        members.put(Member(f"m{i}"), True)
     for key in ("a", "b", "c", "a", "d"):
         members.order(key)
     assert list(members.orders) == ["c", "a", "d"] and members.reference_count == 90
     for i in range(30, 60):
-        members.put(Item(f"m{i}"), True)
+        members.put(Member(f"m{i}"), True)
     members.order("c")  # it has grown
     assert list(members.orders) == ["d", "c"] and members.reference_count == 30 + 60
     members.order("d")
     assert list(members.orders) == ["d"] and members.reference_count == 60
 
 
-def test_the_check_sees_a_wrong_order_and_a_wrong_count():
-    members = RendezvousIndex[Item](100, 10)
+def test_check_raises_for_a_wrong_order_and_a_wrong_count():
+    members = RendezvousIndex[Member](100, 10)
     for i in range(9):
-        members.put(Item(f"m{i}"), True)
+        members.put(Member(f"m{i}"), True)
     order = members.order("a")
     order.slots[3], order.slots[4] = order.slots[4], order.slots[3]
     with pytest.raises(AssertionError, match="is not that of its 9 members"):
@@ -137,11 +137,11 @@
 
 
 @pytest.mark.parametrize("size", [400, 6_300])
-def test_hashes_follow_changes_not_the_members(size, monkeypatch):
+def test_hash_count_follows_changes_not_members(size, monkeypatch):
     monkeypatch.setattr(RendezvousIndex, "is_checked", False)
-    members, counted = RendezvousIndex[Item](10**6, 100), []
+    members, counted = RendezvousIndex[Member](10**6, 100), []
     for i in range(size):
-        members.put(Item(f"m{i}"), True)
+        members.put(Member(f"m{i}"), True)
     members.order("a")
     real = index.mix_hash
     monkeypatch.setattr(index, "mix_hash", lambda value: counted.append(value) or real(value))
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("part", range(16))
-def test_equal_actions_by_kept_and_by_plain_orders(part, monkeypatch):
+def test_actions_equal_those_of_the_reference_scheduler(part, monkeypatch):
     """208 seeded streams: hosts come, go, drain, return, whole and failed lists, tasks of all classes."""
     monkeypatch.setattr(glencleat.policy.scheduler, "KNOWN", 12)
     for seed in range(13 * part, 13 * part + 13):
@@ -212,7 +212,7 @@
     return [seen.count(what) for what in ("listed", "looked", "hash")]
 
 
-def test_the_work_of_a_list_event_and_a_placement_is_the_same_at_any_size(monkeypatch):
+def test_work_of_a_list_event_and_a_placement_does_not_grow_with_size(monkeypatch):
     few, many = counted(400, monkeypatch), counted(6_300, monkeypatch)
     assert few[:2] == many[:2] == [3, EXAMINED]
     # The three that went are found by halves, each drawn position in a few steps past the warm machine's place.
@@ -220,7 +220,7 @@
     assert many[2] <= 3 * (1 + (6_300).bit_length()) + 2 * EXAMINED
 
 
-def test_nine_hundred_gone_one_by_one_or_at_once_leave_the_same():
+def test_removals_by_delta_and_by_snapshot_leave_equal_orders():
     one, machines = fleet(1_600)
     two, _ = fleet(1_600)
     gone = [api.Machine(m.name, m.kind, m.zone, m.cell, api.MachinePhase.REMOVED) for m in machines[:900]]
--- a/tests/mesos/test_mesos.py
+++ b/tests/mesos/test_mesos.py
@@ -1,4 +1,4 @@
-"""The protocol without sockets, by bytes: framing, messages, HTTP limits and shapes."""
+"""The Mesos API without sockets, by bytes: framing, messages, HTTP limits and malformed requests."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8), st.lists(st.integers(1, 20), min_size=1, max_size=20))
-def test_records_come_out_whole_however_their_bytes_are_cut(records, cuts):
+def test_records_are_decoded_from_any_pieces(records, cuts):
     data = b"".join(map(recordio.encode, records))
     decoder, found, at = recordio.RecordDecoder(), [], 0
     for cut in [*cuts, len(data) + 1]:
@@ -42,13 +42,13 @@
         (b"\xb2\n", "no record length"),
     ],
 )
-def test_what_is_no_record_is_refused_before_it_is_kept(data, named):
+def test_invalid_record_is_rejected_before_it_is_buffered(data, named):
     decoder = recordio.RecordDecoder()
     with pytest.raises(recordio.RecordError, match=named):
         decoder.feed(data)
 
 
-def test_a_torn_record_is_known():
+def test_truncated_record_is_reported_as_partial():
     decoder = recordio.RecordDecoder()
     assert decoder.feed(b"5\nab") == [] and decoder.has_partial_record()
 
@@ -56,7 +56,7 @@
 # ---- messages ----
 
 
-def test_names_are_those_of_the_specification():
+def test_messages_use_the_published_names():
     event = m.SchedulerEvent("SUBSCRIBED", subscribed=m.SubscribedFramework(m.Value("f"), 15.0))
     assert json.loads(m.encode(event)) == {
         "type": "SUBSCRIBED",
@@ -104,13 +104,13 @@
         (b"[" * 100_000, "Expected `object`|recursion|SchedulerCall"),
     ],
 )
-def test_a_bad_message_says_where_and_what_was_expected(data, named):
+def test_invalid_message_error_names_field_and_expectation(data, named):
     with pytest.raises(m.MessageError, match=named):
         m.decode(m.SchedulerCall, data)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_bad_message(data):
+def test_any_bytes_decode_or_raise_message_error(data):
     for kind in m.DECODERS:
         try:
             m.decode(kind, data)
@@ -118,7 +118,7 @@
             continue
 
 
-def test_payloads_go_there_and_back():
+def test_payload_round_trips_and_invalid_ones_raise():
     payload = m.Payload("report", cores_free=2.5, tasks=[m.TaskUse("t", 1.0)])
     assert m.decode_payload(m.encode_payload(payload)) == payload
     for wrong in ("%%%", "bm8=", "eyJraW5kIjogM30="):
@@ -138,7 +138,7 @@
     return head + body
 
 
-def test_pipelined_requests_are_answered_in_turn():
+def test_pipelined_requests_are_served_in_order():
     server = ServerConnection()
     (first,) = server.feed(post(b"1") + post(b"2") + post(b"3"))
     bodies = [first.body]
@@ -152,7 +152,7 @@
 
 
 @given(st.lists(st.integers(1, 30), min_size=1, max_size=30))
-def test_a_request_may_come_in_any_pieces(cuts):
+def test_request_is_parsed_from_any_pieces(cuts):
     server, data, found, at = ServerConnection(), post(b'{"a": 1}', extra=b"X-Y: z\r\n"), [], 0
     for cut in [*cuts, len(data)]:
         found += server.feed(data[at : at + cut]) if data[at : at + cut] else []
@@ -175,7 +175,7 @@
         (b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
-def test_wrong_shapes_get_their_status(data, status):
+def test_malformed_request_gets_its_status(data, status):
     server = ServerConnection()
     with pytest.raises(HttpError) as error:
         server.feed(data)
@@ -183,7 +183,7 @@
     assert server.respond_with_error(error.value).startswith(b"HTTP/1.1 %d" % status)
 
 
-def test_a_chunked_body_is_bounded_as_it_comes():
+def test_chunked_body_is_bounded_while_it_arrives():
     server = ServerConnection(max_body_bytes=1_000)
     server.feed(b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
     with pytest.raises(HttpError) as error:
@@ -193,7 +193,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_requests_or_an_http_error(data):
+def test_any_bytes_are_requests_or_raise_http_error(data):
     server = ServerConnection()
     try:
         server.feed(data)
@@ -217,7 +217,7 @@
     ), min_size=1, max_size=4),
     st.sampled_from([Response(202), Response(404, b"no\n"), Response(200, b"x" * 500)]), st.booleans(),
 )  # fmt: skip
-def test_any_request_can_be_answered(requests, response, stream):
+def test_any_request_can_be_answered_without_local_protocol_error(requests, response, stream):
     """Whatever was asked for, a response or a stream goes out or the peer is refused: h11 never complains of
     us."""
     server = ServerConnection()
@@ -239,7 +239,7 @@
         server.respond_with_error(error)
 
 
-def test_a_links_place_ends_with_the_records_last_byte():
+def test_record_link_position_ends_with_the_records_last_byte():
     """An agent can act as soon as it has that byte; the chunk's own line end does not matter."""
 
     class Wire:
@@ -259,7 +259,7 @@
         assert wire.data[:begin].endswith(b"\r\n")
 
 
-def test_a_stream_of_records_through_both_ends():
+def test_record_stream_passes_through_server_and_client():
     server, client, decoder = ServerConnection(), ClientConnection(), recordio.RecordDecoder()
     (request,) = server.feed(client.request("POST", "/api", "h", {"accept": "application/json"}, b"{}"))
     assert request.method == "POST" and not request.closes_connection
