--- a/glencleat/config/lines.py
+++ b/glencleat/config/lines.py
@@ -1,7 +1,8 @@
-"""Reads configuration lines: words, "quoted words", `#` comments, a `\\` at the end goes on, `include FILE`.
+r"""Reads configuration lines: words, "quoted words", `#` comments, a `\` at the end goes on, `include FILE`.
 
 No meaning here: a line becomes its words with their file and line. Includes are relative to the file that
-names them, may nest `DEPTH` deep and never in a circle."""
+names them, may nest `MAX_INCLUDE_DEPTH` deep and never in a circle.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +10,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-DEPTH, BYTES_MOST, LINES_MOST = 8, 1 << 20, 20_000
+MAX_INCLUDE_DEPTH = 8
+MAX_FILE_BYTES = 1 << 20
+MAX_LINES = 20_000  # of all files together
+INCLUDE_WORDS = 2  # the keyword and its file
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigLine:
+    """The words of one line, and where it stands."""
+
     file: str
     number: int
     words: tuple[str, ...]
@@ -33,70 +39,81 @@
 
 
 def read(path: Path) -> tuple[list[ConfigLine], list[ConfigFault]]:
-    lines: list[ConfigLine] = []
-    faults: list[ConfigFault] = []
-    _read(path, ("", 0), (), lines, faults)
-    return lines, faults
-
-
-def _read(
-    path: Path,
-    asked: tuple[str, int],
-    inside: tuple[Path, ...],
-    lines: list[ConfigLine],
-    faults: list[ConfigFault],
-) -> None:
-    where = (asked[0] or str(path), asked[1])
-    if path.resolve() in inside or len(inside) >= DEPTH:
-        faults.append(ConfigFault(*where, "include", f"{path} includes itself, or is more than {DEPTH} deep"))
-        return
-    try:
-        data = path.read_bytes()
-        text = data.decode("utf-8")
-    except OSError as error:
-        faults.append(
-            ConfigFault(*where, "include" if inside else "file", f"can't read {path}: {error.strerror}")
-        )
-        return
-    except UnicodeDecodeError as error:
-        number = data[: error.start].count(b"\n") + 1
-        faults.append(ConfigFault(str(path), number, "file", "is not UTF-8"))
-        return
-    if len(data) > BYTES_MOST or len(lines) > LINES_MOST:
-        faults.append(
-            ConfigFault(str(path), 1, "file", f"is over {BYTES_MOST} bytes or {LINES_MOST} lines in all")
-        )
-        return
-    for number, joined in _joined(text):
-        try:
-            words = tuple(shlex.split(joined, comments=True))
-        except ValueError as error:
-            faults.append(
-                ConfigFault(str(path), number, "line", f"{error}; expected each quote to be closed")
-            )
-            continue
-        if words and words[0] == "include":
-            if len(words) != 2:
-                faults.append(
-                    ConfigFault(str(path), number, "include", f"{len(words) - 1} words; expected one file")
-                )
+    """Return the lines of a file and of those that it includes, and what could not be read."""
+    reader = LineReader()
+    reader.read_file(path, ConfigLine(str(path), 0, ()), ())
+    return reader.lines, reader.faults
+
+
+class LineReader:
+    """Gathers the lines and faults of a file and its includes, in the order in which they stand."""
+
+    def __init__(self) -> None:
+        self.lines: list[ConfigLine] = []
+        self.faults: list[ConfigFault] = []
+
+    def read_file(self, path: Path, origin: ConfigLine, including: tuple[Path, ...]) -> None:
+        """Read a file that `origin` names; `including` are the files around it, from the outermost."""
+        if path.resolve() in including or len(including) >= MAX_INCLUDE_DEPTH:
+            text = f"{path} includes itself, or is more than {MAX_INCLUDE_DEPTH} deep"
+            self.faults.append(ConfigFault(origin.file, origin.number, "include", text))
+            return
+        content = self._read_text(path, origin, "include" if including else "file")
+        if content is None:
+            return
+        for number, joined in _join_continued_lines(content):
+            try:
+                words = tuple(shlex.split(joined, comments=True))
+            except ValueError as error:
+                text = f"{error}; expected each quote to be closed"
+                self.faults.append(ConfigFault(str(path), number, "line", text))
                 continue
-            target = path.parent / words[1]
-            _read(target, (str(path), number), (*inside, path.resolve()), lines, faults)
-        elif words:
-            lines.append(ConfigLine(str(path), number, words))
-
-
-def _joined(text: str) -> list[tuple[int, str]]:
-    """Lines with their numbers, those that end in a backslash joined to the next."""
-    found, begun, number = [], "", 0
-    for at, line in enumerate(text.splitlines(), 1):
-        number = number if begun else at
+            line = ConfigLine(str(path), number, words)
+            if words and words[0] == "include":
+                self._include(path, line, including)
+            elif words:
+                self.lines.append(line)
+
+    def _read_text(self, path: Path, origin: ConfigLine, setting: str) -> str | None:
+        """Return the text of a file, None after a fault."""
+        try:
+            data = path.read_bytes()
+            text = data.decode("utf-8")
+        except OSError as error:
+            reason = f"can't read {path}: {error.strerror}"
+            self.faults.append(ConfigFault(origin.file, origin.number, setting, reason))
+            return None
+        except UnicodeDecodeError as error:
+            number = data[: error.start].count(b"\n") + 1
+            self.faults.append(ConfigFault(str(path), number, "file", "is not UTF-8"))
+            return None
+        if len(data) > MAX_FILE_BYTES or len(self.lines) > MAX_LINES:
+            reason = f"is over {MAX_FILE_BYTES} bytes or {MAX_LINES} lines in all"
+            self.faults.append(ConfigFault(str(path), 1, "file", reason))
+            return None
+        return text
+
+    def _include(self, path: Path, line: ConfigLine, including: tuple[Path, ...]) -> None:
+        if len(line.words) != INCLUDE_WORDS:
+            text = f"{len(line.words) - 1} words; expected one file"
+            self.faults.append(ConfigFault(line.file, line.number, "include", text))
+            return
+        self.read_file(path.parent / line.words[1], line, (*including, path.resolve()))
+
+
+def _join_continued_lines(text: str) -> list[tuple[int, str]]:
+    """Return lines with their numbers, those that end in a backslash joined to the next."""
+    joined_lines = []
+    begun = ""  # of a line that goes on
+    first_number = 0
+    for number, line in enumerate(text.splitlines(), 1):
+        if not begun:
+            first_number = number
         if line.endswith("\\"):
             begun += line[:-1] + " "
             continue
-        found.append((number, begun + line))
+        joined_lines.append((first_number, begun + line))
         begun = ""
     if begun:
-        found.append((number, begun))
-    return found
+        joined_lines.append((first_number, begun))
+    return joined_lines
