--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -189,7 +189,7 @@
                     m.EXTRAS: extras,
                     m.DESCRIPTION: "d",
                 }
-                stream.put(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
+                stream.try_send(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
             while True:
                 yield from stream.read()
 
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -53,7 +53,10 @@
         return None
     if before.final_answer is None or not before.is_closed:
         return "same"  # a client that lost its connection in mid-call and sends it again
-    if before.idempotency is api.Idempotency.NON_IDEMPOTENT and before.execution_status() is not ExecutionStatus.NEVER_RAN:
+    if (
+        before.idempotency is api.Idempotency.NON_IDEMPOTENT
+        and before.execution_status() is not ExecutionStatus.NEVER_RAN
+    ):
         return "never"
     return None
 
@@ -78,7 +81,11 @@
         before = self.ledger.calls_by_key.get((asking.tenant, asking.request.key))
         if before is None or (before.framework, before.task_id) == (asking.owner_id, asking.task_id):
             return None
-        if before.final_answer is not None and before.is_closed and before.execution_status() is ExecutionStatus.NEVER_RAN:
+        if (
+            before.final_answer is not None
+            and before.is_closed
+            and before.execution_status() is ExecutionStatus.NEVER_RAN
+        ):
             return None
         text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
         return AdmissionDecision(
--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -47,7 +47,9 @@
         if self.slow_start is not None:
             return
         # One a machine from all allocators together, as none knows what the others do.
-        self.slow_start = SlowStart(len(self.core.listed_machines or ()) / max(1, self.core.settings.allocator_count))
+        self.slow_start = SlowStart(
+            len(self.core.listed_machines or ()) / max(1, self.core.settings.allocator_count)
+        )
         self.slow_start.begin(self.core.now())
         self.core.log("open", held=len(self.waiting_calls), first=int(self.slow_start.window))
         self._pump()
@@ -71,7 +73,9 @@
         start, now = self.slow_start, self.core.now()
         if start is None or self.is_finished:
             return
-        for number in [number for number, since in self.dispatched_at_ms.items() if now - since > MAX_OUTSTANDING_MS]:
+        for number in [
+            number for number, since in self.dispatched_at_ms.items() if now - since > MAX_OUTSTANDING_MS
+        ]:
             self._back(number, placed=False)
         while self.waiting_calls and start.available_slots():
             place, call = self.waiting_calls.peekitem(0)
@@ -89,7 +93,9 @@
             return
         self.is_finished = True
         self.dispatched_at_ms.clear()
-        self.core.log("all told that waited for the start", longest=self.max_length, refused=self.rejected_count)
+        self.core.log(
+            "all told that waited for the start", longest=self.max_length, refused=self.rejected_count
+        )
 
     def _give_up(self, start: SlowStart, now: float) -> None:
         """Whoever will have no turn in time, by the rate of the last turns."""
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -133,7 +133,11 @@
     def add_call(self, call: Call) -> None:
         self.active_calls[call.number] = call
         self.calls_by_framework.setdefault(call.framework, {})[call.task_id] = call
-        if call.idempotency is api.Idempotency.NON_IDEMPOTENT and call.tenant and call.request.has_explicit_key:
+        if (
+            call.idempotency is api.Idempotency.NON_IDEMPOTENT
+            and call.tenant
+            and call.request.has_explicit_key
+        ):
             self.calls_by_key[call.tenant, call.request.key] = call
         self.unanswered_count += call.final_answer is None
 
--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -41,7 +41,10 @@
         self.now = float("-inf")
         self.calls: dict[int, TrackedCall] = {}
         self.pending_timers = 0
-        self.policy_cpu_s, self.event_count = 0.0, 0  # CPU time that the module itself took, and for how many events
+        self.policy_cpu_s, self.event_count = (
+            0.0,
+            0,
+        )  # CPU time that the module itself took, and for how many events
         self.pending_probes: dict[str, int] = {}
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
@@ -130,13 +133,17 @@
         if isinstance(action, api.Bind):
             known = self._open(action.call_id, "Bind")
             if known.is_attempt_active:
-                raise ContractError(f"call {action.call_id}: Bind while attempt {known.attempt_count - 1} is out")
+                raise ContractError(
+                    f"call {action.call_id}: Bind while attempt {known.attempt_count - 1} is out"
+                )
             known.attempt_count, known.machine = known.attempt_count + 1, action.machine
             known.is_attempt_active, known.is_accepted = True, False
         elif isinstance(action, api.Reject | api.Fail):
             known = self._open(action.call_id, type(action).__name__)
             if known.is_attempt_active:
-                raise ContractError(f"call {action.call_id}: answered while attempt {known.attempt_count - 1} is out")
+                raise ContractError(
+                    f"call {action.call_id}: answered while attempt {known.attempt_count - 1} is out"
+                )
             known.is_closed = True
             self._forget(action.call_id)
         elif isinstance(action, api.SetTimer):
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -24,6 +24,7 @@
 from glencleat.allocator.contract import Contract, PolicyPort
 from glencleat.allocator.counters import TaskCounters
 from glencleat.allocator.domain_events import (
+    AdmissionCheck,
     AdmissionDecision,
     AdmissionRequest,
     AgentStateChanged,
@@ -31,7 +32,6 @@
     AttemptSent,
     CallAnswered,
     CallForgotten,
-    AdmissionCheck,
     DomainEvent,
     EventSubscriber,
     InProcessOwner,
@@ -77,10 +77,15 @@
         self.call_table = CallTable(options.max_closed_calls)
         self.counters = TaskCounters(self.call_table)
         self.membership = AgentMembership(
-            options.heartbeat_interval_ms, options.max_missed_heartbeats, options.agent_return_timeout_ms, options.max_agents
+            options.heartbeat_interval_ms,
+            options.max_missed_heartbeats,
+            options.agent_return_timeout_ms,
+            options.max_agents,
         )
         self.frameworks = Frameworks(
-            options.max_frameworks, options.max_unacknowledged_updates, update_retry_ms=options.update_retry_ms
+            options.max_frameworks,
+            options.max_unacknowledged_updates,
+            update_retry_ms=options.update_retry_ms,
         )
         self.incarnation = f"{self.random.getrandbits(40):010x}"
         self.call_numbers, self.probe_numbers = itertools.count(1), itertools.count(1)
@@ -201,7 +206,11 @@
         if self.is_shutting_down:
             return "shutting down"
         if self.admission_queue.slow_start is None:
-            return "machines have yet to tell what they run" if self.listed_machines else "no machine is listed yet"
+            return (
+                "machines have yet to tell what they run"
+                if self.listed_machines
+                else "no machine is listed yet"
+            )
         return None
 
     def _act(self, action: api.Action) -> None:
@@ -212,7 +221,9 @@
             self.answer_call(call, FinalAnswer.REJECTED, status_mapping.rejection_answer(call.may_have_run()))
         elif isinstance(action, api.Fail):
             self.answer_call(
-                self.call_table.active_calls[action.call_id], FinalAnswer.FAILED, status_mapping.failure_answer()
+                self.call_table.active_calls[action.call_id],
+                FinalAnswer.FAILED,
+                status_mapping.failure_answer(),
             )
         elif isinstance(action, api.SetTimer):
             token = action.token
@@ -240,7 +251,9 @@
             self.fail_attempt(attempt, api.Outcome.UNREACHABLE, may_have_run=False)
             return
         attempt.session = link
-        attempt.begin_offset = attempt.end_offset = 1 << 62  # nothing is handed over until the link has told where it lies
+        attempt.begin_offset = attempt.end_offset = (
+            1 << 62
+        )  # nothing is handed over until the link has told where it lies
         place = link.send(self._launch(attempt, action.timeout_ms))
         if attempt.is_concluded:
             return  # the link failed while it took the record, and its end settled the attempt
@@ -261,7 +274,9 @@
             "answer_within_ms": f"{timeout_ms:.0f}",
             "priority": str(cls.priority),
             "effect": cls.idempotency.value,
-            "life_ms": None if call.request.expected_run_ms is None else f"{call.request.expected_run_ms:.0f}",
+            "life_ms": None
+            if call.request.expected_run_ms is None
+            else f"{call.request.expected_run_ms:.0f}",
         }
         info = m.TaskInfo(
             name=call.info.name,
@@ -388,7 +403,11 @@
         if given is not FinalAnswer.PLACED:
             self.call_table.close_call(call)
         self.publish(CallAnswered(call, given))
-        text = None if given is FinalAnswer.PLACED else call.pending_reasons.describe(len(self.listed_machines or ()))
+        text = (
+            None
+            if given is FinalAnswer.PLACED
+            else call.pending_reasons.describe(len(self.listed_machines or ()))
+        )
         self.framework_sessions.status(call, answer, text)
         if self.is_shutting_down and not self.call_table.unanswered_count:
             self.on_idle()
--- a/glencleat/allocator/ports.py
+++ b/glencleat/allocator/ports.py
@@ -14,7 +14,12 @@
 from glencleat.allocator.agent_membership import AgentMembership
 from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer
 from glencleat.allocator.counters import TaskCounters
-from glencleat.allocator.domain_events import AdmissionDecision, AdmissionRequest, DomainEvent, EventSubscriber
+from glencleat.allocator.domain_events import (
+    AdmissionDecision,
+    AdmissionRequest,
+    DomainEvent,
+    EventSubscriber,
+)
 from glencleat.allocator.frameworks import Framework, Frameworks
 from glencleat.allocator.options import Options
 from glencleat.allocator.startup_gate import StartupGate
--- a/glencleat/allocator/startup_gate.py
+++ b/glencleat/allocator/startup_gate.py
@@ -24,5 +24,7 @@
             waited = now - self.started_at_ms
             names = set(listed or ())
             whole = bool(names) and names <= set(subscribed)
-            self.is_open = waited >= self.min_wait_ms and (whole or waited >= max(self.min_wait_ms, self.grace_ms))
+            self.is_open = waited >= self.min_wait_ms and (
+                whole or waited >= max(self.min_wait_ms, self.grace_ms)
+            )
         return self.is_open
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -95,10 +95,7 @@
 
 
 def read_task_request(
-    info: TaskInfo,
-    classes: Mapping[str, api.TaskClass],
-    default_class: str | None,
-    answer_margin_ms: float,
+    info: TaskInfo, classes: Mapping[str, api.TaskClass], default_class: str | None, answer_margin_ms: float
 ) -> TaskRequest:
     """What a task asks for.
 
--- a/glencleat/descriptor_budget.py
+++ b/glencleat/descriptor_budget.py
@@ -12,9 +12,13 @@
 from enum import Enum, IntEnum
 from typing import Protocol
 
-RESERVED_DESCRIPTORS = 32  # of the limit: 11 always open (standard, poller, signals, listener and its spare, channel, a file
+RESERVED_DESCRIPTORS = (
+    32  # of the limit: 11 always open (standard, poller, signals, listener and its spare, channel, a file
+)
 # that is read), LEAVING, and 13 that nothing of ours takes, so that the limit is never reached
-LISTEN_BACKLOG = 1_024  # connections that the system may hold until we take them: with fewer, some would be dropped
+LISTEN_BACKLOG = (
+    1_024  # connections that the system may hold until we take them: with fewer, some would be dropped
+)
 # in a rush and come back a second later. To operators these are descriptors of ours.
 STALL_MS = 100.0  # a round of the loop may take so long: places are kept free for who comes meanwhile,
 HEADROOM_DIVISOR = 8  # for this part of the room at most; strangers hold all there is only in a rush
@@ -70,7 +74,10 @@
         ),
         (EvictionPriority.REDUNDANT, EvictionPriority.MONITOR_SETTLED, EvictionPriority.MONITOR_RECENT),
     ),
-    Demand.ADDITIONAL: ((EvictionPriority.IDLE_UNPROVEN, EvictionPriority.REDUNDANT), (EvictionPriority.REDUNDANT,)),
+    Demand.ADDITIONAL: (
+        (EvictionPriority.IDLE_UNPROVEN, EvictionPriority.REDUNDANT),
+        (EvictionPriority.REDUNDANT,),
+    ),
     Demand.MONITOR: (
         (
             EvictionPriority.IDLE_UNPROVEN,
@@ -109,7 +116,11 @@
         self.queues: tuple[dict[DescriptorHolder, None], ...] = tuple({} for _ in EvictionPriority)
         self.closing: set[DescriptorHolder] = set()
         self.peak_held = self.rejected_count = 0
-        self.recent_arrivals, self.arrivals, self.interval_start_ms = 0.0, 0, 0.0  # newcomers in such a time: lately, now, since when
+        self.recent_arrivals, self.arrivals, self.interval_start_ms = (
+            0.0,
+            0,
+            0.0,
+        )  # newcomers in such a time: lately, now, since when
         self.on_freed: Callable[[], None] = lambda: None  # one is free, or worth less than it was
 
     @property
@@ -123,12 +134,16 @@
         them, have their places free: the operators count them as ours."""
         passed = (now - self.interval_start_ms) // STALL_MS
         if passed >= 1.0:
-            self.recent_arrivals = max(self.arrivals * ARRIVAL_DECAY ** (passed - 1.0), self.recent_arrivals * ARRIVAL_DECAY**passed)
+            self.recent_arrivals = max(
+                self.arrivals * ARRIVAL_DECAY ** (passed - 1.0), self.recent_arrivals * ARRIVAL_DECAY**passed
+            )
             self.arrivals, self.interval_start_ms = 0, self.interval_start_ms + passed * STALL_MS
         self.arrivals += 1
         if not self.make_room(Demand.CLIENT):
             return False
-        while self.held_count >= self.capacity - self.headroom and self._evict_first((EvictionPriority.IDLE_UNPROVEN,)):
+        while self.held_count >= self.capacity - self.headroom and self._evict_first(
+            (EvictionPriority.IDLE_UNPROVEN,)
+        ):
             pass
         return True
 
--- a/glencleat/emulators/client.py
+++ b/glencleat/emulators/client.py
@@ -10,7 +10,7 @@
 
 from glencleat.event_loop import Loop, LoopTask, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
-from glencleat.mesos.http import ClientConnection, EndOfBody, ResponseHead, HttpError
+from glencleat.mesos.http import ClientConnection, EndOfBody, HttpError, ResponseHead
 from glencleat.mesos.messages import MessageError
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
--- a/glencleat/endpoint_snapshot.py
+++ b/glencleat/endpoint_snapshot.py
@@ -82,7 +82,9 @@
 
 def encode_snapshot(pool: str, machines: Iterable[api.Machine], now_ms: float, wall_ms: float) -> bytes:
     return _encode_line(
-        SnapshotRecord(FORMAT, pool, wall_ms, [make_machine_record(machine, now_ms, wall_ms) for machine in machines])
+        SnapshotRecord(
+            FORMAT, pool, wall_ms, [make_machine_record(machine, now_ms, wall_ms) for machine in machines]
+        )
     )
 
 
@@ -122,7 +124,9 @@
         raise EndpointSnapshotError(f"line {number}: {error}") from None
 
 
-def find_rejection_reason(found: EndpointSnapshot, pool: str, wall_ms: float, max_age_ms: float) -> str | None:
+def find_rejection_reason(
+    found: EndpointSnapshot, pool: str, wall_ms: float, max_age_ms: float
+) -> str | None:
     """Why not, or None."""
     age = wall_ms - found.at_ms
     if found.pool != pool:
--- a/glencleat/flow_control/slow_start.py
+++ b/glencleat/flow_control/slow_start.py
@@ -12,7 +12,9 @@
 MAX_WINDOW = 4_096.0
 SLOT_MS = 250.0  # over which a rate is taken
 RATE_SMOOTHING = 0.5  # weight of the newest slot in the rate
-ANSWER_MARGIN_MS = 200.0  # of a task's time: so late the module places nothing any more, and its answer is under way
+ANSWER_MARGIN_MS = (
+    200.0  # of a task's time: so late the module places nothing any more, and its answer is under way
+)
 GROWTH_THRESHOLD = 1.25  # a rate so many times the last slot's still grows
 
 
--- a/glencleat/platform_protocol/command_channel.py
+++ b/glencleat/platform_protocol/command_channel.py
@@ -18,7 +18,9 @@
 from glencleat.platform_settings import PHASES
 
 MAX_LINE_BYTES = 4 << 20  # bytes: a whole list of some ten thousand machines
-MAX_OLDER_CURSORS = 3  # words in a row, a second apart, that the last number is below ours: not one that was under way
+MAX_OLDER_CURSORS = (
+    3  # words in a row, a second apart, that the last number is below ours: not one that was under way
+)
 # How old a start can be that the list has only now told, and by clocks that agree: beyond, they do not.
 MAX_START_DELAY_MS, MAX_CLOCK_SKEW_MS = 10_000.0, 60_000.0
 MAX_LEAVING_MACHINES = 10_000  # machines told as draining or gone that are remembered
@@ -93,7 +95,9 @@
         self.decoder = msgspec.json.Decoder(ChannelEvent | int, strict=False)
         self.gap_cursor = 0  # the cursor at which a gap was met: once asked for again, it is no gap any more
         self.older_cursors = 0  # words in a row that told an older number than ours
-        self.needs_snapshot = False  # the service's numbers are others: the next whole list counts, whatever its number
+        self.needs_snapshot = (
+            False  # the service's numbers are others: the next whole list counts, whatever its number
+        )
         self.superseded_cursor = 0  # our number when that was found
         self.leaving_by_machine: dict[
             str, tuple[float, api.MachinePhase]
@@ -159,12 +163,18 @@
             self._gap(last)
         elif self.older_cursors >= MAX_OLDER_CURSORS:
             self.needs_snapshot, self.superseded_cursor = True, max(self.superseded_cursor, self.cursor)
-            raise RemoteProtocolError(f"the channel is at {last}, we were told {self.cursor}: asking for all of it")
+            raise RemoteProtocolError(
+                f"the channel is at {last}, we were told {self.cursor}: asking for all of it"
+            )
 
     def _phase(self, entry: MachineEntry, cursor: int) -> api.MachinePhase:
         phase = PHASES[entry.lifecycle]
         started, told = self.leaving_by_machine.get(entry.instance_id, (-1.0, phase))
-        if cursor <= self.superseded_cursor and started == entry.started_at_ms and phase is api.MachinePhase.SERVING:
+        if (
+            cursor <= self.superseded_cursor
+            and started == entry.started_at_ms
+            and phase is api.MachinePhase.SERVING
+        ):
             return told
         return phase
 
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -30,13 +30,17 @@
     OUTCOME_BY_DELIVERY,
     AttemptEvidence,
     DeliveryOutcome,
-    is_duplicate_safe,
     find_hold_reason,
+    is_duplicate_safe,
     is_turn_current,
 )
 from glencleat.platform_protocol.ended_tasks import EndedTasks
 from glencleat.platform_protocol.setup_requests import SetupError, SetupParser, SetupRequest
-from glencleat.platform_protocol.value_mapping import OUTCOME_BY_CAUSE_AFTER_ANSWER, OUTCOME_BY_CAUSE_BEFORE_ANSWER, OBSERVATION_BY_TOPIC
+from glencleat.platform_protocol.value_mapping import (
+    OBSERVATION_BY_TOPIC,
+    OUTCOME_BY_CAUSE_AFTER_ANSWER,
+    OUTCOME_BY_CAUSE_BEFORE_ANSWER,
+)
 
 
 class SetupState(Enum):
@@ -99,7 +103,9 @@
     attempt_count: int = 0
     attempt: SetupAttempt | None = None
     running_since_ms: float = 0.0  # when it came to stand
-    first_execution_ms: float | None = None  # the earliest moment at which an attempt that may have run could be there
+    first_execution_ms: float | None = (
+        None  # the earliest moment at which an attempt that may have run could be there
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -146,7 +152,9 @@
         self.probed_host_by_token: dict[int, str] = {}  # token -> host
         self.probe_count = 0
         self.list_machines: Callable[[], tuple[api.Machine, ...]] = tuple
-        self.notify_host_occupied: Callable[[str], None] = lambda host: None  # told of a host's first, and of its last
+        self.notify_host_occupied: Callable[[str], None] = lambda host: (
+            None
+        )  # told of a host's first, and of its last
         self.invalid_setups = self.accepted_calls = self.late_answers = 0
         self.failed_attempts_by_outcome: dict[api.Outcome, int] = {}  # attempts that came to nothing
 
@@ -200,7 +208,9 @@
         token = self.probe_count
         self.probed_host_by_token[token] = action.machine
         if self.ports.send_probe(action.machine, token):
-            self.ports.call_in(self.probe_timeout_ms, lambda: self._tested(token, api.Outcome.TIMED_OUT, None))
+            self.ports.call_in(
+                self.probe_timeout_ms, lambda: self._tested(token, api.Outcome.TIMED_OUT, None)
+            )
         else:
             self.ports.call_in(0.0, lambda: self._tested(token, api.Outcome.UNREACHABLE, None))
 
@@ -251,7 +261,9 @@
             self._forget(call, attempt.host)
         if stood and outcome is not api.Outcome.STOPPED:
             cause = m.NORMAL_CLEARING_2 if outcome is api.Outcome.COMPLETED else m.TEMPORARY_FAILURE
-            self.ports.send_to_client(call.client, m.encode_with_cause(m.RELEASE, call.setup.task, cause), owed=True)
+            self.ports.send_to_client(
+                call.client, m.encode_with_cause(m.RELEASE, call.setup.task, cause), owed=True
+            )
         spent = max(0.0, now - attempt.began_ms)
         if outcome not in NOT_EXECUTED_OUTCOMES and call.first_execution_ms is None:
             call.first_execution_ms = attempt.began_ms
@@ -310,7 +322,9 @@
 
     def end_tasks_of_host(self, host: str, before: float = math.inf) -> int:
         """The host's process is known to have ended: what came to stand there `before` is over."""
-        ended = [call for call in self.running_by_host.get(host, {}).values() if call.running_since_ms < before]
+        ended = [
+            call for call in self.running_by_host.get(host, {}).values() if call.running_since_ms < before
+        ]
         for call in ended:
             if call.attempt is not None:
                 self._back(call.attempt, api.Outcome.LOST)
@@ -334,9 +348,15 @@
             if attempt is not None and awaited:
                 self._accepted(attempt, message)
             else:
-                self.late_answers += 1  # after its time, a second time, or of nothing: the page says it means nothing
+                self.late_answers += (
+                    1  # after its time, a second time, or of nothing: the page says it means nothing
+                )
         elif message.kind == m.RELEASE:
-            cause, why, report = message.cause, value_mapping.parse_outcome_reason(message), value_mapping.parse_load_report(message)
+            cause, why, report = (
+                message.cause,
+                value_mapping.parse_outcome_reason(message),
+                value_mapping.parse_load_report(message),
+            )
             if attempt is not None and attempt.call.state is SetupState.RUNNING:
                 self.ended_tasks.record(message.task, host, cause, True, self.ports.now())
                 self._back(attempt, OUTCOME_BY_CAUSE_AFTER_ANSWER.get(cause, api.Outcome.LOST), why, report)
@@ -371,7 +391,9 @@
     def _note(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
         topic, value = message.text(m.TOPIC), m.parse_number(message.text(m.VALUE) or "0")
         if attempt is not None and attempt.call.state is SetupState.RUNNING and topic in OBSERVATION_BY_TOPIC:
-            self.dispatcher.dispatch(api.TaskObserved(attempt.call.call_id, attempt.host, OBSERVATION_BY_TOPIC[topic], value))
+            self.dispatcher.dispatch(
+                api.TaskObserved(attempt.call.call_id, attempt.host, OBSERVATION_BY_TOPIC[topic], value)
+            )
 
     # ---- owners ----
 
@@ -420,7 +442,16 @@
     def _asked(self, call: SetupCall, left_ms: float) -> api.PlacementRequested:
         s = call.setup
         return api.PlacementRequested(
-            call.call_id, s.task_class.name, s.service, s.cores, s.memory, left_ms, s.tenant, None, s.current_host, s.is_retry
+            call.call_id,
+            s.task_class.name,
+            s.service,
+            s.cores,
+            s.memory,
+            left_ms,
+            s.tenant,
+            None,
+            s.current_host,
+            s.is_retry,
         )
 
     def _take(self, owner: ClientPort, setup: SetupRequest, left_ms: float) -> None:
--- a/glencleat/platform_protocol/inbox.py
+++ b/glencleat/platform_protocol/inbox.py
@@ -23,7 +23,9 @@
         self.buffer = bytearray()
         self.consumed_bytes = 0  # bytes handed out since the start
         self.scanned_bytes = 0  # of the buffer: whole messages, in which releases were looked for
-        self.release_end_by_task: dict[int, int] = {}  # id -> where the last release of it that waits here ends
+        self.release_end_by_task: dict[
+            int, int
+        ] = {}  # id -> where the last release of it that waits here ends
         self.arrivals: deque[tuple[int, float | None]] = deque()  # where a piece ends, when the system had it
         self.error_text: str | None = None  # why what comes after the whole messages is none
         self.is_closed = False  # the client closed: whatever else is in here, nobody waits for an answer
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -9,8 +9,15 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_settings import read_report
 
-OUTCOME_BY_CAUSE_BEFORE_ANSWER = {m.NO_CAPACITY: api.Outcome.REJECTED, m.ERROR: api.Outcome.ERROR, m.TIMER_EXPIRED: api.Outcome.NOT_SENT}
-OUTCOME_BY_CAUSE_AFTER_ANSWER = {m.NORMAL_CLEARING_2: api.Outcome.COMPLETED, m.STOPPED: api.Outcome.STOPPED}  # every other cause: LOST
+OUTCOME_BY_CAUSE_BEFORE_ANSWER = {
+    m.NO_CAPACITY: api.Outcome.REJECTED,
+    m.ERROR: api.Outcome.ERROR,
+    m.TIMER_EXPIRED: api.Outcome.NOT_SENT,
+}
+OUTCOME_BY_CAUSE_AFTER_ANSWER = {
+    m.NORMAL_CLEARING_2: api.Outcome.COMPLETED,
+    m.STOPPED: api.Outcome.STOPPED,
+}  # every other cause: LOST
 REASON_BY_TOPIC = {
     "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
@@ -27,7 +34,10 @@
     "served": api.ObservationKind.SERVICE_LEVEL,
     "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-SETTINGS_FIELD_BY_WIRE_NAME = {"util": "busy", "queue": "q"}  # names on the sockets -> in the settings, where they differ
+SETTINGS_FIELD_BY_WIRE_NAME = {
+    "util": "busy",
+    "queue": "q",
+}  # names on the sockets -> in the settings, where they differ
 
 
 def parse_outcome_reason(message: m.PlatformMessage) -> api.OutcomeReason:
@@ -36,4 +46,6 @@
 
 def parse_load_report(message: m.PlatformMessage) -> api.LoadReport | None:
     raw = m.parse_fields(message.text(m.REPORT) or "")
-    return read_report({SETTINGS_FIELD_BY_WIRE_NAME.get(name, name): m.parse_number(value) for name, value in raw.items()})
+    return read_report(
+        {SETTINGS_FIELD_BY_WIRE_NAME.get(name, name): m.parse_number(value) for name, value in raw.items()}
+    )
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -24,12 +24,17 @@
 WRITE_STALL_TIMEOUT_MS = 5_000.0  # for a client to take some of what waits unsent
 MESSAGES_PER_TURN = 16  # messages of one connection before others have their turn
 READ_BYTES = 16_384  # bytes of one connection at a time
-LOOKAHEAD_BYTES = 1 << 17  # bytes of one connection that may wait here where its end or a cancel is looked for
+LOOKAHEAD_BYTES = (
+    1 << 17
+)  # bytes of one connection that may wait here where its end or a cancel is looked for
 MAX_BACKLOG_BATCHES = 64  # shares of the listen backlog that are taken in at one look
 MAX_INVALID_SETUPS = 50  # set-ups turned away unread on one connection before it is closed
 MAX_QUEUED_MS = 60_000.0  # a clock that was set says more
 MAX_UNSENT_BYTES = 1 << 18  # bytes that a slow reader may leave with us
-MAX_UNDELIVERED_RELEASES, UNDELIVERED_RELEASE_TTL_MS = 2_000, 10_000.0  # releases that wait for a connection of owners, and for how long
+MAX_UNDELIVERED_RELEASES, UNDELIVERED_RELEASE_TTL_MS = (
+    2_000,
+    10_000.0,
+)  # releases that wait for a connection of owners, and for how long
 
 
 class ClientConnection:
@@ -44,11 +49,20 @@
         self.has_sent_message = False  # a message came whole
         self.is_proven = False  # a task of its came to stand: no bad client's ever does
         self.invalid_setup_count = 0
-        self.write_stall: tuple[int, float] | None = None  # bytes written, since when so many while others wait
-        self.partial_message: tuple[int, float] | None = None  # where a message that is not whole begins, since when
+        self.write_stall: tuple[int, float] | None = (
+            None  # bytes written, since when so many while others wait
+        )
+        self.partial_message: tuple[int, float] | None = (
+            None  # where a message that is not whole begins, since when
+        )
 
     def eviction_priority(self) -> EvictionPriority:
-        if self.open or self.inbox.scanned_bytes or self.stream.unsent or (self.is_proven and self.connections.proven_count == 1):
+        if (
+            self.open
+            or self.inbox.scanned_bytes
+            or self.stream.unsent
+            or (self.is_proven and self.connections.proven_count == 1)
+        ):
             return (
                 EvictionPriority.IN_USE
             )  # an answer is owed on it, or it is the last one that releases can go by
@@ -94,7 +108,14 @@
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
         # With 0 that are let in unasked, the descriptors' owner decides of each.
         self.listener = Listener(
-            self.loop, address, self._on_accepted, 0, MAX_UNSENT_BYTES, lambda why: None, self._admit_client, LISTEN_BACKLOG
+            self.loop,
+            address,
+            self._on_accepted,
+            0,
+            MAX_UNSENT_BYTES,
+            lambda why: None,
+            self._admit_client,
+            LISTEN_BACKLOG,
         )
         return self.listener.address
 
@@ -218,13 +239,17 @@
         self.descriptors.update_priority(owner, used=True)
         return owner.inbox.has_next
 
-    def _handle_message(self, owner: ClientConnection, message: m.PlatformMessage, arrived: float | None) -> None:
+    def _handle_message(
+        self, owner: ClientConnection, message: m.PlatformMessage, arrived: float | None
+    ) -> None:
         owner.has_sent_message = True
         if self.trace is not None:
             self.trace.record_message("owner", message)
         if message.kind == m.SETUP:
             late = (arrived or self.loop.clock.wall()) > self.closed_at_wall_ms
-            owner.invalid_setup_count += not self.exchange.receive_setup(owner, message, self._queued_ms(arrived), late)
+            owner.invalid_setup_count += not self.exchange.receive_setup(
+                owner, message, self._queued_ms(arrived), late
+            )
             if owner.invalid_setup_count > MAX_INVALID_SETUPS:
                 raise m.RemoteProtocolError(f"{owner.invalid_setup_count} set-ups that can't be used")
         elif message.kind == m.RELEASE:
@@ -259,7 +284,9 @@
         if not owed:
             return
         # Of the rest nobody knows who listens there: a release told to a bad client is told to nobody.
-        for other in sorted((o for o in self.connections if o.is_proven), key=lambda o: o.last_used_ms, reverse=True):
+        for other in sorted(
+            (o for o in self.connections if o.is_proven), key=lambda o: o.last_used_ms, reverse=True
+        ):
             if not self._has_ended(other) and self._write(other, data):
                 return
         self.undelivered_releases.append((self.loop.now(), data))
@@ -274,7 +301,9 @@
         now = self.loop.now()
         for owner in list(self.connections):
             silent = not owner.has_sent_message and now - owner.connected_at_ms > MESSAGE_TIMEOUT_MS
-            if silent or (owner.partial_message is not None and now - owner.partial_message[1] > MESSAGE_TIMEOUT_MS):
+            if silent or (
+                owner.partial_message is not None and now - owner.partial_message[1] > MESSAGE_TIMEOUT_MS
+            ):
                 self.read_pending(owner)  # after a standstill all of it may lie unread
                 if not owner.inbox.has_next:
                     owner.stream.close("no whole message in time")
@@ -283,5 +312,7 @@
             elif not owner.is_reading(now):
                 owner.stream.close("it reads nothing")  # a descriptor that answers wait on is not given up
             self.descriptors.update_priority(owner)
-        while self.undelivered_releases and now - self.undelivered_releases[0][0] > UNDELIVERED_RELEASE_TTL_MS:
+        while (
+            self.undelivered_releases and now - self.undelivered_releases[0][0] > UNDELIVERED_RELEASE_TTL_MS
+        ):
             self.undelivered_releases.popleft()
--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -34,7 +34,9 @@
     """What one look found."""
 
     has_open_calls: bool  # open calls
-    has_unhandled_data: bool  # connections or bytes that came since the look before or wait their turn, unsent answers
+    has_unhandled_data: (
+        bool  # connections or bytes that came since the look before or wait their turn, unsent answers
+    )
     has_undelivered_releases: bool  # releases owed to clients or hosts, for which there is no connection
 
 
--- a/glencleat/platform_server/host_connection.py
+++ b/glencleat/platform_server/host_connection.py
@@ -123,7 +123,11 @@
             has_polled: The poller had a chance to report the close, so the system is only asked where it
                 reported something.
         """
-        if self.stream is not None and (self.stream.is_readable or not has_polled) and self.stream.has_hung_up():
+        if (
+            self.stream is not None
+            and (self.stream.is_readable or not has_polled)
+            and self.stream.has_hung_up()
+        ):
             self.is_closed_by_host = True
         return self.is_closed_by_host
 
@@ -172,7 +176,11 @@
         if self.loop.now() - self.connected_at_ms > HOST_BACKOFF.stable_ms:
             self.host.backoff.reset()
         has_standing_tasks = self.pool.exchange.running_by_host.get(self.host.name)
-        if has_standing_tasks and self.stream.close_reason is None and self.pool.descriptors.begin_closing(self):
+        if (
+            has_standing_tasks
+            and self.stream.close_reason is None
+            and self.pool.descriptors.begin_closing(self)
+        ):
             stream = self.stream
             stream.shutdown_write()
             self.loop.call_in(CLOSE_TIMEOUT_MS, lambda: stream.close(reason))
--- a/glencleat/platform_server/host_maintenance.py
+++ b/glencleat/platform_server/host_maintenance.py
@@ -213,7 +213,11 @@
         for connection in by_need:
             if connection.is_idle:
                 self._close_if_unneeded(host, connection, now_ms, has_standing_tasks)
-        if host.is_removed and host.name not in self.pool.exchange.running_by_host and not host.has_open_attempts:
+        if (
+            host.is_removed
+            and host.name not in self.pool.exchange.running_by_host
+            and not host.has_open_attempts
+        ):
             host.abort_connections("its host is gone")
             self.pool.registry.remove_host(host)
 
--- a/glencleat/platform_server/host_registry.py
+++ b/glencleat/platform_server/host_registry.py
@@ -98,7 +98,9 @@
             # A start that was reported before says nothing new: by a clock that is behind it lies ahead for
             # ever.
             return
-        started_at_ms = estimate_start_ms(started_unix_ms - self.channel.wall_clock_offset_ms, self.loop.now())
+        started_at_ms = estimate_start_ms(
+            started_unix_ms - self.channel.wall_clock_offset_ms, self.loop.now()
+        )
         self.observer.declare_tasks_lost(host, "a later start is in the list", started_at_ms)
 
     def _handle_address_taken(self, host: Host) -> None:
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -112,7 +112,9 @@
         for news in self.channel.load_known(config.known_commands, loop.now()):
             self.list_told(news)
         asking = Backoff(COMMAND_CHANNEL_BACKOFF, random)
-        self.watch_client = WatchClient(loop, self.channel, asking, config.channel_address, self.list_told, log)
+        self.watch_client = WatchClient(
+            loop, self.channel, asking, config.channel_address, self.list_told, log
+        )
         self.reload_attempts = 0
         self.fault_count = 0
         if os.environ.get("GLENCLEAT_TRACE") == "1":
@@ -128,7 +130,10 @@
     def _install_trace(self) -> None:
         from glencleat.platform_server.trace import Trace
 
-        line, contract = RateLimitedLog("trace", max_lines_per_s=1 << 30, max_characters=500), self.exchange.contract
+        line, contract = (
+            RateLimitedLog("trace", max_lines_per_s=1 << 30, max_characters=500),
+            self.exchange.contract,
+        )
         contract.policy = trace = Trace(contract.policy, self.exchange.calls, line)
         self.clients.trace = self.hosts.trace = trace
 
@@ -204,7 +209,8 @@
         seen = ShutdownObservation(
             has_open_calls=bool(self.exchange.open_calls),
             has_unhandled_data=came or half or self.clients.has_unsent_data,
-            has_undelivered_releases=bool(self.clients.undelivered_releases) or self.hosts.has_unsent_releases,
+            has_undelivered_releases=bool(self.clients.undelivered_releases)
+            or self.hosts.has_unsent_releases,
         )
         state = self.shutdown.observe(self.loop.now(), seen)
         if state is not ShutdownState.DRAINING:
@@ -219,7 +225,10 @@
     def log_status(self) -> None:
         self.loop.call_in(STATUS_INTERVAL_MS, self.log_status)
         x = self.exchange
-        nothing = ", ".join(f"{outcome.value} {count}" for outcome, count in x.failed_attempts_by_outcome.items()) or "none"
+        nothing = (
+            ", ".join(f"{outcome.value} {count}" for outcome, count in x.failed_attempts_by_outcome.items())
+            or "none"
+        )
         stood, d = sum(map(len, x.running_by_host.values())), self.descriptors
         self.log(
             f"taken {x.accepted_calls} open {x.open_calls} standing {stood} bad {x.invalid_setups} late {x.late_answers} came to"
@@ -245,7 +254,9 @@
                 self.loop.run_once()
             except Exception as error:
                 self._record_fault(error)
-            self.longest_round_ms = max(self.longest_round_ms, self.loop.now() - began - (self.loop.poller.idle_ms - idle))
+            self.longest_round_ms = max(
+                self.longest_round_ms, self.loop.now() - began - (self.loop.poller.idle_ms - idle)
+            )
 
     def _record_fault(self, error: BaseException) -> None:
         self.fault_count += 1
--- a/glencleat/platform_server/rate_limited_log.py
+++ b/glencleat/platform_server/rate_limited_log.py
@@ -12,8 +12,19 @@
 
 
 class RateLimitedLog:
-    def __init__(self, name: str, fd: int = 2, max_lines_per_s: int = MAX_LINES_PER_S, max_characters: int = MAX_LINE_CHARACTERS) -> None:
-        self.name, self.fd, self.max_lines_per_s, self.max_characters = name, fd, max_lines_per_s, max_characters
+    def __init__(
+        self,
+        name: str,
+        fd: int = 2,
+        max_lines_per_s: int = MAX_LINES_PER_S,
+        max_characters: int = MAX_LINE_CHARACTERS,
+    ) -> None:
+        self.name, self.fd, self.max_lines_per_s, self.max_characters = (
+            name,
+            fd,
+            max_lines_per_s,
+            max_characters,
+        )
         self.second, self.lines_this_second, self.dropped_lines = 0, 0, 0
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
@@ -29,6 +40,9 @@
         more = f" (and {self.dropped_lines} lines not written)" if self.dropped_lines else ""
         self.dropped_lines = 0
         try:
-            os.write(self.fd, f"{now:.3f} {self.name} {text[: self.max_characters]}{more}\n".encode(errors="replace"))
+            os.write(
+                self.fd,
+                f"{now:.3f} {self.name} {text[: self.max_characters]}{more}\n".encode(errors="replace"),
+            )
         except OSError:
             self.dropped_lines += 1
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -25,9 +25,7 @@
 class Trace:
     """A module around the real one, which it asks; `message` is for what passes on the sockets."""
 
-    def __init__(
-        self, module: PolicyPort, calls: dict[int, SetupCall], line: Callable[[str], None]
-    ) -> None:
+    def __init__(self, module: PolicyPort, calls: dict[int, SetupCall], line: Callable[[str], None]) -> None:
         self.module, self.calls, self.write_line = module, calls, line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from glencleat.event_loop import Loop, InterruptibleSleep, Stream, StreamClosedError, connect
+from glencleat.event_loop import InterruptibleSleep, Loop, Stream, StreamClosedError, connect
 from glencleat.event_loop.loop import Coroutine
 from glencleat.flow_control.backoff import Backoff
 from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
@@ -77,7 +77,10 @@
             now = self.loop.now()
             self.partial_bytes = 0 if b"\n" in data else self.partial_bytes + len(data)
             if not self.partial_bytes or self.partial_bytes >= PROGRESS_BYTES:
-                self.last_heard_ms, self.partial_bytes = now, 0  # else one that drips would keep us from asking again
+                self.last_heard_ms, self.partial_bytes = (
+                    now,
+                    0,
+                )  # else one that drips would keep us from asking again
             if self.up_since_ms is None:
                 self.up_since_ms = now
             for news in self.channel.feed(data, now):
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -93,7 +93,12 @@
         self.versions = Versions(core.incarnation, kinds)
         self.channels = WatchChannels(limits.watch, self.versions.told)
         self.mirror = Mirror(
-            core, lambda: core.startup_gate, self.versions, self.channels, core.timing.clock.wall, limits.ended
+            core,
+            lambda: core.startup_gate,
+            self.versions,
+            self.channels,
+            core.timing.clock.wall,
+            limits.ended,
         )
         self.mirror.stir = self._stir
         self.pace = overload.AdmissionPace()
@@ -136,9 +141,7 @@
                 return known[1], False
         cls = self.core.classes_by_name.get(new.spec.task_class)
         if cls is None:
-            text = (
-                f"spec.class is {new.spec.task_class[:80]!r}; expected one of {', '.join(self.core.classes_by_name)}"
-            )
+            text = f"spec.class is {new.spec.task_class[:80]!r}; expected one of {', '.join(self.core.classes_by_name)}"
             raise ConflictError(422, text)
         least = 2.0 * self.core.options.answer_margin_ms
         if new.spec.wait_ms is not None and new.spec.wait_ms <= least:
@@ -297,7 +300,9 @@
             data=spec.data,
         )
         slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
-        taken = core.framework_sessions.take_in_process(owner_id(job.tenant), job.tenant, info, ask, slot.record)
+        taken = core.framework_sessions.take_in_process(
+            owner_id(job.tenant), job.tenant, info, ask, slot.record
+        )
         if isinstance(taken, AdmissionDecision):
             given = (
                 FinalAnswer.REJECTED
@@ -356,7 +361,7 @@
 
     # ---- hearing the core ----
 
-    def wants(self, call: Call) -> bool:
+    def is_wanted(self, call: Call) -> bool:
         seen = self.mirror.of(call)
         return seen is not None and (seen.slot is None or not seen.slot.cancelled)
 
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -99,7 +99,9 @@
             try:
                 stream: Stream = yield from connect(self.loop, self.address, 1_000.0)
                 self.streams.append(stream)
-                self._put(stream, m.encode_with_cause(m.PROBE, 0, 0))  # one who says nothing at first is closed
+                self._put(
+                    stream, m.encode_with_cause(m.PROBE, 0, 0)
+                )  # one who says nothing at first is closed
                 try:
                     yield from self._read(stream)
                 finally:
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -16,7 +16,7 @@
 from glencleat.event_loop.streams import connect
 from glencleat.flow_control.backoff import Backoff
 from glencleat.mesos import messages as m
-from glencleat.mesos.http import ClientConnection, EndOfBody, ResponseHead, HttpError
+from glencleat.mesos.http import ClientConnection, EndOfBody, HttpError, ResponseHead
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 TARGET = "/api/v1"
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -16,7 +16,9 @@
 from glencleat.allocator.endpoint_list import MachineListing
 from glencleat.event_loop import Loop
 
-REWRITE_INTERVAL_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
+REWRITE_INTERVAL_MS = (
+    30_000.0  # between two whole files; a list that stays the same has its age renewed by it
+)
 MAX_FILE_BYTES = 64 << 20  # bytes of a file that is read
 
 
@@ -98,7 +100,9 @@
             file = beside.open("wb")
             self.file = file
             file.write(
-                endpoint_snapshot.encode_snapshot(self.pool, machines.values(), self.loop.now(), self.loop.clock.wall())
+                endpoint_snapshot.encode_snapshot(
+                    self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()
+                )
             )
             file.flush()
             os.replace(beside, self.path)
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -126,7 +126,9 @@
             peer.refused = 0
             return
         peer.refused += 1
-        told.read_pause_ms = self.plane.gate.pause_ms(peer.refused, 1_000.0 * float(told.headers["retry-after"]))
+        told.read_pause_ms = self.plane.gate.pause_ms(
+            peer.refused, 1_000.0 * float(told.headers["retry-after"])
+        )
 
     def _peer(self, request: Request) -> Peer:
         origin: Any = request.origin
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -78,7 +78,9 @@
             framework = self.core.framework_sessions.subscribe(info, stream_id, link)
             return lambda why: self.core.framework_sessions.close_session(framework, link, why)
 
-        return Subscribe({"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_interval_ms)
+        return Subscribe(
+            {"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_interval_ms
+        )
 
     def _call(self, framework: Framework, call: m.SchedulerCall) -> None:
         owners, core = self.core.framework_sessions, self.core
--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -590,11 +590,7 @@
             m.Value(f"a0-before-1.{i}"),
             resources=m.build_resources(1.0, 100.0),
             labels=m.Labels(
-                [
-                    m.Label("class", "keyed"),
-                    m.Label("framework", "owner"),
-                    m.Label("task", "old"),
-                ]
+                [m.Label("class", "keyed"), m.Label("framework", "owner"), m.Label("task", "old")]
             ),
         )
         for i in range(2)
--- a/tests/flow_control/test_backoff.py
+++ b/tests/flow_control/test_backoff.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from glencleat.flow_control.backoff import COMMAND_CHANNEL_BACKOFF, HOST_BACKOFF, MACHINE_LIST_BACKOFF, Backoff, BackoffPolicy
+from glencleat.flow_control.backoff import (
+    COMMAND_CHANNEL_BACKOFF,
+    HOST_BACKOFF,
+    MACHINE_LIST_BACKOFF,
+    Backoff,
+    BackoffPolicy,
+)
 from glencleat.platform_server import watch_client
 
 
@@ -54,11 +60,16 @@
     asking = Backoff(MACHINE_LIST_BACKOFF, Random(1))
     waits = [asking.next_delay_ms(connected_ms=5.0) for _ in range(6)]
     assert all(wait >= 0.5 * MACHINE_LIST_BACKOFF.max_ms for wait in waits[2:])
-    assert asking.next_delay_ms(connected_ms=MACHINE_LIST_BACKOFF.stable_ms) <= MACHINE_LIST_BACKOFF.initial_ms
+    assert (
+        asking.next_delay_ms(connected_ms=MACHINE_LIST_BACKOFF.stable_ms) <= MACHINE_LIST_BACKOFF.initial_ms
+    )
 
 
 def test_the_other_sides_word_is_kept_and_spread():
-    waits = [Backoff(MACHINE_LIST_BACKOFF, Random(seed)).next_delay_ms(retry_after_ms=5_000.0) for seed in range(200)]
+    waits = [
+        Backoff(MACHINE_LIST_BACKOFF, Random(seed)).next_delay_ms(retry_after_ms=5_000.0)
+        for seed in range(200)
+    ]
     assert min(waits) >= 5_000.0 and max(waits) - min(waits) > 0.8 * MACHINE_LIST_BACKOFF.initial_ms
 
 
@@ -80,4 +91,6 @@
     """What the channel tells counts as told at once: the longest wait, and a try that came just before."""
     assert COMMAND_CHANNEL_BACKOFF.max_ms + watch_client.CONNECT_TIMEOUT_MS <= 2_000.0
     waits = [Backoff(COMMAND_CHANNEL_BACKOFF, Random(seed)) for seed in range(200)]
-    assert max(asking.next_delay_ms() for asking in waits for _ in range(20)) <= COMMAND_CHANNEL_BACKOFF.max_ms
+    assert (
+        max(asking.next_delay_ms() for asking in waits for _ in range(20)) <= COMMAND_CHANNEL_BACKOFF.max_ms
+    )
--- a/tests/flow_control/test_connection_limiter.py
+++ b/tests/flow_control/test_connection_limiter.py
@@ -9,8 +9,8 @@
 from glencleat.checker.chance_bounds import count_busiest_window
 from glencleat.flow_control.backoff import HOST_BACKOFF, Backoff
 from glencleat.flow_control.connection_limiter import (
-    MAX_CONNECTING_PER_ADDRESS,
     BURST_S,
+    MAX_CONNECTING_PER_ADDRESS,
     MIN_CONNECTING,
     MIN_RATE_PER_S,
     ConnectionLimiter,
@@ -69,7 +69,9 @@
         connecting.record_start(address, 0.0)
     assert connecting.is_saturated(address) and not connecting.is_saturated(("h", 2))
     connecting.record_end(address)
-    assert not connecting.is_saturated(address) and connecting.connecting_count == MAX_CONNECTING_PER_ADDRESS - 1
+    assert (
+        not connecting.is_saturated(address) and connecting.connecting_count == MAX_CONNECTING_PER_ADDRESS - 1
+    )
 
 
 @pytest.mark.parametrize("count", [50, 300])
--- a/tests/platform_protocol/test_exchange.py
+++ b/tests/platform_protocol/test_exchange.py
@@ -84,7 +84,10 @@
 
 @pytest.mark.parametrize(
     ("fact", "outcome"),
-    [(DeliveryOutcome.NOT_SENT, api.Outcome.NOT_SENT), (DeliveryOutcome.CONNECT_TIMEOUT, api.Outcome.UNREACHABLE)],
+    [
+        (DeliveryOutcome.NOT_SENT, api.Outcome.NOT_SENT),
+        (DeliveryOutcome.CONNECT_TIMEOUT, api.Outcome.UNREACHABLE),
+    ],
 )
 def test_a_time_out_of_what_never_left(world, fact, outcome):
     world.fact = fact
@@ -207,7 +210,11 @@
 
 def test_what_cannot_be_used_is_answered_and_not_told(world):
     assert not world.asks(7, cls="nope")
-    assert world.owner.said() == [(m.RELEASE, 7, m.INVALID_CONTENTS)] and world.module.events == [] and empty(world)
+    assert (
+        world.owner.said() == [(m.RELEASE, 7, m.INVALID_CONTENTS)]
+        and world.module.events == []
+        and empty(world)
+    )
 
 
 # ---- what stands ----
--- a/tests/platform_protocol/test_messages.py
+++ b/tests/platform_protocol/test_messages.py
@@ -108,7 +108,12 @@
     (message,) = read(setup(7, "safe", 1500, "7f3a9c21e0b4d655", extras, desc=b"\x00\xff", **{"109": None}))
     message.parameters[m.RETRY] = b"1"
     found = SetupParser(SETTINGS).parse(message)
-    assert (found.wait_ms, found.is_retry, found.service, found.cores) == (1500.0, True, "00000000b4d65521", 1.0)
+    assert (found.wait_ms, found.is_retry, found.service, found.cores) == (
+        1500.0,
+        True,
+        "00000000b4d65521",
+        1.0,
+    )
     assert found.description == b"\x00\xff" and found.current_host is None
 
 
--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -47,7 +47,9 @@
     bad = world.client()
     for i in range(client_connections.MAX_INVALID_SETUPS + 1):
         bad.send(setup(i + 1, cls="nope"))
-    world.until(lambda: world.exchange.bad > client_connections.MAX_INVALID_SETUPS and not world.owners.owners)
+    world.until(
+        lambda: world.exchange.bad > client_connections.MAX_INVALID_SETUPS and not world.owners.owners
+    )
     assert world.module.events == []
 
 
@@ -129,7 +131,9 @@
     later, world.calls = world.client(), 4
     world.module.next.append([api.Bind(5, "h1", 2000.0)])
     later.send(setup(10))
-    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2) + m.encode(m.ANSWER, 10, {m.DESCRIPTION: b"ok"})
+    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2) + m.encode(
+        m.ANSWER, 10, {m.DESCRIPTION: b"ok"}
+    )
     assert world.says(later) in (heard, m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2))
     with pytest.raises(BlockingIOError):
         rude.recv(100)
--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -199,7 +199,9 @@
     (peer,), owner = standing(world, 1)
     (first,) = live(world)
     world.until(lambda: len(live(world)) == 2)
-    assert first.worth() is EvictionPriority.MONITOR_SETTLED or first.worth() is EvictionPriority.MONITOR_RECENT
+    assert (
+        first.worth() is EvictionPriority.MONITOR_SETTLED or first.worth() is EvictionPriority.MONITOR_RECENT
+    )
     assert [link.worth() for link in live(world) if link is not first] == [EvictionPriority.REDUNDANT]
     world.descriptors.room = world.descriptors.held  # nothing is free: a visit makes way for the next one
     seen = len(peer.streams)
@@ -215,7 +217,9 @@
     (link,) = live(world)
     link.close_gracefully("room is wanted")
     peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
-    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.encode_with_cause(
+        m.RELEASE, 1, m.NORMAL_CLEARING_2
+    )
     world.until(lambda: not world.descriptors.leaving)
 
 
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -95,7 +95,7 @@
     (owner,) = world.owners.owners
     sock.send(setup(1))
     world.owners._sweep()
-    assert owner.stream.closed is None
+    assert owner.stream.close_reason is None
     settled(world)
     assert world.told(api.PlacementRequested)
 
@@ -110,7 +110,7 @@
     world.client()
     quiet.send(setup(1))
     world.loop.poller.poll(0.0)
-    assert first.stream.closed is None and second.stream.closed is not None
+    assert first.stream.close_reason is None and second.stream.close_reason is not None
     settled(world)
     assert world.told(api.PlacementRequested) and world.says(busy) == b""
 
@@ -120,13 +120,13 @@
     clients = [world.client(), world.client()]
     world.until(lambda: len(world.owners.owners) == 2)
     first, second = world.owners.owners
-    first.stream.out += b"\0"  # as if its client had not read the rest
+    first.stream.unsent += b"\0"  # as if its client had not read the rest
     world.descriptors.file(first)
     assert world.descriptors.make_room(Demand.CLIENT)
-    assert first.stream.closed is None and second.stream.closed is not None
+    assert first.stream.close_reason is None and second.stream.close_reason is not None
     monkeypatch.setattr(client_connections, "READS_MS", -1.0)
     world.owners._sweep()
-    assert first.stream.closed == "it reads nothing" and clients
+    assert first.stream.close_reason == "it reads nothing" and clients
 
 
 def test_one_that_drips_a_message_is_closed_in_time(world, monkeypatch):
@@ -169,12 +169,17 @@
 def test_an_end_that_came_before_its_task_was_named_is_told(world):
     """After a restart: the host tells what ended on our first connection, before any client has come."""
     peer, sock = placed(world)
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE))
+    peer.streams[0].send(
+        m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2)
+        + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE)
+    )
     settled(world)
     sock.send(named(77) + named(78) + named(79))
     settled(world)
     assert list(world.exchange.standing["h1"]) == [1, 79]
-    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE)
+    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(
+        m.RELEASE, 78, m.TEMPORARY_FAILURE
+    )
 
 
 def test_a_task_named_again_as_its_release_is_on_its_way_stays_over(world):
@@ -183,7 +188,9 @@
     settled(world)
     sock.send(named(1))  # sent before the release was read
     settled(world)
-    assert not world.exchange.standing and world.says(sock) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    assert not world.exchange.standing and world.says(sock) == m.encode_with_cause(
+        m.RELEASE, 1, m.NORMAL_CLEARING_2
+    )
     with pytest.raises(BlockingIOError):
         sock.recv(100)  # told once
 
--- a/tests/platform_server/test_graceful_shutdown.py
+++ b/tests/platform_server/test_graceful_shutdown.py
@@ -39,6 +39,9 @@
     busy = graceful_shutdown.ShutdownObservation(False, True, True)
     looks = [
         made.observe(at, busy)
-        for at in (graceful_shutdown.ADMISSION_WINDOW_MS, graceful_shutdown.ADMISSION_WINDOW_MS + graceful_shutdown.UNHANDLED_GRACE_MS)
+        for at in (
+            graceful_shutdown.ADMISSION_WINDOW_MS,
+            graceful_shutdown.ADMISSION_WINDOW_MS + graceful_shutdown.UNHANDLED_GRACE_MS,
+        )
     ]
     assert looks == [graceful_shutdown.ShutdownState.CLOSING, graceful_shutdown.ShutdownState.CLOSED]
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -15,8 +15,8 @@
 from glencleat.platform_protocol.delivery import (
     AttemptEvidence,
     DeliveryOutcome,
-    is_duplicate_safe,
     find_hold_reason,
+    is_duplicate_safe,
     is_turn_current,
 )
 from glencleat.platform_protocol.inbox import Inbox
@@ -133,7 +133,9 @@
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
     last = world.client()
-    last.send(b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.MESSAGES_PER_TURN)) + cancel(1))
+    last.send(
+        b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.MESSAGES_PER_TURN)) + cancel(1)
+    )
     last.close()
     settled(world)
     assert m.RELEASE in kinds(peer) and not world.exchange.standing
@@ -148,7 +150,10 @@
     found = [inbox.next_message() for _ in range(3)]
     assert [message.kind for message, _ in found] == [m.SETUP, m.SETUP, m.RELEASE]
     assert (
-        inbox.next_message() is None and inbox.has_partial_message and inbox.is_answer_awaited(2) and len(inbox.arrivals) == 2
+        inbox.next_message() is None
+        and inbox.has_partial_message
+        and inbox.is_answer_awaited(2)
+        and len(inbox.arrivals) == 2
     )  # not one a byte
     inbox.feed(setup(2)[20:], 9.0)
     assert inbox.next_message()[1] == 9.0 and not inbox.has_partial_message
@@ -179,7 +184,9 @@
         and is_duplicate_safe(UNSAFE, None, 1e9, 2.0)
         and not is_duplicate_safe(UNSAFE, 0.0, 0.0, 2.0)
     )
-    assert is_duplicate_safe(KEYED, 10.0, 10.0 + 4996.0, 2.0) and not is_duplicate_safe(KEYED, 10.0, 10.0 + 4996.5, 2.0)
+    assert is_duplicate_safe(KEYED, 10.0, 10.0 + 4996.0, 2.0) and not is_duplicate_safe(
+        KEYED, 10.0, 10.0 + 4996.5, 2.0
+    )
     assert (
         is_turn_current(False, 9e9, 1.0)
         and is_turn_current(True, 9e9, 0.0)
@@ -231,7 +238,7 @@
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.standing)
     (link,) = world.hosts.hosts_by_name["h1"].connections
-    link.stream.out += b"\0"  # as if the socket had taken no more
+    link.stream.unsent += b"\0"  # as if the socket had taken no more
     world.ask(sock, 2)
     world.until(lambda: len(peer.streams) == 2 and m.SETUP in kinds(peer)[1:])
     assert peer.got[-1][0] is peer.streams[1]
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -210,9 +210,11 @@
 
 def looked(world, ms):
     """Hosts looked at in so long, and ticks."""
-    before = world.hosts.maintenance.due_hosts.taken, world.hosts.maintenance.tick_count
+    before = world.hosts.maintenance.due_hosts.taken_total, world.hosts.maintenance.tick_count
     world.advance(ms)
-    return world.hosts.maintenance.due_hosts.taken - before[0], world.hosts.maintenance.tick_count - before[1]
+    return world.hosts.maintenance.due_hosts.taken_total - before[
+        0
+    ], world.hosts.maintenance.tick_count - before[1]
 
 
 def test_idle_hosts_cost_nothing_whatever_their_number(monkeypatch):
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -317,7 +317,9 @@
     peer = world.peer()
     peer.stream.send(setup(1))
     world.until(lambda: len(peer.got) == 2)
-    peer.stream.send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.PROBE, 9, 1))
+    peer.stream.send(
+        m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.PROBE, 9, 1)
+    )
     world.until(lambda: len(peer.got) == 4)
     assert peer.kinds()[2:] == [(m.RELEASE_COMPLETE, 1), (m.PROBE_RESULT, 9)] and peer.got[3].cause == 1
     assert not world.host.held
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -117,8 +117,8 @@
     """Indexes that are checked against all there is, as in the other tests, cost all there is."""
     for name, module in list(sys.modules.items()):
         for found in vars(module).values() if name.startswith("glencleat.index") else ():
-            if isinstance(found, type) and "checked" in vars(found):
-                monkeypatch.setattr(found, "checked", False)
+            if isinstance(found, type) and "is_checked" in vars(found):
+                monkeypatch.setattr(found, "is_checked", False)
 
 
 @pytest.fixture
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -217,4 +217,6 @@
     def check(self):
         """What must hold at any instant."""
         assert self.core.counters.find_mismatches() == {}
-        assert self.core.call_table.unanswered_count == sum(c.final_answer is None for c in self.core.call_table.active_calls.values())
+        assert self.core.call_table.unanswered_count == sum(
+            c.final_answer is None for c in self.core.call_table.active_calls.values()
+        )
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from glencleat.descriptor_budget import (
-    RESERVED_DESCRIPTORS,
     EVICTABLE,
     HEADROOM_DIVISOR,
     MAX_CLOSING,
+    RESERVED_DESCRIPTORS,
     STALL_MS,
     Demand,
     DescriptorBudget,
@@ -44,7 +44,11 @@
     pool, made = DescriptorBudget(limit), []
     pool.on_freed = lambda: None
     for worth in worths:
-        side = Side.CLIENTS if worth in (EvictionPriority.IDLE_UNPROVEN, EvictionPriority.IDLE_PROVEN) else Side.HOSTS
+        side = (
+            Side.CLIENTS
+            if worth in (EvictionPriority.IDLE_UNPROVEN, EvictionPriority.IDLE_PROVEN)
+            else Side.HOSTS
+        )
         made.append(Holder(pool, side, worth))
         pool.register(made[-1])
     while pool.held_count < pool.capacity:
@@ -78,7 +82,10 @@
 
 def test_the_least_worth_goes_first_and_of_one_worth_the_longest_unused():
     pool, made = full(
-        EvictionPriority.MONITOR_SETTLED, EvictionPriority.REDUNDANT, EvictionPriority.REDUNDANT, EvictionPriority.MONITOR_SETTLED
+        EvictionPriority.MONITOR_SETTLED,
+        EvictionPriority.REDUNDANT,
+        EvictionPriority.REDUNDANT,
+        EvictionPriority.MONITOR_SETTLED,
     )
     pool.update_priority(made[1], used=True)
     gone = []
@@ -111,7 +118,11 @@
 def test_only_so_many_leave_at_once():
     pool, made = full(*[EvictionPriority.MONITOR_SETTLED] * (MAX_CLOSING + 1))
     assert [pool.begin_closing(holder) for holder in made] == [True] * MAX_CLOSING + [False]
-    assert pool.held_count + len(pool.closing) <= pool.capacity + MAX_CLOSING < pool.capacity + RESERVED_DESCRIPTORS
+    assert (
+        pool.held_count + len(pool.closing)
+        <= pool.capacity + MAX_CLOSING
+        < pool.capacity + RESERVED_DESCRIPTORS
+    )
     pool.release(made[0])
     assert pool.begin_closing(made[-1])
 
@@ -183,7 +194,10 @@
 def test_what_is_kept_free_is_bounded_and_let_go_of():
     pool = DescriptorBudget(640)
     crowd(pool, 1e9, 2_000)
-    assert pool.headroom == pool.capacity // HEADROOM_DIVISOR and pool.held_count == pool.capacity - pool.headroom
+    assert (
+        pool.headroom == pool.capacity // HEADROOM_DIVISOR
+        and pool.held_count == pool.capacity - pool.headroom
+    )
     crowd(pool, 1e9 + 60_000.0, 200)
     crowd(pool, 1e9 + 90_000.0, 1)
     assert pool.headroom == 1
--- a/tests/test_endpoint_snapshot.py
+++ b/tests/test_endpoint_snapshot.py
@@ -28,7 +28,8 @@
 
 def phases(data, now=50.0, wall=WALL + 5_000.0):
     return {
-        told.name: told.phase for told in endpoint_snapshot.restore_machines(endpoint_snapshot.parse_snapshot(data), now, wall)
+        told.name: told.phase
+        for told in endpoint_snapshot.restore_machines(endpoint_snapshot.parse_snapshot(data), now, wall)
     }
 
 
@@ -76,7 +77,9 @@
     one = endpoint_snapshot.make_machine_record(machine("a"), 0.0, WALL)
     one.phase = "dancing"
     with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="dancing"):
-        endpoint_snapshot.restore_machines(endpoint_snapshot.EndpointSnapshot("p", WALL, {"a": one}), 0.0, WALL)
+        endpoint_snapshot.restore_machines(
+            endpoint_snapshot.EndpointSnapshot("p", WALL, {"a": one}), 0.0, WALL
+        )
 
 
 @pytest.mark.parametrize(
@@ -85,7 +88,9 @@
      ("p", WALL - 900.0, None), ("p", WALL - 90_000.0, "90 s ahead")],
 )  # fmt: skip
 def test_when_it_may_be_used(pool, wall, why):
-    told = endpoint_snapshot.find_rejection_reason(endpoint_snapshot.EndpointSnapshot("p", WALL), pool, wall, 600_000.0)
+    told = endpoint_snapshot.find_rejection_reason(
+        endpoint_snapshot.EndpointSnapshot("p", WALL), pool, wall, 600_000.0
+    )
     assert told is None if why is None else why in told
 
 
@@ -128,7 +133,11 @@
     at = endpoint_snapshot.parse_snapshot(keeper.path.read_bytes()).at_ms
     keeper.record_update(api.MachineListUpdated(api.ListUpdateKind.FAILED))
     keeper.loop.advance(5.0 * REWRITE_INTERVAL_MS)
-    assert endpoint_snapshot.parse_snapshot(keeper.path.read_bytes()).at_ms == at >= keeper.loop.wall() - 5.6 * REWRITE_INTERVAL_MS
+    assert (
+        endpoint_snapshot.parse_snapshot(keeper.path.read_bytes()).at_ms
+        == at
+        >= keeper.loop.wall() - 5.6 * REWRITE_INTERVAL_MS
+    )
 
 
 def test_an_empty_list_takes_the_place_of_none(tmp_path):
