--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -292,11 +292,11 @@
         "answer": (m.ANSWER, described),
         "refusal": (m.RELEASE, {m.CAUSE: b"\x22", m.TOPIC: b"no_cores", **report}),
         "release": (m.RELEASE, {m.CAUSE: b"\x10", **report}),
-        "heard": (m.RELEASE_HEARD, {}),
-        "note": (m.NOTE, {m.TOPIC: b"cores", m.VALUE: b"0.731"}),
-        "test": (m.TEST, {m.CAUSE: b"\x01"}),
-        "tested": (m.TESTED, {m.CAUSE: b"\x01", **report}),
-        "move": (m.MOVE, {}),
+        "heard": (m.RELEASE_COMPLETE, {}),
+        "note": (m.OBSERVATION, {m.TOPIC: b"cores", m.VALUE: b"0.731"}),
+        "test": (m.PROBE, {m.CAUSE: b"\x01"}),
+        "tested": (m.PROBE_RESULT, {m.CAUSE: b"\x01", **report}),
+        "move": (m.MIGRATE, {}),
     }
     found: Figures = {}
     for name, (kind, parameters) in kinds.items():
--- a/glencleat/emulators/platform_peers.py
+++ b/glencleat/emulators/platform_peers.py
@@ -56,9 +56,9 @@
                 for message in decoder.messages():
                     if message.kind == m.SETUP:
                         self._take(stream, message.task)
-                    elif message.kind == m.TEST:
-                        stream.put(m.caused(m.TESTED, message.task, 1))
-        except (StreamClosedError, m.PeerError):
+                    elif message.kind == m.PROBE:
+                        stream.put(m.encode_with_cause(m.PROBE_RESULT, message.task, 1))
+        except (StreamClosedError, m.RemoteProtocolError):
             pass
         finally:
             self.streams.discard(stream)
@@ -68,7 +68,7 @@
         self.got.append((self.loop.now(), task))
         yes = m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"})
         self.loop.call_in(self.decide_ms, lambda: self._say(stream, yes))
-        end = m.caused(m.RELEASE, task, m.ENDED)
+        end = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING)
         self.loop.call_in(self.life_ms, lambda: self._say(stream, end))
 
     @staticmethod
@@ -101,7 +101,7 @@
                 stream: Stream = yield from connect(self.loop, self.address, 1_000.0)
                 self.stream = stream
                 yield from self._read(stream)
-            except (ConnectError, StreamClosedError, m.PeerError):
+            except (ConnectError, StreamClosedError, m.RemoteProtocolError):
                 pass
             self.stream = None
             yield from self.loop.sleep(AGAIN_MS)
@@ -119,7 +119,7 @@
             self.waits.append((at, self.loop.now() - at))
             self.ends["placed"] += 1
         elif message.kind == m.RELEASE:
-            stream.put(m.encode(m.RELEASE_HEARD, message.task))
+            stream.put(m.encode(m.RELEASE_COMPLETE, message.task))
             turned = self.asked.pop(message.task, None) is not None
             self.ends["turned away" if turned else "ended"] += 1
 
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -26,23 +26,27 @@
 from glencleat.platform_protocol import value_mapping
 from glencleat.platform_protocol.command_channel import ListChange
 from glencleat.platform_protocol.delivery import (
-    NEVER_RAN,
-    OUTCOMES,
+    NOT_EXECUTED_OUTCOMES,
+    OUTCOME_BY_DELIVERY,
     AttemptEvidence,
     DeliveryOutcome,
-    harmless,
-    held_back,
-    turn_holds,
+    find_hold_reason,
+    is_duplicate_safe,
+    is_turn_current,
 )
 from glencleat.platform_protocol.ended_tasks import EndedTasks
-from glencleat.platform_protocol.setup_requests import SetupError, SetupReader, SetupRequest
-from glencleat.platform_protocol.value_mapping import AFTER, BEFORE, TOPICS
+from glencleat.platform_protocol.setup_requests import SetupError, SetupParser, SetupRequest
+from glencleat.platform_protocol.value_mapping import (
+    OBSERVATION_BY_TOPIC,
+    OUTCOME_BY_CAUSE_AFTER_ANSWER,
+    OUTCOME_BY_CAUSE_BEFORE_ANSWER,
+)
 
 
 class SetupState(Enum):
-    TAKEN = "taken"
-    OUT = "out"
-    STANDS = "stands"
+    ACCEPTED = "taken"
+    DISPATCHED = "out"
+    RUNNING = "stands"
 
 
 class ClientPort(Protocol):
@@ -58,29 +62,29 @@
 class ExchangePorts(Protocol):
     """What the exchange asks of the sockets. None of these may call the exchange back before it returns."""
 
-    def to_owner(self, owner: Any, data: bytes, owed: bool) -> None:
+    def send_to_client(self, owner: Any, data: bytes, owed: bool) -> None:
         """On that connection; if it is gone, what is `owed` goes by any other or by the next."""
 
-    def waits(self, owner: Any, task: int, exact: bool) -> bool:
+    def is_client_waiting(self, owner: Any, task: int, exact: bool) -> bool:
         """Whether its client waits for the answer, by all that had come on that connection when this round of
         the loop began; `exact`: by this instant, at the price of asking the system."""
 
-    def proves(self, owner: Any) -> None:
+    def mark_client_proven(self, owner: Any) -> None:
         """What came on that connection stands: no bad client's, so that releases may be told there."""
 
-    def offer(self, attempt: SetupAttempt) -> None:
+    def send_attempt(self, attempt: SetupAttempt) -> None:
         """Sends `attempt.setup_message(now)` to its host, and tells of a failure by `failed`, later."""
 
-    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
+    def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
         """Takes it back: the give-up is written, or its connection closed. What is known of it."""
 
-    def unread(self, attempt: SetupAttempt) -> bool:
+    def has_unread_data(self, attempt: SetupAttempt) -> bool:
         """Whether something came on the connection that it went by and has not been read."""
 
-    def cut(self, host: str, task: int) -> None:
+    def release_task(self, host: str, task: int) -> None:
         """Releases a standing task at its host, at once or as soon as the host can be reached."""
 
-    def test(self, host: str, token: int) -> bool:
+    def send_probe(self, host: str, token: int) -> bool:
         """Asks the host for its report; False if there is no way to."""
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> TimerHandle: ...
@@ -92,14 +96,16 @@
 class SetupCall:
     """A task from its set-up until it is over."""
 
-    number: int
+    call_id: int
     setup: SetupRequest
-    owner: ClientPort
-    state: SetupState = SetupState.TAKEN
-    attempts: int = 0
+    client: ClientPort
+    state: SetupState = SetupState.ACCEPTED
+    attempt_count: int = 0
     attempt: SetupAttempt | None = None
-    since: float = 0.0  # when it came to stand
-    may_run: float | None = None  # the earliest moment at which an attempt that may have run could be there
+    running_since_ms: float = 0.0  # when it came to stand
+    first_execution_ms: float | None = (
+        None  # the earliest moment at which an attempt that may have run could be there
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -109,22 +115,22 @@
     call: SetupCall
     number: int
     host: str
-    began: float
-    until: float
+    began_ms: float
+    deadline_ms: float
     timer: TimerHandle | None = None
-    link: Any = field(default=None, repr=False)
+    connection: Any = field(default=None, repr=False)
 
     @property
-    def out(self) -> bool:
+    def is_dispatched(self) -> bool:
         """It waits for the host's answer."""
-        return self.call.attempt is self and self.call.state is SetupState.OUT
+        return self.call.attempt is self and self.call.state is SetupState.DISPATCHED
 
-    def setup_message(self, now: float) -> bytes:
+    def encode_setup(self, now: float) -> bytes:
         setup = self.call.setup
-        wait = max(1, round(self.until - now))
-        parameters = {m.CLASS: setup.cls.name.encode(), m.WAIT: b"%d" % wait, m.NAME: setup.name}
-        if setup.key is not None:
-            parameters[m.KEY] = setup.key
+        wait = max(1, round(self.deadline_ms - now))
+        parameters = {m.CLASS: setup.task_class.name.encode(), m.WAIT: b"%d" % wait, m.NAME: setup.name}
+        if setup.idempotency_key is not None:
+            parameters[m.KEY] = setup.idempotency_key
         parameters[m.DESCRIPTION] = setup.description
         return m.encode(m.SETUP, setup.task, parameters)
 
@@ -135,25 +141,27 @@
     def __init__(
         self, settings: api.Settings, module: DecisionModule, ports: ExchangePorts, test_ms: float
     ) -> None:
-        self.ports, self.test_ms, self.settings = ports, test_ms, settings
+        self.ports, self.probe_timeout_ms, self.settings = ports, test_ms, settings
         self.contract = Contract(module)
-        self.telling = EventDispatcher(self.contract, ports.now, self._act)
-        self.reader = SetupReader(settings)
+        self.dispatcher = EventDispatcher(self.contract, ports.now, self._act)
+        self.parser = SetupParser(settings)
         self.calls: dict[int, SetupCall] = {}  # by the module's number
-        self.tasks: dict[int, SetupCall] = {}  # by the platform's id
-        self.standing: dict[str, dict[int, SetupCall]] = {}  # host -> id -> call
-        self.ends = EndedTasks()
-        self.tests: dict[int, str] = {}  # token -> host
-        self.tokens = 0
-        self.machines: Callable[[], tuple[api.Machine, ...]] = tuple
-        self.stands: Callable[[str], None] = lambda host: None  # told of a host's first, and of its last
-        self.bad = self.taken = self.late = 0
-        self.nothing: dict[api.Outcome, int] = {}  # attempts that came to nothing
+        self.calls_by_task: dict[int, SetupCall] = {}  # by the platform's id
+        self.running_by_host: dict[str, dict[int, SetupCall]] = {}  # host -> id -> call
+        self.ended_tasks = EndedTasks()
+        self.probed_host_by_token: dict[int, str] = {}  # token -> host
+        self.probe_count = 0
+        self.list_machines: Callable[[], tuple[api.Machine, ...]] = tuple
+        self.notify_host_occupied: Callable[[str], None] = lambda host: (
+            None
+        )  # told of a host's first, and of its last
+        self.invalid_setups = self.accepted_calls = self.late_answers = 0
+        self.failed_attempts_by_outcome: dict[api.Outcome, int] = {}  # attempts that came to nothing
 
     @property
-    def open(self) -> int:
+    def open_calls(self) -> int:
         """Calls that an answer is owed to."""
-        return sum(call.state is not SetupState.STANDS for call in self.calls.values())
+        return sum(call.state is not SetupState.RUNNING for call in self.calls.values())
 
     # ---- the module ----
 
@@ -162,59 +170,61 @@
 
     def _bind(self, action: api.Bind) -> None:
         call, now = self.calls[action.call_id], self.ports.now()
-        attempt = SetupAttempt(call, call.attempts, action.machine, now, now + action.timeout_ms)
-        call.attempts, call.attempt, call.state = call.attempts + 1, attempt, SetupState.OUT
+        attempt = SetupAttempt(call, call.attempt_count, action.machine, now, now + action.timeout_ms)
+        call.attempt_count, call.attempt, call.state = call.attempt_count + 1, attempt, SetupState.DISPATCHED
         attempt.timer = self.ports.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
-        self.ports.offer(attempt)
+        self.ports.send_attempt(attempt)
 
     def _timed_out(self, attempt: SetupAttempt, looked: bool = False) -> None:
-        if not attempt.out:
+        if not attempt.is_dispatched:
             return
-        if not looked and self.ports.unread(attempt):
+        if not looked and self.ports.has_unread_data(attempt):
             # After a standstill its answer may lie there: what was out in time is no time-out.
             attempt.timer = self.ports.call_in(0.0, lambda: self._timed_out(attempt, looked=True))
             return
-        self._back(attempt, OUTCOMES[self.ports.cancel(attempt)])
+        self._back(attempt, OUTCOME_BY_DELIVERY[self.ports.cancel_attempt(attempt)])
 
     def _refuse(self, action: api.Reject) -> None:
-        stay = {m.STAY_AWAY: b"%d" % round(action.retry_after_ms)} if action.retry_after_ms >= 1.0 else {}
-        self._answer(self.calls[action.call_id], m.FULL, stay)
+        stay = {m.RETRY_AFTER: b"%d" % round(action.retry_after_ms)} if action.retry_after_ms >= 1.0 else {}
+        self._answer(self.calls[action.call_id], m.NO_CAPACITY, stay)
 
     def _fail(self, action: api.Fail) -> None:
-        self._answer(self.calls[action.call_id], m.RESET, {})
+        self._answer(self.calls[action.call_id], m.TEMPORARY_FAILURE, {})
 
     def _answer(self, call: SetupCall, cause: int, more: dict[int, bytes]) -> None:
         """The final answer that is no placing. Nothing is kept of the call."""
-        data = m.caused(m.RELEASE, call.setup.task, cause, more)
+        data = m.encode_with_cause(m.RELEASE, call.setup.task, cause, more)
         self._forget(call)
-        self.ports.to_owner(call.owner, data, owed=False)
+        self.ports.send_to_client(call.client, data, owed=False)
 
     def _move(self, action: api.Migrate) -> None:
         call = self.calls[action.call_id]
-        if call.state is SetupState.STANDS:
-            self.ports.to_owner(call.owner, m.encode(m.MOVE, call.setup.task), owed=True)
+        if call.state is SetupState.RUNNING:
+            self.ports.send_to_client(call.client, m.encode(m.MIGRATE, call.setup.task), owed=True)
             self._cut(call)
 
     def _probe(self, action: api.Probe) -> None:
-        self.tokens += 1
-        token = self.tokens
-        self.tests[token] = action.machine
-        if self.ports.test(action.machine, token):
-            self.ports.call_in(self.test_ms, lambda: self._tested(token, api.Outcome.TIMED_OUT, None))
+        self.probe_count += 1
+        token = self.probe_count
+        self.probed_host_by_token[token] = action.machine
+        if self.ports.send_probe(action.machine, token):
+            self.ports.call_in(
+                self.probe_timeout_ms, lambda: self._tested(token, api.Outcome.TIMED_OUT, None)
+            )
         else:
             self.ports.call_in(0.0, lambda: self._tested(token, api.Outcome.UNREACHABLE, None))
 
     def _tested(self, token: int, outcome: api.Outcome, report: api.LoadReport | None) -> None:
-        host = self.tests.pop(token, None)
+        host = self.probed_host_by_token.pop(token, None)
         if host is not None:
-            self.telling.tell(api.ProbeEnded(host, outcome, report))
+            self.dispatcher.tell(api.ProbeEnded(host, outcome, report))
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.ports.call_in(action.delay_ms, lambda: self.telling.tell(api.TimerFired(action.token)))
+        self.ports.call_in(action.delay_ms, lambda: self.dispatcher.tell(api.TimerFired(action.token)))
 
     def _watch(self, _: api.WatchMachineList) -> None:
         # The sockets hold a channel at all times: what it told is what there is.
-        self.telling.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.machines()))
+        self.dispatcher.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.list_machines()))
 
     def _log(self, action: api.LogMessage) -> None:
         self.ports.log(action.text)
@@ -244,73 +254,77 @@
         call, now = attempt.call, self.ports.now()
         if attempt.timer is not None:
             attempt.timer.cancel()
-        stood = call.state is SetupState.STANDS
-        call.state, call.attempt = SetupState.TAKEN, None
+        stood = call.state is SetupState.RUNNING
+        call.state, call.attempt = SetupState.ACCEPTED, None
         over = stood or left
         if over:
             self._forget(call, attempt.host)
         if stood and outcome is not api.Outcome.STOPPED:
-            cause = m.ENDED if outcome is api.Outcome.COMPLETED else m.RESET
-            self.ports.to_owner(call.owner, m.caused(m.RELEASE, call.setup.task, cause), owed=True)
-        spent = max(0.0, now - attempt.began)
-        if outcome not in NEVER_RAN and call.may_run is None:
-            call.may_run = attempt.began
+            cause = m.NORMAL_CLEARING if outcome is api.Outcome.COMPLETED else m.TEMPORARY_FAILURE
+            self.ports.send_to_client(
+                call.client, m.encode_with_cause(m.RELEASE, call.setup.task, cause), owed=True
+            )
+        spent = max(0.0, now - attempt.began_ms)
+        if outcome not in NOT_EXECUTED_OUTCOMES and call.first_execution_ms is None:
+            call.first_execution_ms = attempt.began_ms
         if not stood:
-            self.nothing[outcome] = self.nothing.get(outcome, 0) + 1
+            self.failed_attempts_by_outcome[outcome] = self.failed_attempts_by_outcome.get(outcome, 0) + 1
             if outcome is not api.Outcome.REJECTED and not left:
                 self.ports.log(
                     f"host {attempt.host}: attempt {attempt.number} {outcome.value} after {spent:.0f} ms"
                 )
-        told = api.AttemptEnded(call.number, attempt.number, attempt.host, outcome, spent, over, why, report)
-        self.telling.tell(*([api.CallAbandoned(call.number)] if left else []), told)
+        told = api.AttemptEnded(call.call_id, attempt.number, attempt.host, outcome, spent, over, why, report)
+        self.dispatcher.tell(*([api.CallAbandoned(call.call_id)] if left else []), told)
 
     def _forget(self, call: SetupCall, host: str = "") -> None:
-        self.calls.pop(call.number, None)
-        self.tasks.pop(call.setup.task, None)
-        call.owner.open.discard(call.setup.task)
-        there = self.standing.get(host)
+        self.calls.pop(call.call_id, None)
+        self.calls_by_task.pop(call.setup.task, None)
+        call.client.open.discard(call.setup.task)
+        there = self.running_by_host.get(host)
         if there is not None:
             there.pop(call.setup.task, None)
             if not there:
-                del self.standing[host]
-                self.stands(host)
+                del self.running_by_host[host]
+                self.notify_host_occupied(host)
 
     def _stands(self, call: SetupCall, host: str) -> None:
-        call.state, call.since = SetupState.STANDS, self.ports.now()
-        call.owner.open.discard(call.setup.task)
-        self.ports.proves(call.owner)
-        there = self.standing.setdefault(host, {})
+        call.state, call.running_since_ms = SetupState.RUNNING, self.ports.now()
+        call.client.open.discard(call.setup.task)
+        self.ports.mark_client_proven(call.client)
+        there = self.running_by_host.setdefault(host, {})
         there[call.setup.task] = call
         if len(there) == 1:
-            self.stands(host)
+            self.notify_host_occupied(host)
 
     def _cut(self, call: SetupCall) -> None:
         """Ends a standing task of ours at its host: moved, or released by its owner."""
         attempt = call.attempt
         assert attempt is not None
-        self.ports.cut(attempt.host, call.setup.task)
+        self.ports.release_task(attempt.host, call.setup.task)
         self._back(attempt, api.Outcome.STOPPED)
 
-    def failed(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
+    def record_delivery_failure(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
         """A link's word on an attempt that is out; of one that is back already it changes nothing."""
-        if attempt.out:
-            self._back(attempt, OUTCOMES[fact], left=fact is DeliveryOutcome.DISCONNECTED)
+        if attempt.is_dispatched:
+            self._back(attempt, OUTCOME_BY_DELIVERY[fact], left=fact is DeliveryOutcome.CLIENT_DISCONNECTED)
 
-    def held_back(self, attempt: SetupAttempt, serves: bool, cold: bool) -> DeliveryOutcome | None:
+    def find_hold_reason(self, attempt: SetupAttempt, serves: bool, cold: bool) -> DeliveryOutcome | None:
         """Asked by a link at the last instant before its first byte leaves: why it may not, or None."""
         call, now = attempt.call, self.ports.now()
         seen = AttemptEvidence(
-            self.ports.waits(call.owner, call.setup.task, exact=True),
+            self.ports.is_client_waiting(call.client, call.setup.task, exact=True),
             serves,
-            now < attempt.until,
-            harmless(call.setup.cls, call.may_run, now, self.settings.tick_ms),
-            turn_holds(cold, now - attempt.began, self.settings.warm_up_window_ms),
+            now < attempt.deadline_ms,
+            is_duplicate_safe(call.setup.task_class, call.first_execution_ms, now, self.settings.tick_ms),
+            is_turn_current(cold, now - attempt.began_ms, self.settings.warm_up_window_ms),
         )
-        return held_back(seen)
+        return find_hold_reason(seen)
 
-    def host_lost(self, host: str, before: float = math.inf) -> int:
+    def end_tasks_of_host(self, host: str, before: float = math.inf) -> int:
         """The host's process is known to have ended: what came to stand there `before` is over."""
-        ended = [call for call in self.standing.get(host, {}).values() if call.since < before]
+        ended = [
+            call for call in self.running_by_host.get(host, {}).values() if call.running_since_ms < before
+        ]
         for call in ended:
             if call.attempt is not None:
                 self._back(call.attempt, api.Outcome.LOST)
@@ -318,166 +332,183 @@
 
     # ---- hosts ----
 
-    def host_says(self, host: str, link: Any, message: m.PlatformMessage) -> None:
+    def receive_host_message(self, host: str, link: Any, message: m.PlatformMessage) -> None:
         """A whole message of a host; PeerError if it can't be read, before anything is changed."""
-        if message.kind == m.TESTED:
+        if message.kind == m.PROBE_RESULT:
             outcome = api.Outcome.COMPLETED if message.cause == 1 else api.Outcome.ERROR
-            report = value_mapping.report(message)
-            if self.tests.get(message.task) == host:
+            report = value_mapping.parse_load_report(message)
+            if self.probed_host_by_token.get(message.task) == host:
                 self._tested(message.task, outcome, report)
             return
         attempt = self._attempt(message.task, host)
-        awaited = attempt is not None and attempt.out and attempt.link is link
+        awaited = attempt is not None and attempt.is_dispatched and attempt.connection is link
         if message.kind == m.ANSWER:
             if m.DESCRIPTION not in message.parameters:
-                raise m.PeerError("an answer without a description")
+                raise m.RemoteProtocolError("an answer without a description")
             if attempt is not None and awaited:
                 self._accepted(attempt, message)
             else:
-                self.late += 1  # after its time, a second time, or of nothing: the page says it means nothing
+                self.late_answers += (
+                    1  # after its time, a second time, or of nothing: the page says it means nothing
+                )
         elif message.kind == m.RELEASE:
-            cause, why, report = message.cause, value_mapping.why(message), value_mapping.report(message)
-            if attempt is not None and attempt.call.state is SetupState.STANDS:
-                self.ends.heard(message.task, host, cause, True, self.ports.now())
-                self._back(attempt, AFTER.get(cause, api.Outcome.LOST), why, report)
+            cause, why, report = (
+                message.cause,
+                value_mapping.parse_outcome_reason(message),
+                value_mapping.parse_load_report(message),
+            )
+            if attempt is not None and attempt.call.state is SetupState.RUNNING:
+                self.ended_tasks.record(message.task, host, cause, True, self.ports.now())
+                self._back(attempt, OUTCOME_BY_CAUSE_AFTER_ANSWER.get(cause, api.Outcome.LOST), why, report)
             elif attempt is not None and awaited:
-                self._back(attempt, BEFORE.get(cause, api.Outcome.LOST), why, report)
-            elif message.task not in self.tasks:
-                self.ends.heard(message.task, host, cause, False, self.ports.now())
-        elif message.kind == m.NOTE:
+                self._back(attempt, OUTCOME_BY_CAUSE_BEFORE_ANSWER.get(cause, api.Outcome.LOST), why, report)
+            elif message.task not in self.calls_by_task:
+                self.ended_tasks.record(message.task, host, cause, False, self.ports.now())
+        elif message.kind == m.OBSERVATION:
             self._note(attempt, message)
 
     def _attempt(self, task: int, host: str) -> SetupAttempt | None:
         """Ours at that host under the platform's id, out or standing."""
-        call = self.tasks.get(task)
+        call = self.calls_by_task.get(task)
         attempt = call.attempt if call is not None else None
         return attempt if attempt is not None and attempt.host == host else None
 
     def _accepted(self, attempt: SetupAttempt, message: m.PlatformMessage) -> None:
         call = attempt.call
-        if not self.ports.waits(call.owner, call.setup.task, exact=False):
+        if not self.ports.is_client_waiting(call.client, call.setup.task, exact=False):
             # Its client left before it could be told: nobody would ever end it.
-            self.ports.cut(attempt.host, call.setup.task)
+            self.ports.release_task(attempt.host, call.setup.task)
             self._back(attempt, api.Outcome.STOPPED, left=True)
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
         self._stands(call, attempt.host)
         description = {m.DESCRIPTION: message.parameters[m.DESCRIPTION]}
-        self.ports.to_owner(call.owner, m.encode(m.ANSWER, call.setup.task, description), owed=False)
-        spent = max(0.0, self.ports.now() - attempt.began)
-        self.telling.tell(api.AttemptAccepted(call.number, attempt.number, attempt.host, spent))
+        self.ports.send_to_client(call.client, m.encode(m.ANSWER, call.setup.task, description), owed=False)
+        spent = max(0.0, self.ports.now() - attempt.began_ms)
+        self.dispatcher.tell(api.AttemptAccepted(call.call_id, attempt.number, attempt.host, spent))
 
     def _note(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
-        topic, value = message.text(m.TOPIC), m.figure(message.text(m.VALUE) or "0")
-        if attempt is not None and attempt.call.state is SetupState.STANDS and topic in TOPICS:
-            self.telling.tell(api.TaskObserved(attempt.call.number, attempt.host, TOPICS[topic], value))
+        topic, value = message.text(m.TOPIC), m.parse_number(message.text(m.VALUE) or "0")
+        if attempt is not None and attempt.call.state is SetupState.RUNNING and topic in OBSERVATION_BY_TOPIC:
+            self.dispatcher.tell(
+                api.TaskObserved(attempt.call.call_id, attempt.host, OBSERVATION_BY_TOPIC[topic], value)
+            )
 
     # ---- owners ----
 
-    def owner_asks(
+    def receive_setup(
         self, owner: ClientPort, message: m.PlatformMessage, waited_ms: float, late: bool = False
     ) -> bool:
         """A set-up that waited so long in our socket and loop; whether it could be used. `late`: we end.
 
         PeerError: it can't even be answered."""
         task = message.task
-        known = self.tasks.get(task)
-        if known is not None and known.owner is owner and known.state is not SetupState.STANDS:
+        known = self.calls_by_task.get(task)
+        if known is not None and known.client is owner and known.state is not SetupState.RUNNING:
             # An answer under this number would be taken for the first one's, which is still owed.
-            raise m.PeerError("a second set-up under the number of an open one")
+            raise m.RemoteProtocolError("a second set-up under the number of an open one")
         try:
-            setup = self.reader.read(message)
+            setup = self.parser.parse(message)
         except SetupError as error:
             return self._unusable(owner, task, str(error))
-        if setup.at is not None:
+        if setup.current_host is not None:
             self._adopt(owner, setup)
         elif known is not None:
             return self._unusable(owner, task, "the number of another open set-up")
         elif late:
-            self._turn_away(owner, task, m.FULL, "it came after the end had begun")
+            self._turn_away(owner, task, m.NO_CAPACITY, "it came after the end had begun")
         elif setup.wait_ms - waited_ms <= 0.0:
-            self._turn_away(owner, task, m.MOOT, "it came after its time")
+            self._turn_away(owner, task, m.TIMER_EXPIRED, "it came after its time")
         else:
             self._take(owner, setup, setup.wait_ms - waited_ms)
         return True
 
     def _unusable(self, owner: ClientPort, task: int, why: str) -> bool:
-        self.bad += 1
-        self._turn_away(owner, task, m.NOT_TAKEN, why)
+        self.invalid_setups += 1
+        self._turn_away(owner, task, m.INVALID_CONTENTS, why)
         return False
 
     def _turn_away(self, owner: ClientPort, task: int, cause: int, why: str) -> None:
         self.ports.log(f"turned away: {why}")
-        self.ports.to_owner(owner, m.caused(m.RELEASE, task, cause), owed=False)
+        self.ports.send_to_client(owner, m.encode_with_cause(m.RELEASE, task, cause), owed=False)
 
     def _new(self, owner: ClientPort, setup: SetupRequest) -> SetupCall:
-        self.taken += 1  # the module's numbers count with it
-        call = SetupCall(self.taken, setup, owner)
-        self.calls[call.number] = self.tasks[setup.task] = call
+        self.accepted_calls += 1  # the module's numbers count with it
+        call = SetupCall(self.accepted_calls, setup, owner)
+        self.calls[call.call_id] = self.calls_by_task[setup.task] = call
         return call
 
     def _asked(self, call: SetupCall, left_ms: float) -> api.PlacementRequested:
         s = call.setup
         return api.PlacementRequested(
-            call.number, s.cls.name, s.service, s.cores, s.memory, left_ms, s.tenant, None, s.at, s.again
+            call.call_id,
+            s.task_class.name,
+            s.service,
+            s.cores,
+            s.memory,
+            left_ms,
+            s.tenant,
+            None,
+            s.current_host,
+            s.is_retry,
         )
 
     def _take(self, owner: ClientPort, setup: SetupRequest, left_ms: float) -> None:
-        if not self.ports.waits(owner, setup.task, exact=False):
+        if not self.ports.is_client_waiting(owner, setup.task, exact=False):
             return  # its cancel or its client's end came while it lay unread: nothing is owed
         owner.open.add(setup.task)
-        self.telling.tell(self._asked(self._new(owner, setup), left_ms))
+        self.dispatcher.tell(self._asked(self._new(owner, setup), left_ms))
 
     def _adopt(self, owner: ClientPort, setup: SetupRequest) -> None:
         """A task that runs already. One that we hold is named again at every start, and changes nothing."""
-        if setup.task in self.tasks or setup.at is None:
+        if setup.task in self.calls_by_task or setup.current_host is None:
             return
         now = self.ports.now()
-        ended = self.ends.claim(setup.task, setup.at, now)
+        ended = self.ended_tasks.claim(setup.task, setup.current_host, now)
         if ended is not None:
             if not ended[1]:
-                cause = m.ENDED if ended[0] == m.ENDED else m.RESET
-                self.ports.to_owner(owner, m.caused(m.RELEASE, setup.task, cause), owed=True)
+                cause = m.NORMAL_CLEARING if ended[0] == m.NORMAL_CLEARING else m.TEMPORARY_FAILURE
+                self.ports.send_to_client(owner, m.encode_with_cause(m.RELEASE, setup.task, cause), owed=True)
             return
         call = self._new(owner, setup)
-        call.attempts, call.attempt = 1, SetupAttempt(call, 0, setup.at, now, now)
-        self._stands(call, setup.at)
-        self.telling.tell(self._asked(call, 0.0))
+        call.attempt_count, call.attempt = 1, SetupAttempt(call, 0, setup.current_host, now, now)
+        self._stands(call, setup.current_host)
+        self.dispatcher.tell(self._asked(call, 0.0))
 
-    def owner_releases(self, owner: ClientPort, message: m.PlatformMessage) -> None:
+    def receive_client_release(self, owner: ClientPort, message: m.PlatformMessage) -> None:
         """An open set-up is given up on its own connection; what stands may be ended on any."""
-        call = self.tasks.get(message.task)
+        call = self.calls_by_task.get(message.task)
         if call is None:
             return
-        if call.state is SetupState.STANDS:
-            self.ports.to_owner(owner, m.encode(m.RELEASE_HEARD, message.task), owed=False)
+        if call.state is SetupState.RUNNING:
+            self.ports.send_to_client(owner, m.encode(m.RELEASE_COMPLETE, message.task), owed=False)
             self._cut(call)
-        elif call.owner is owner:
+        elif call.client is owner:
             self._leaves(call)
 
-    def owner_gone(self, owner: ClientPort) -> None:
+    def disconnect_client(self, owner: ClientPort) -> None:
         """The connection has ended: nobody waits for what was open on it. What stands goes on."""
         for task in list(owner.open):
-            if task in self.tasks:  # else the module answered it on hearing of one before
-                self._leaves(self.tasks[task])
+            if task in self.calls_by_task:  # else the module answered it on hearing of one before
+                self._leaves(self.calls_by_task[task])
 
     def _leaves(self, call: SetupCall) -> None:
-        if call.attempt is not None and call.state is SetupState.OUT:
-            fact = self.ports.cancel(call.attempt)
-            sent = fact in (DeliveryOutcome.SILENT, DeliveryOutcome.BROKEN)
-            outcome = api.Outcome.STOPPED if sent else OUTCOMES[fact]
+        if call.attempt is not None and call.state is SetupState.DISPATCHED:
+            fact = self.ports.cancel_attempt(call.attempt)
+            sent = fact in (DeliveryOutcome.ANSWER_TIMEOUT, DeliveryOutcome.CONNECTION_LOST)
+            outcome = api.Outcome.STOPPED if sent else OUTCOME_BY_DELIVERY[fact]
             self._back(call.attempt, outcome, left=True)
         else:
             self._forget(call)
-            self.telling.tell(api.CallAbandoned(call.number))
+            self.dispatcher.tell(api.CallAbandoned(call.call_id))
 
     # ---- machines ----
 
-    def reached(self, host: str, up: bool) -> None:
+    def report_reachability(self, host: str, up: bool) -> None:
         """The links' word on a host that they tried by themselves."""
-        self.telling.tell(api.ReachabilityChanged(host, up))
+        self.dispatcher.tell(api.ReachabilityChanged(host, up))
 
-    def list_told(self, news: ListChange) -> None:
-        kind = api.ListUpdateKind.SNAPSHOT if news.whole else api.ListUpdateKind.DELTA
-        self.telling.tell(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
+    def update_machine_list(self, news: ListChange) -> None:
+        kind = api.ListUpdateKind.SNAPSHOT if news.is_snapshot else api.ListUpdateKind.DELTA
+        self.dispatcher.tell(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
--- a/glencleat/platform_protocol/messages.py
+++ b/glencleat/platform_protocol/messages.py
@@ -11,28 +11,30 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MOST = 16_384  # bytes of a message, its length field not counted
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
+MAX_MESSAGE_BYTES = 16_384  # bytes of a message, its length field not counted
+HEADER = struct.Struct(">HBQ")
+PARAMETER_HEADER = struct.Struct(">BH")
 
-SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD = 1, 6, 9, 12, 16
-NOTE, MOVE, TEST, TESTED = 44, 51, 52, 53
-KINDS = frozenset((SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED))
+SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE = 1, 6, 9, 12, 16
+OBSERVATION, MIGRATE, PROBE, PROBE_RESULT = 44, 51, 52, 53
+KINDS = frozenset(
+    (SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE, OBSERVATION, MIGRATE, PROBE, PROBE_RESULT)
+)
 
-CLASS, WAIT, TENANT, RETRY, NAME, EXTRAS, STAY_AWAY = 100, 103, 106, 109, 112, 115, 118
+CLASS, WAIT, TENANT, RETRY, NAME, EXTRAS, RETRY_AFTER = 100, 103, 106, 109, 112, 115, 118
 TOPIC, REPORT, VALUE, KEY, CAUSE, DESCRIPTION = 121, 127, 136, 139, 142, 145
 RAW = frozenset((CAUSE, DESCRIPTION))  # all other parameters are text
 
-GIVEN_UP = ENDED = 16
-STOPPED, FULL, RESET, CONGESTED, ERROR, MOOT = 31, 34, 41, 42, 47, 102
-NOT_TAKEN = 100  # ours: a set-up that can't be read or used, Q.850's invalid contents
+NORMAL_CLEARING = 16
+STOPPED, NO_CAPACITY, TEMPORARY_FAILURE, CONGESTED, ERROR, TIMER_EXPIRED = 31, 34, 41, 42, 47, 102
+INVALID_CONTENTS = 100  # ours: a set-up that can't be read or used, Q.850's invalid contents
 
 
-class PeerError(Exception):
+class RemoteProtocolError(Exception):
     """The peer's fault: bytes that are no message. The connection is of no further use."""
 
 
-class OurError(ValueError):
+class LocalProtocolError(ValueError):
     """Our fault: a message that must not be sent."""
 
 
@@ -49,7 +51,7 @@
             return None
         text = raw.decode("latin-1")
         if not (text.isascii() and text.isprintable()):
-            raise PeerError(f"parameter {code} of message {self.kind} is not text")
+            raise RemoteProtocolError(f"parameter {code} of message {self.kind} is not text")
         return text
 
     @property
@@ -57,7 +59,7 @@
         """The cause's one byte; PeerError without it."""
         raw = self.parameters.get(CAUSE)
         if raw is None or len(raw) != 1:
-            raise PeerError(f"message {self.kind} without a cause of one byte")
+            raise RemoteProtocolError(f"message {self.kind} without a cause of one byte")
         return raw[0]
 
 
@@ -67,29 +69,29 @@
     >>> encode(TESTED, 7, {CAUSE: b"\\x01"}).hex()
     '000d3500000000000000078e000101'
     """
-    body = b"".join(PARAMETER.pack(code, len(raw)) + raw for code, raw in (parameters or {}).items())
-    length = HEAD.size - 2 + len(body)
-    if length > MOST:
-        raise OurError(f"message {kind} of {length} bytes; the protocol holds {MOST}")
-    return HEAD.pack(length, kind, task) + body
+    body = b"".join(PARAMETER_HEADER.pack(code, len(raw)) + raw for code, raw in (parameters or {}).items())
+    length = HEADER.size - 2 + len(body)
+    if length > MAX_MESSAGE_BYTES:
+        raise LocalProtocolError(f"message {kind} of {length} bytes; the protocol holds {MAX_MESSAGE_BYTES}")
+    return HEADER.pack(length, kind, task) + body
 
 
-def caused(kind: int, task: int, cause: int, more: dict[int, bytes] | None = None) -> bytes:
+def encode_with_cause(kind: int, task: int, cause: int, more: dict[int, bytes] | None = None) -> bytes:
     """A message whose main parameter is a cause, such as a release."""
     return encode(kind, task, {CAUSE: bytes((cause,)), **(more or {})})
 
 
-def whole(buffer: bytearray, at: int) -> int | None:
+def find_message_end(buffer: bytearray, at: int) -> int | None:
     """Where the message that begins at `at` ends, None if not all of it is here; PeerError at the first byte
     that can't be right."""
     have = len(buffer) - at
     if have < 2:
         return None
     length = buffer[at] << 8 | buffer[at + 1]
-    if not HEAD.size - 2 <= length <= MOST:
-        raise PeerError(f"a message of {length} bytes")
+    if not HEADER.size - 2 <= length <= MAX_MESSAGE_BYTES:
+        raise RemoteProtocolError(f"a message of {length} bytes")
     if have >= 3 and buffer[at + 2] not in KINDS:
-        raise PeerError(f"a message of unknown type {buffer[at + 2]}")
+        raise RemoteProtocolError(f"a message of unknown type {buffer[at + 2]}")
     return at + length + 2 if have >= length + 2 else None
 
 
@@ -100,7 +102,7 @@
         self.buffer = bytearray()
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """A message has begun and is not whole."""
         return bool(self.buffer)
 
@@ -111,7 +113,7 @@
         """Whole messages; PeerError at the first byte that can't be right."""
         at = 0
         try:
-            while (end := whole(self.buffer, at)) is not None:
+            while (end := find_message_end(self.buffer, at)) is not None:
                 message = decode(bytes(self.buffer[at:end]))
                 at = end
                 yield message
@@ -121,23 +123,23 @@
 
 def decode(data: bytes) -> PlatformMessage:
     """One whole message, its length and type already looked at."""
-    _, kind, task = HEAD.unpack_from(data)
-    at, parameters = HEAD.size, dict[int, bytes]()
+    _, kind, task = HEADER.unpack_from(data)
+    at, parameters = HEADER.size, dict[int, bytes]()
     while at < len(data):
-        if len(data) - at < PARAMETER.size:
-            raise PeerError(f"message {kind} ends within a parameter")
-        code, length = PARAMETER.unpack_from(data, at)
-        at += PARAMETER.size
+        if len(data) - at < PARAMETER_HEADER.size:
+            raise RemoteProtocolError(f"message {kind} ends within a parameter")
+        code, length = PARAMETER_HEADER.unpack_from(data, at)
+        at += PARAMETER_HEADER.size
         if length > len(data) - at:
-            raise PeerError(f"parameter {code} of {length} bytes in the {len(data) - at} left")
+            raise RemoteProtocolError(f"parameter {code} of {length} bytes in the {len(data) - at} left")
         if code in parameters:
-            raise PeerError(f"parameter {code} twice in message {kind}")
+            raise RemoteProtocolError(f"parameter {code} twice in message {kind}")
         parameters[code] = data[at : at + length]
         at += length
     return PlatformMessage(kind, task, parameters)
 
 
-def figure(text: str) -> float:
+def parse_number(text: str) -> float:
     """A finite number; PeerError on anything else.
 
     >>> figure("0.25")
@@ -148,16 +150,16 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise PeerError(f"no figure: {text[:40]!r}")
+        raise RemoteProtocolError(f"no figure: {text[:40]!r}")
     return value
 
 
-def fields(text: str) -> dict[str, str]:
+def parse_fields(text: str) -> dict[str, str]:
     """`a:1;b:2` as a mapping; PeerError on another form or a name twice."""
     found: dict[str, str] = {}
     for part in filter(None, text.split(";")):
         name, colon, value = part.partition(":")
         if not colon or name in found:
-            raise PeerError(f"no field: {part[:40]!r}")
+            raise RemoteProtocolError(f"no field: {part[:40]!r}")
         found[name] = value
     return found
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -9,8 +9,8 @@
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
 
-MOST_TEXT = 128  # characters of a name, a key, a service
-MOST_WAIT_MS = 3_600_000.0
+MAX_TEXT_CHARACTERS = 128  # characters of a name, a key, a service
+MAX_WAIT_MS = 3_600_000.0
 
 
 class SetupError(Exception):
@@ -22,42 +22,42 @@
     """One set-up: what goes on to a host unchanged, and what the module is asked."""
 
     task: int
-    cls: api.TaskClass
+    task_class: api.TaskClass
     name: bytes
-    key: bytes | None
+    idempotency_key: bytes | None
     description: bytes
     wait_ms: float  # from when the owner sent it
-    again: bool
+    is_retry: bool
     tenant: str | None
     service: str
     cores: float
     memory: float
-    at: str | None  # the machine that holds it already: no answer is owed
+    current_host: str | None  # the machine that holds it already: no answer is owed
 
 
-class SetupReader:
+class SetupParser:
     """Reads set-ups under one configuration's settings."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.classes = {c.name: c for c in settings.classes}
+        self.classes_by_name = {c.name: c for c in settings.classes}
         sizes = list(settings.machine_sizes.values())
-        self.most_cores = max(s.cores for s in sizes) * settings.cores_overcommit
-        self.most_memory = max(s.memory for s in sizes) * settings.memory_overcommit
+        self.max_cores = max(s.cores for s in sizes) * settings.cores_overcommit
+        self.max_memory = max(s.memory for s in sizes) * settings.memory_overcommit
 
-    def read(self, message: m.PlatformMessage) -> SetupRequest:
+    def parse(self, message: m.PlatformMessage) -> SetupRequest:
         """The set-up; BadSetup says what is wrong with it."""
         try:
             return self._read(message)
-        except m.PeerError as error:
+        except m.RemoteProtocolError as error:
             raise SetupError(str(error)) from None
 
     def _read(self, message: m.PlatformMessage) -> SetupRequest:
         if not message.task:
             raise SetupError("no id")
-        cls = self.classes.get(self._need(message, m.CLASS, "class"))
+        cls = self.classes_by_name.get(self._need(message, m.CLASS, "class"))
         if cls is None:
             raise SetupError(f"no class {message.text(m.CLASS)!r}")
-        name, extras = self._need(message, m.NAME, "name"), m.fields(message.text(m.EXTRAS) or "")
+        name, extras = self._need(message, m.NAME, "name"), m.parse_fields(message.text(m.EXTRAS) or "")
         key = message.text(m.KEY)
         if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
             raise SetupError("no key in a keyed class")
@@ -65,7 +65,7 @@
         if m.DESCRIPTION not in message.parameters:
             raise SetupError("no description")
         for text in (name, key, extras.get("service"), at, message.text(m.TENANT)):
-            if text is not None and len(text) > MOST_TEXT:
+            if text is not None and len(text) > MAX_TEXT_CHARACTERS:
                 raise SetupError("a text that is too long")
         if not extras.get("service"):
             raise SetupError("no service")
@@ -79,8 +79,8 @@
             message.text(m.RETRY) == "1",
             message.text(m.TENANT) or None,
             extras["service"],
-            self._figure(extras, "cores", self.most_cores),
-            self._figure(extras, "memory", self.most_memory),
+            self._figure(extras, "cores", self.max_cores),
+            self._figure(extras, "memory", self.max_memory),
             at,
         )
 
@@ -97,14 +97,14 @@
         if at is not None and text is None:
             return 0.0
         readable = text is not None and len(text) <= 10 and text.isdecimal()
-        if text is None or not readable or not (at or 0 < int(text) <= MOST_WAIT_MS):
+        if text is None or not readable or not (at or 0 < int(text) <= MAX_WAIT_MS):
             raise SetupError(f"no time to wait: {text and text[:40]!r}")
         return float(text)
 
     @staticmethod
     def _figure(extras: dict[str, str], name: str, most: float) -> float:
         """A figure that some machine could take, by the settings."""
-        value = m.figure(extras.get(name, "")[:40])
+        value = m.parse_number(extras.get(name, "")[:40])
         if not 0.0 < value <= most:
             raise SetupError(f"{name} out of range: {value}")
         return value
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -9,9 +9,16 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_settings import read_report
 
-BEFORE = {m.FULL: api.Outcome.REJECTED, m.ERROR: api.Outcome.ERROR, m.MOOT: api.Outcome.NOT_SENT}
-AFTER = {m.ENDED: api.Outcome.COMPLETED, m.STOPPED: api.Outcome.STOPPED}  # every other cause: LOST
-WHYS = {
+OUTCOME_BY_CAUSE_BEFORE_ANSWER = {
+    m.NO_CAPACITY: api.Outcome.REJECTED,
+    m.ERROR: api.Outcome.ERROR,
+    m.TIMER_EXPIRED: api.Outcome.NOT_SENT,
+}
+OUTCOME_BY_CAUSE_AFTER_ANSWER = {
+    m.NORMAL_CLEARING: api.Outcome.COMPLETED,
+    m.STOPPED: api.Outcome.STOPPED,
+}  # every other cause: LOST
+REASON_BY_TOPIC = {
     "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
     "queue_full": api.OutcomeReason.QUEUE_FULL,
@@ -20,20 +27,25 @@
     "pushed_out": api.OutcomeReason.PREEMPTED,
     "sent_away": api.OutcomeReason.DRAINED,
 }
-TOPICS = {
+OBSERVATION_BY_TOPIC = {
     "runs": api.ObservationKind.RUNNING,
     "cores": api.ObservationKind.CORES_IN_USE,
     "memory": api.ObservationKind.MEMORY_IN_USE,
     "served": api.ObservationKind.SERVICE_LEVEL,
     "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-FIELDS = {"util": "busy", "queue": "q"}  # names on the sockets -> in the settings, where they differ
+SETTINGS_FIELD_BY_WIRE_NAME = {
+    "util": "busy",
+    "queue": "q",
+}  # names on the sockets -> in the settings, where they differ
 
 
-def why(message: m.PlatformMessage) -> api.OutcomeReason:
-    return WHYS.get(message.text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
+def parse_outcome_reason(message: m.PlatformMessage) -> api.OutcomeReason:
+    return REASON_BY_TOPIC.get(message.text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
 
 
-def report(message: m.PlatformMessage) -> api.LoadReport | None:
-    raw = m.fields(message.text(m.REPORT) or "")
-    return read_report({FIELDS.get(name, name): m.figure(value) for name, value in raw.items()})
+def parse_load_report(message: m.PlatformMessage) -> api.LoadReport | None:
+    raw = m.parse_fields(message.text(m.REPORT) or "")
+    return read_report(
+        {SETTINGS_FIELD_BY_WIRE_NAME.get(name, name): m.parse_number(value) for name, value in raw.items()}
+    )
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -48,7 +48,12 @@
         self.begun: tuple[int, float] | None = None  # where a message that is not whole begins, since when
 
     def worth(self) -> EvictionPriority:
-        if self.open or self.inbox.scanned or self.stream.out or (self.proven and self.owners.friends == 1):
+        if (
+            self.open
+            or self.inbox.scanned_bytes
+            or self.stream.out
+            or (self.proven and self.owners.friends == 1)
+        ):
             return (
                 EvictionPriority.HELD
             )  # an answer is owed on it, or it is the last one that releases can go by
@@ -68,10 +73,10 @@
 
     def dates(self, now: float) -> None:
         """Notes since when a message is half here; one that drips on has begun once."""
-        if not self.inbox.partial:
+        if not self.inbox.has_partial_message:
             self.begun = None
-        elif self.begun is None or self.begun[0] != self.inbox.taken:
-            self.begun = self.inbox.taken, now
+        elif self.begun is None or self.begun[0] != self.inbox.consumed_bytes:
+            self.begun = self.inbox.consumed_bytes, now
 
 
 class ClientConnections:
@@ -113,7 +118,7 @@
                 break
             came = True
         for owner in list(self.owners):
-            came |= self.look(owner) or owner.inbox.waiting
+            came |= self.look(owner) or owner.inbox.has_next
         return came, any(owner.begun is not None for owner in self.owners)
 
     @property
@@ -138,24 +143,24 @@
     def _serve(self, owner: ClientConnection) -> Coroutine:
         inbox = owner.inbox
         try:
-            while inbox.waiting or not inbox.ended:
+            while inbox.has_next or not inbox.is_closed:
                 came = owner.stream.readable and self._take_in(owner, READ, exact=False)
-                if inbox.ended or owner.stream.closed is not None:
-                    inbox.ended = True
-                    self.exchange.owner_gone(owner)  # before what lies unread: it may be set-ups
+                if inbox.is_closed or owner.stream.closed is not None:
+                    inbox.is_closed = True
+                    self.exchange.disconnect_client(owner)  # before what lies unread: it may be set-ups
                 if self._turn(owner) or (came and owner.stream.readable):
                     yield from self.loop.sleep(0.0)
-                elif not (came or inbox.ended):
+                elif not (came or inbox.is_closed):
                     yield from owner.stream.wait()
             owner.stream.close("the owner closed it")
         except StreamClosedError:
-            inbox.ended = True
-        except m.PeerError as error:
+            inbox.is_closed = True
+        except m.RemoteProtocolError as error:
             owner.stream.close(str(error))
             self.log(f"an owner's connection closed: {error}")
         finally:
             self.owners.pop(owner, None)
-            self.exchange.owner_gone(owner)
+            self.exchange.disconnect_client(owner)
 
     def _take_in(self, owner: ClientConnection, most: int, exact: bool) -> bool:
         """Reads what has come, as far as `most` bytes wait; whether something came.
@@ -163,7 +168,7 @@
         `exact`: until the system says that there is no more; else the poller tells of what comes later."""
         inbox, came = owner.inbox, False
         try:
-            while not inbox.ended and len(inbox.buffer) < most:
+            while not inbox.is_closed and len(inbox.buffer) < most:
                 data = owner.stream.take(READ)
                 if data is None:
                     break
@@ -171,11 +176,11 @@
                 if data:
                     inbox.feed(data, owner.stream.arrived)
                 else:
-                    inbox.ended = True
+                    inbox.is_closed = True
                 if not (exact or owner.stream.readable):
                     break
         except StreamClosedError:
-            came = inbox.ended = True
+            came = inbox.is_closed = True
         return came
 
     def look(self, owner: ClientConnection) -> bool:
@@ -187,7 +192,7 @@
         if came:
             owner.stream.nudge()
         elif len(owner.inbox.buffer) >= LOOK and owner.stream.hung_up():
-            owner.inbox.ended = True
+            owner.inbox.is_closed = True
         return came
 
     def look_if_told(self, owner: ClientConnection) -> None:
@@ -200,23 +205,23 @@
             self.look(owner)
         else:
             self.look_if_told(owner)
-        return owner.inbox.waits(task)
+        return owner.inbox.is_answer_awaited(task)
 
     def _ended(self, owner: ClientConnection) -> bool:
         """Its client has closed, as far as this round can tell: what is written to it is told to nobody."""
         self.look_if_told(owner)
-        return owner.inbox.ended
+        return owner.inbox.is_closed
 
     def _turn(self, owner: ClientConnection) -> bool:
         """Up to TURN messages; whether there are more."""
         for _ in range(TURN):
-            found = owner.inbox.next()
+            found = owner.inbox.next_message()
             if found is None:
                 break
             self._message(owner, *found)
         owner.dates(self.loop.now())
         self.descriptors.file(owner, used=True)
-        return owner.inbox.waiting
+        return owner.inbox.has_next
 
     def _message(self, owner: ClientConnection, message: m.PlatformMessage, arrived: float | None) -> None:
         owner.spoke = True
@@ -224,15 +229,15 @@
             self.trace.message("owner", message)
         if message.kind == m.SETUP:
             late = (arrived or self.loop.clock.wall()) > self.closed_at
-            owner.bad += not self.exchange.owner_asks(owner, message, self._waited(arrived), late)
+            owner.bad += not self.exchange.receive_setup(owner, message, self._waited(arrived), late)
             if owner.bad > MOST_BAD:
-                raise m.PeerError(f"{owner.bad} set-ups that can't be used")
+                raise m.RemoteProtocolError(f"{owner.bad} set-ups that can't be used")
         elif message.kind == m.RELEASE:
             message.cause  # noqa: B018 - it must be readable
-            self.exchange.owner_releases(owner, message)
-        elif message.kind == m.TEST:
+            self.exchange.receive_client_release(owner, message)
+        elif message.kind == m.PROBE:
             takes = not self.draining and self.ready()
-            self._write(owner, m.caused(m.TESTED, message.task, int(takes)))
+            self._write(owner, m.encode_with_cause(m.PROBE_RESULT, message.task, int(takes)))
 
     def _waited(self, arrived: float | None) -> float:
         """How long a message waited in our socket and loop: gone from what the owner waits.
@@ -276,7 +281,7 @@
             silent = not owner.spoke and now - owner.born > SPEAK_MS
             if silent or (owner.begun is not None and now - owner.begun[1] > SPEAK_MS):
                 self.look(owner)  # after a standstill all of it may lie unread
-                if not owner.inbox.waiting:
+                if not owner.inbox.has_next:
                     owner.stream.close("no whole message in time")
             if not owner.stream.out:
                 owner.stuck = None
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -24,7 +24,7 @@
 from glencleat.index.dirty_set import DirtySet
 from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
+from glencleat.platform_protocol.command_channel import HostEntry, ListChange, estimate_start_ms
 from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
 from glencleat.platform_server import host_connections
@@ -86,7 +86,7 @@
     @exchange.setter
     def exchange(self, exchange: Exchange) -> None:
         self._exchange = exchange
-        exchange.stands = self._stands
+        exchange.notify_host_occupied = self._stands
 
     @property
     def links(self) -> int:
@@ -102,10 +102,10 @@
     def offer(self, attempt: SetupAttempt) -> None:
         host = self.hosts.get(attempt.host)
         if host is None or not host.address[1]:
-            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
+            self.answer(attempt, DeliveryOutcome.NOT_SENT)
         elif self._fails_fast(host):
             # A try has just failed, the next one is due soon: the same answer, a connect's time earlier.
-            self.answer(attempt, DeliveryOutcome.NEVER_UP)
+            self.answer(attempt, DeliveryOutcome.CONNECT_TIMEOUT)
         elif not self._send(host, attempt):
             self._wait(attempt)
 
@@ -114,27 +114,27 @@
         return waits and host.silent(self.connect_ms)
 
     def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
-        link: HostConnection | None = attempt.link
+        link: HostConnection | None = attempt.connection
         if link is None:
             self.wait_queue.pop(attempt, None)
-            return DeliveryOutcome.NEVER_SENT
+            return DeliveryOutcome.NOT_SENT
         return link.cancel(attempt)
 
     def unread(self, attempt: SetupAttempt) -> bool:
-        link: HostConnection | None = attempt.link
+        link: HostConnection | None = attempt.connection
         return link is not None and link.stream is not None and link.stream.readable
 
     def _wait(self, attempt: SetupAttempt) -> None:
         """For a descriptor, within its time: a connect that fails would be tried again at once."""
         if len(self.wait_queue) >= MOST_WAITING:
-            self.answer(attempt, DeliveryOutcome.NEVER_SENT)
+            self.answer(attempt, DeliveryOutcome.NOT_SENT)
             return
         self.wait_queue[attempt] = None
         self.waited += 1
 
     def answer(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
         """Told once the exchange is done with offering it."""
-        self.loop.call_in(0.0, lambda: self.exchange.failed(attempt, fact))
+        self.loop.call_in(0.0, lambda: self.exchange.record_delivery_failure(attempt, fact))
 
     def cold(self, host: HostConnections) -> bool:
         """By the list: it started a short time ago."""
@@ -156,7 +156,7 @@
                 continue  # taken back since, by what the exchange did on hearing of one before it
             if host is None or not host.address[1]:
                 del self.wait_queue[attempt]
-                self.exchange.failed(attempt, DeliveryOutcome.NEVER_SENT)
+                self.exchange.record_delivery_failure(attempt, DeliveryOutcome.NOT_SENT)
             elif self._send(host, attempt, full):
                 del self.wait_queue[attempt]
             else:
@@ -228,14 +228,14 @@
         """Writes a release; the link may break with it unread, so it is kept until the host says it heard."""
         if task in host.cuts:
             host.cuts[task] = link
-        link.write(m.caused(m.RELEASE, task, m.ENDED))
+        link.write(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def test(self, name: str, token: int) -> bool:
         host = self.hosts.get(name)
         link = next((li for li in host.links if li.stream and self._open(li)), None) if host else None
         if link is None:
             return False
-        link.write(m.caused(m.TEST, token, 1))
+        link.write(m.encode_with_cause(m.PROBE, token, 1))
         return True
 
     # ---- what links tell ----
@@ -279,14 +279,14 @@
         host.again_at = now + host.asking.again()
         if host.unreached(self.connect_ms, host.alone):
             host.away = True
-            self.exchange.reached(host.name, up=False)
+            self.exchange.report_reachability(host.name, up=False)
         self._freed()
 
     def back(self, host: HostConnections) -> None:
         """It was heard, or a connection came up."""
         if host.away:
             host.away = False
-            self.exchange.reached(host.name, up=True)
+            self.exchange.report_reachability(host.name, up=True)
 
     def broken(self, host: HostConnections, link: HostConnection, why: str) -> None:
         """A release that was on its way comes again on the next connection opened: it is opened at once."""
@@ -297,7 +297,7 @@
         if lasted < HOST.steady_ms:
             # One that takes connections and ends them at once was asked again as fast as the loop went.
             host.again_at = now + host.asking.again(lasted)
-        if standing := self.exchange.standing.get(host.name):
+        if standing := self.exchange.running_by_host.get(host.name):
             left = f"{len(standing)} tasks stand, {len(host.links)} links left"
             self.log(f"host {host.name}: link ended, {why}; {left}")
             self._again(host)
@@ -314,7 +314,7 @@
 
     def list_told(self, news: ListChange) -> None:
         names = {host.machine.name for host in news.hosts}
-        for name, host in self.hosts.items() if news.whole else ():
+        for name, host in self.hosts.items() if news.is_snapshot else ():
             if name not in names:
                 host.leaves(self.loop.now())
         for told in news.hosts:
@@ -338,7 +338,7 @@
         before, host.started = host.started, told.started_ms
         if before is not None and before < told.started_ms:
             # A start that was told before says nothing new: by a clock that is behind it lies ahead for ever.
-            start = when(told.started_ms - self.channel.ahead_ms, now)
+            start = estimate_start_ms(told.started_ms - self.channel.wall_clock_offset_ms, now)
             self._over(host, "a later start is in the list", start)
 
     def _replaced(self, host: HostConnections) -> None:
@@ -355,7 +355,7 @@
         return host
 
     def _over(self, host: HostConnections, why: str, before: float = float("inf")) -> None:
-        ended = self.exchange.host_lost(host.name, before)
+        ended = self.exchange.end_tasks_of_host(host.name, before)
         if ended:
             self.log(f"host {host.name}: {ended} tasks over, {why}")
 
@@ -387,7 +387,7 @@
         self._freed()  # a moment ago too many may have been begun
         names, self.unlisted = self.unlisted, {}
         for name in names:
-            if name in self.exchange.standing and name not in self.hosts:
+            if name in self.exchange.running_by_host and name not in self.hosts:
                 self._add(name).leaves(now)
             elif name in self.hosts:
                 self.changed(self.hosts[name])
@@ -403,7 +403,7 @@
 
     def _visit(self, host: HostConnections, now: float) -> None:
         """All that has to be done at a host by now."""
-        if host.name in self.exchange.standing:
+        if host.name in self.exchange.running_by_host:
             self._look(host, now)
         elif host.uncut:
             self._again(host, Demand.ATTEMPT)
@@ -423,7 +423,7 @@
         """When it has to be looked at again if nothing happens on it; what is past: in the next tick.
 
         Each line answers one of `_look`, `_again`, `_tidy` and `_file`; `_check` sets them against it."""
-        stands, links_of = host.name in self.exchange.standing, host.links
+        stands, links_of = host.name in self.exchange.running_by_host, host.links
         due = NEVER
         if stands:
             due = host.due(bool(host.address[1]), bool(links_of), look_ms(self.peers))
@@ -468,7 +468,7 @@
 
     def _tidy(self, host: HostConnections, now: float) -> None:
         """Ends links that nobody needs, and forgets hosts that are gone."""
-        stands = host.name in self.exchange.standing
+        stands = host.name in self.exchange.running_by_host
         for link in sorted(host.links, key=lambda link: (not link.doubtful, link.used)):
             idle = now - link.used if link.unused and not link.visit else 0.0
             if idle > SURPLUS_MS and any(li is not link and self._kept(li) for li in host.links):
@@ -481,7 +481,11 @@
                 link.leave("idle")
             elif idle > self.idle_ms and not host.draining:
                 self._again(host)  # a new one first: the host would close this with a release on its way
-        if host.gone and host.name not in self.exchange.standing and not any(li.load for li in host.links):
+        if (
+            host.gone
+            and host.name not in self.exchange.running_by_host
+            and not any(li.load for li in host.links)
+        ):
             self._drop(host, "its host is gone")
             del self.hosts[host.name]
             if self.addresses.get(host.address) == host.name:
--- a/glencleat/platform_server/host_connections.py
+++ b/glencleat/platform_server/host_connections.py
@@ -94,7 +94,7 @@
             return EvictionPriority.HELD
         up = (li for li in host.links if li is not self and li.stream is not None and not li.doubtful)
         others = any(self.visit or not li.visit for li in up)  # a visit goes before the link it is beside
-        if others or not (self.hosts.exchange.standing.get(host.name) or host.uncut):
+        if others or not (self.hosts.exchange.running_by_host.get(host.name) or host.uncut):
             return EvictionPriority.SPARE
         if host.draining:
             return (
@@ -123,7 +123,7 @@
         self.host.remove(self)
         if self.loop.now() - self.since > HOST.steady_ms:
             self.host.asking.well()
-        stands = self.hosts.exchange.standing.get(self.host.name)
+        stands = self.hosts.exchange.running_by_host.get(self.host.name)
         if stands and self.stream.closed is None and self.hosts.descriptors.leave(self):
             stream = self.stream
             stream.shut()
@@ -143,13 +143,13 @@
         self.host.remove(self)
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:
-            attempt.link = None
-            self.hosts.answer(attempt, DeliveryOutcome.NEVER_SENT)
+            attempt.connection = None
+            self.hosts.answer(attempt, DeliveryOutcome.NOT_SENT)
 
     # ---- attempts ----
 
     def take(self, attempt: SetupAttempt) -> None:
-        attempt.link, self.visit = self, False
+        attempt.connection, self.visit = self, False
         self.used = self.loop.now()
         self.hosts.changed(self.host)
         if self.stream is None:
@@ -159,14 +159,16 @@
 
     def _send(self, attempt: SetupAttempt) -> None:
         assert self.stream is not None
-        held_back = self.hosts.exchange.held_back(attempt, self.host.serves, self.hosts.cold(self.host))
+        held_back = self.hosts.exchange.find_hold_reason(
+            attempt, self.host.serves, self.hosts.cold(self.host)
+        )
         if self.ended and held_back is None:
-            held_back = DeliveryOutcome.NEVER_SENT
+            held_back = DeliveryOutcome.NOT_SENT
         if held_back is not None:
-            attempt.link = None
+            attempt.connection = None
             self.hosts.answer(attempt, held_back)
             return
-        data = attempt.setup_message(self.loop.now())
+        data = attempt.encode_setup(self.loop.now())
         self.out[attempt] = self.stream.queued + len(data)
         self.write(data)
 
@@ -179,21 +181,21 @@
         self.hosts.changed(self.host)
         if attempt in self.waiting:
             self.waiting.remove(attempt)
-            return DeliveryOutcome.NEVER_UP
+            return DeliveryOutcome.CONNECT_TIMEOUT
         end = self.out.pop(attempt, None)
         if end is None or self.stream is None:
-            return DeliveryOutcome.BROKEN
+            return DeliveryOutcome.CONNECTION_LOST
         if self.stream.written < end:
             self.stream.close("a set-up given up before it was sent whole")
-            return DeliveryOutcome.NEVER_SENT
+            return DeliveryOutcome.NOT_SENT
         if self.stream.closed is not None:
-            return DeliveryOutcome.BROKEN
+            return DeliveryOutcome.CONNECTION_LOST
         self.doubtful = True
         self.spent.add(attempt.call.setup.task)
-        self.write(m.caused(m.RELEASE, attempt.call.setup.task, m.GIVEN_UP))
-        if self.stream.out or self.decoder.partial:
+        self.write(m.encode_with_cause(m.RELEASE, attempt.call.setup.task, m.NORMAL_CLEARING))
+        if self.stream.out or self.decoder.has_partial_message:
             self.stream.close("a give-up that can't be written, or an answer that stopped short")
-        return DeliveryOutcome.SILENT
+        return DeliveryOutcome.ANSWER_TIMEOUT
 
     def _run(self) -> Coroutine:
         try:
@@ -206,14 +208,16 @@
                 return  # of an address that is no longer its host's
             if error.code in (errno.EMFILE, errno.ENFILE):
                 # Ours: it says nothing of the host. A sweep would try again at once, and all the others too.
-                fact, self.host.again_at = DeliveryOutcome.NEVER_SENT, self.loop.now() + OURS_MS
+                fact, self.host.again_at = DeliveryOutcome.NOT_SENT, self.loop.now() + OURS_MS
             else:
                 self.hosts.failed(self.host, error.code == errno.ECONNREFUSED)
                 fact = (
-                    DeliveryOutcome.REFUSED if error.code == errno.ECONNREFUSED else DeliveryOutcome.NEVER_UP
+                    DeliveryOutcome.REFUSED
+                    if error.code == errno.ECONNREFUSED
+                    else DeliveryOutcome.CONNECT_TIMEOUT
                 )
             while self.waiting:  # one that is taken back by what follows from another is no longer here
-                self.hosts.exchange.failed(self.waiting.pop(0), fact)
+                self.hosts.exchange.record_delivery_failure(self.waiting.pop(0), fact)
             return
         assert self.stream is not None
         self.hosts.connecting.ended(self.address)
@@ -229,7 +233,7 @@
             self._send(attempt)
         try:
             yield from self._read(self.stream)
-        except (StreamClosedError, m.PeerError) as error:
+        except (StreamClosedError, m.RemoteProtocolError) as error:
             self._end(str(error))
 
     def _read(self, stream: Stream) -> Coroutine:
@@ -252,9 +256,9 @@
     def _message(self, message: m.PlatformMessage) -> None:
         if self.hosts.trace is not None:
             self.hosts.trace.message(f"host {self.host.name}", message)
-        if message.kind != m.TESTED:
+        if message.kind != m.PROBE_RESULT:
             self.host.speaks(self.loop.now())
-        if message.kind in (m.RELEASE, m.RELEASE_HEARD) and message.task in self.host.cuts:
+        if message.kind in (m.RELEASE, m.RELEASE_COMPLETE) and message.task in self.host.cuts:
             del self.host.cuts[message.task]
             self.hosts.changed(self.host)
         answered = next((a for a in self.out if a.call.setup.task == message.task), None)
@@ -262,13 +266,13 @@
             self.hosts.changed(self.host)
             del self.out[answered]  # before the module may bind anew: this link is free again
         try:
-            self.hosts.exchange.host_says(self.host.name, self, message)
-        except m.PeerError:
+            self.hosts.exchange.receive_host_message(self.host.name, self, message)
+        except m.RemoteProtocolError:
             if answered is not None:
                 self.out[answered] = 0  # an answer that can't be read is none: it breaks with the link
             raise
         if message.kind == m.RELEASE and not self.left:
-            self.write(m.encode(m.RELEASE_HEARD, message.task))
+            self.write(m.encode(m.RELEASE_COMPLETE, message.task))
 
     def _end(self, why: str) -> None:
         """What was open on it comes back as what it is; what stands does not."""
@@ -284,8 +288,8 @@
         out, self.out = self.out, {}
         for attempt, end in out.items():
             whole = stream.written >= end
-            self.hosts.exchange.failed(
-                attempt, DeliveryOutcome.BROKEN if whole else DeliveryOutcome.NEVER_SENT
+            self.hosts.exchange.record_delivery_failure(
+                attempt, DeliveryOutcome.CONNECTION_LOST if whole else DeliveryOutcome.NOT_SENT
             )
         if not self.left:
             self.hosts.broken(self.host, self, why)
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -21,10 +21,10 @@
 from glencleat.descriptor_budget import DescriptorBudget
 from glencleat.event_loop import Loop, Signals, Timer
 from glencleat.flow_control.backoff import CHANNEL, Backoff
-from glencleat.platform_protocol.command_channel import CommandChannel, ListChange, address
+from glencleat.platform_protocol.command_channel import CommandChannel, ListChange, parse_address
 from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
-from glencleat.platform_protocol.messages import PeerError
+from glencleat.platform_protocol.messages import RemoteProtocolError
 from glencleat.platform_server.client_connections import ClientConnections
 from glencleat.platform_server.connection_pool import ConnectionPool
 from glencleat.platform_server.graceful_shutdown import (
@@ -71,10 +71,10 @@
         limits = raw["settings"]["limits"]
         return ProcessConfig(
             name=str(raw["name"]),
-            listen=address(raw["listen"], least=0),
+            listen=parse_address(raw["listen"], least=0),
             seed=int(str(raw["seed"]), 16),
             descriptors=int(raw["limits"]["sockets"]),
-            channel=address(raw["channel"]),
+            channel=parse_address(raw["channel"]),
             known=dict(raw["known"]),
             settings=read_settings(raw["settings"]),
             connect_ms=float(limits["connect-timeout-ms"]),
@@ -82,7 +82,7 @@
         )
     except OSError as error:
         raise ProcessConfigError(f"{path}: {error.strerror}") from None
-    except PeerError as error:
+    except RemoteProtocolError as error:
         raise ProcessConfigError(f"{path}: {error}") from None
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
         raise ProcessConfigError(f"{path}: {type(error).__name__}: {error}") from None
@@ -104,9 +104,9 @@
         self.hosts.peers, self.hosts.cold_ms = config.settings.allocator_count, config.settings.warm_up_ms
         module = Scheduler(config.settings, config.seed)
         self.exchange = Exchange(config.settings, module, self, config.connect_ms)
-        self.exchange.machines = self.channel.machines
+        self.exchange.list_machines = self.channel.machines
         self.owners.exchange = self.hosts.exchange = self.exchange
-        for news in self.channel.begin(config.known, loop.now()):
+        for news in self.channel.load_known(config.known, loop.now()):
             self.list_told(news)
         asking = Backoff(CHANNEL, random)
         self.feed = WatchClient(loop, self.channel, asking, config.channel, self.list_told, log)
@@ -131,28 +131,28 @@
 
     # ---- Ports ----
 
-    def to_owner(self, owner: Any, data: bytes, owed: bool) -> None:
+    def send_to_client(self, owner: Any, data: bytes, owed: bool) -> None:
         self.owners.to_owner(owner, data, owed)
 
-    def waits(self, owner: Any, task: int, exact: bool) -> bool:
+    def is_client_waiting(self, owner: Any, task: int, exact: bool) -> bool:
         return self.owners.waits(owner, task, exact)
 
-    def proves(self, owner: Any) -> None:
+    def mark_client_proven(self, owner: Any) -> None:
         self.owners.proves(owner)
 
-    def offer(self, attempt: SetupAttempt) -> None:
+    def send_attempt(self, attempt: SetupAttempt) -> None:
         self.hosts.offer(attempt)
 
-    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
+    def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
         return self.hosts.cancel(attempt)
 
-    def unread(self, attempt: SetupAttempt) -> bool:
+    def has_unread_data(self, attempt: SetupAttempt) -> bool:
         return self.hosts.unread(attempt)
 
-    def cut(self, host: str, task: int) -> None:
+    def release_task(self, host: str, task: int) -> None:
         self.hosts.cut(host, task)
 
-    def test(self, host: str, token: int) -> bool:
+    def send_probe(self, host: str, token: int) -> bool:
         return self.hosts.test(host, token)
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
@@ -165,7 +165,7 @@
 
     def list_told(self, news: ListChange) -> None:
         # The module first: what stood at a host that was replaced is then bound anew by the newer list.
-        self.exchange.list_told(news)
+        self.exchange.update_machine_list(news)
         self.hosts.list_told(news)
 
     # ---- signals ----
@@ -192,14 +192,14 @@
         """SIGTERM: `draining.py` says when all is over."""
         if self.draining.begin(self.loop.now()):
             self.owners.draining = True
-            self.log(f"stopping, {self.exchange.open} calls open")
+            self.log(f"stopping, {self.exchange.open_calls} calls open")
             self.loop.call_in(WINDOW_MS, self._look)
 
     def _look(self) -> None:
         """Looks at all there is by asking the system: after a standstill no event tells of it yet."""
         came, half = self.owners.take_all_in()
         seen = ShutdownObservation(
-            unanswered=bool(self.exchange.open),
+            unanswered=bool(self.exchange.open_calls),
             unhandled=came or half or self.owners.unsent,
             undelivered=bool(self.owners.owed) or self.hosts.cutting,
         )
@@ -216,11 +216,14 @@
     def status(self) -> None:
         self.loop.call_in(STATUS_MS, self.status)
         x = self.exchange
-        nothing = ", ".join(f"{outcome.value} {count}" for outcome, count in x.nothing.items()) or "none"
-        stood, d = sum(map(len, x.standing.values())), self.descriptors
+        nothing = (
+            ", ".join(f"{outcome.value} {count}" for outcome, count in x.failed_attempts_by_outcome.items())
+            or "none"
+        )
+        stood, d = sum(map(len, x.running_by_host.values())), self.descriptors
         self.log(
-            f"taken {x.taken} open {x.open} standing {stood} bad {x.bad} late {x.late} came to"
-            f" nothing: {nothing}; owners"
+            f"taken {x.accepted_calls} open {x.open_calls} standing {stood} bad {x.invalid_setups}"
+            f" late {x.late_answers} came to nothing: {nothing}; owners"
             f" {len(self.owners.owners)} links {self.hosts.links} hosts {len(self.hosts.hosts)} descriptors"
             f" {d.held} most {d.most} of {d.room} refused {d.turned_away} waited {self.hosts.waited} paced"
             f" {self.hosts.connecting.turned_away} cursor"
@@ -265,7 +268,7 @@
     try:
         config = load(path)
         process = PlatformProcess(config, Loop(), log, path)
-    except (ProcessConfigError, PeerError, ValueError) as error:
+    except (ProcessConfigError, RemoteProtocolError, ValueError) as error:
         print(f"glencleat node: {error}", file=sys.stderr)
         return 2
     except (LookupError, TypeError, AttributeError, ArithmeticError) as error:
@@ -284,5 +287,5 @@
     log(f"listening on {bound[0]}:{bound[1]}, {len(process.channel.hosts)} hosts known, {resident()}")
     process.status()
     process.run()
-    log(f"stopped, {process.exchange.open} open")
+    log(f"stopped, {process.exchange.open_calls} open")
     return 0
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -11,7 +11,7 @@
 from glencleat.event_loop.loop import Coroutine
 from glencleat.flow_control.backoff import Backoff
 from glencleat.platform_protocol.command_channel import CommandChannel, ListChange
-from glencleat.platform_protocol.messages import PeerError
+from glencleat.platform_protocol.messages import RemoteProtocolError
 
 CONNECT_MS = 500.0
 SILENT_MS = 1_800.0  # a line is due every second
@@ -51,7 +51,7 @@
         while True:
             try:
                 yield from self._follow()
-            except (StreamClosedError, PeerError) as error:
+            except (StreamClosedError, RemoteProtocolError) as error:
                 self.breaks += 1
                 self.log(f"command channel: {error}; asking again from {self.channel.cursor}")
             if self.stream is not None:
@@ -69,7 +69,7 @@
             raise StreamClosedError("the command channel moved")
         self.heard, self.half = self.loop.now(), 0
         self._watch(stream)
-        stream.send(self.channel.resume())
+        stream.send(self.channel.begin_connection())
         while True:
             data = yield from stream.read()
             if not data:
--- a/glencleat/scale/allocators.py
+++ b/glencleat/scale/allocators.py
@@ -112,7 +112,7 @@
         if task in link.out:
             link.out.discard(task)
             self.tally.count(self.number, "no answer")
-            self._say(link, m.caused(m.RELEASE, task, m.GIVEN_UP))
+            self._say(link, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def _say(self, link: HollowLink, data: bytes) -> bool:
         if link.stream is None or not link.stream.put(data):
@@ -175,7 +175,7 @@
         waiting, link.waiting = link.waiting, []
         for task in waiting:
             self._send(link, task)
-        with contextlib.suppress(StreamClosedError, m.PeerError):
+        with contextlib.suppress(StreamClosedError, m.RemoteProtocolError):
             yield from self._read(link, stream)
         self.end(link)
 
@@ -199,7 +199,7 @@
             if message.task in link.contact.tasks:
                 link.contact.tasks.discard(message.task)
                 self.tally.count(self.number, "ended")
-            self._say(link, m.encode(m.RELEASE_HEARD, message.task))
+            self._say(link, m.encode(m.RELEASE_COMPLETE, message.task))
 
     # ---- now and then ----
 
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -82,7 +82,7 @@
         decoder = m.MessageDecoder()
         try:
             for task in [task for task, whose in self.owed.items() if whose == allocator]:
-                self._say(stream, allocator, m.caused(m.RELEASE, task, m.ENDED))
+                self._say(stream, allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
             while data := (yield from stream.read()):
                 if self.silent:
                     continue
@@ -90,7 +90,7 @@
                 for message in decoder.messages():
                     self.group.tally.got(allocator, message)
                     self._message(stream, allocator, message)
-        except (StreamClosedError, m.PeerError):
+        except (StreamClosedError, m.RemoteProtocolError):
             pass
         finally:
             self._gone(stream, allocator)
@@ -117,13 +117,13 @@
             self.held[task] = Held(allocator, stream, stands=False)
             self.loop.call_in(self.group.decide_ms, lambda: self._stands(task))
         elif message.kind == m.RELEASE:
-            if self.held.pop(task, None) is not None and message.cause != m.GIVEN_UP:
+            if self.held.pop(task, None) is not None and message.cause != m.NORMAL_CLEARING:
                 self.group.tally.count(allocator, "cut")
-            self._say(stream, allocator, m.encode(m.RELEASE_HEARD, task))
-        elif message.kind == m.RELEASE_HEARD:
+            self._say(stream, allocator, m.encode(m.RELEASE_COMPLETE, task))
+        elif message.kind == m.RELEASE_COMPLETE:
             self.owed.pop(task, None)
-        elif message.kind == m.TEST:
-            self._say(stream, allocator, m.caused(m.TESTED, task, 1))
+        elif message.kind == m.PROBE:
+            self._say(stream, allocator, m.encode_with_cause(m.PROBE_RESULT, task, 1))
 
     # ---- tasks ----
 
@@ -158,7 +158,7 @@
 
     def _note(self, task: int, topic: str, value: str) -> None:
         held = self.held[task]
-        note = m.encode(m.NOTE, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
+        note = m.encode(m.OBSERVATION, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
         self._say(self._way(held), held.allocator, note)
 
     def _way(self, held: Held) -> Stream | None:
@@ -173,7 +173,7 @@
         del self.held[task]
         self.group.tally.count(held.allocator, "ended")
         self.owed[task] = held.allocator
-        self._say(self._way(held), held.allocator, m.caused(m.RELEASE, task, m.ENDED))
+        self._say(self._way(held), held.allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     # ---- troubles ----
 
--- a/glencleat/scale/message_counters.py
+++ b/glencleat/scale/message_counters.py
@@ -14,11 +14,11 @@
     m.PROGRESS: "progress",
     m.ANSWER: "answer",
     m.RELEASE: "release",
-    m.RELEASE_HEARD: "release heard",
-    m.NOTE: "note",
-    m.MOVE: "move",
-    m.TEST: "test",
-    m.TESTED: "tested",
+    m.RELEASE_COMPLETE: "release heard",
+    m.OBSERVATION: "note",
+    m.MIGRATE: "move",
+    m.PROBE: "test",
+    m.PROBE_RESULT: "tested",
 }
 Counts = dict[str, int]
 
@@ -29,7 +29,7 @@
     >>> wire_size(m.Message(m.TESTED, 7, {m.CAUSE: b"x"}))
     15
     """
-    return m.HEAD.size + sum(m.PARAMETER.size + len(raw) for raw in message.parameters.values())
+    return m.HEADER.size + sum(m.PARAMETER_HEADER.size + len(raw) for raw in message.parameters.values())
 
 
 class MessageCounters:
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -19,7 +19,7 @@
 UNREAD_MS = 50.0  # to read what has come
 CONNECTIONS = 4  # to one allocator
 SERVICES = 200
-HARMLESS = (m.FULL, m.CONGESTED, m.MOOT)  # causes that promise that trying again does no harm
+HARMLESS = (m.NO_CAPACITY, m.CONGESTED, m.TIMER_EXPIRED)  # causes that promise that trying again does no harm
 
 
 class AnswerCheck:
@@ -68,7 +68,7 @@
             self.ends["refused" if cause in HARMLESS else "failed"] += 1
         elif task in self.standing:
             self.standing.discard(task)
-            self.ends["ended" if cause == m.ENDED else "lost"] += 1
+            self.ends["ended" if cause == m.NORMAL_CLEARING else "lost"] += 1
         else:
             self.ends["second release" if task in self.over else "release of nothing"] += 1
         self.over.add(task)
@@ -99,12 +99,14 @@
             try:
                 stream: Stream = yield from connect(self.loop, self.address, 1_000.0)
                 self.streams.append(stream)
-                self._put(stream, m.caused(m.TEST, 0, 0))  # one who says nothing at first is closed
+                self._put(
+                    stream, m.encode_with_cause(m.PROBE, 0, 0)
+                )  # one who says nothing at first is closed
                 try:
                     yield from self._read(stream)
                 finally:
                     self.streams.remove(stream)
-            except (ConnectError, StreamClosedError, m.PeerError):
+            except (ConnectError, StreamClosedError, m.RemoteProtocolError):
                 self.tally.count(self.allocator, "connections broken")
             yield from self.loop.sleep(AGAIN_MS)
 
@@ -118,7 +120,7 @@
                     self.ledger.answered(message.task, self.loop.now())
                 elif message.kind == m.RELEASE:
                     self.ledger.released(message.task, message.cause)
-                    self._put(stream, m.encode(m.RELEASE_HEARD, message.task))
+                    self._put(stream, m.encode(m.RELEASE_COMPLETE, message.task))
 
     def _put(self, stream: Stream, data: bytes) -> bool:
         if not stream.put(data):
@@ -160,7 +162,7 @@
 
     def _late(self, stream: Stream, task: int) -> None:
         if self.ledger.given_up(task):
-            self._put(stream, m.caused(m.RELEASE, task, m.GIVEN_UP))
+            self._put(stream, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def hand_over(self, tasks: list[tuple[int, str]]) -> None:
         """Tasks that run already, by `at`; spread over seconds, as a front does it."""
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -9,7 +9,7 @@
 from glencleat import interface as api
 from glencleat.descriptor_budget import ASIDE, STANDSTILL_MS, Demand, Side
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_protocol.ended_tasks import KEEP_MS
+from glencleat.platform_protocol.ended_tasks import RETENTION_MS
 from glencleat.platform_server import client_connections
 from tests.support.exchange_world import World as Virtual
 from tests.support.exchange_world import read, setup
@@ -26,12 +26,12 @@
     world.module.next.append([api.Bind(2, "h1", 2000.0)])
     call = setup(1, cls="unsafe")
     (message,) = read(call)
-    world.exchange.owner_asks(next(iter(world.owners.owners)), message, 0.0)
+    world.exchange.receive_setup(next(iter(world.owners.owners)), message, 0.0)
     settled(world)
     assert not world.told(api.AttemptEnded) and [
         stream for stream, _ in peer.got if stream is not peer.streams[0]
     ]
-    assert sorted(world.exchange.standing["h1"]) == [1, 9] and sock
+    assert sorted(world.exchange.running_by_host["h1"]) == [1, 9] and sock
 
 
 def test_nothing_is_sent_on_a_link_that_was_ended_as_it_came_up(world):
@@ -55,11 +55,11 @@
     other = world.client()
     world.ask(other, 8)
     world.ask(sock, 1)
-    world.until(lambda: len(world.exchange.standing.get("h1", ())) == 2)
+    world.until(lambda: len(world.exchange.running_by_host.get("h1", ())) == 2)
     assert world.says(sock)  # what lies unread would make its close a reset, which a write is told of
     sock.close()
     world.loop.poller.poll(0.0)  # as each round begins
-    world.exchange.host_lost("h1")
+    world.exchange.end_tasks_of_host("h1")
     settled(world)
     told = [(x.kind, x.task) for x in read(world.says(other))]
     assert told[0] == (m.ANSWER, 8) and sorted(told[1:]) == [(m.RELEASE, 1), (m.RELEASE, 8)]
@@ -75,7 +75,7 @@
     sock.send(cancel(9))
     world.until(lambda: m.RELEASE in kinds(peer))
     if heard:
-        peer.streams[0].send(m.encode(m.RELEASE_HEARD, 9))
+        peer.streams[0].send(m.encode(m.RELEASE_COMPLETE, 9))
         settled(world)
     peer.streams[0].close()
     end = world.loop.now() + 1_500.0
@@ -134,7 +134,7 @@
     monkeypatch.setattr(client_connections, "SWEEP_MS", 10.0)
     world.owners._sweep()
     sock = world.client()
-    sock.send(m.encode(m.TEST, 1))
+    sock.send(m.encode(m.PROBE, 1))
     drip = iter(setup(1))
 
     def more():
@@ -157,7 +157,7 @@
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.says(sock)
     return peer, sock
 
@@ -169,21 +169,28 @@
 def test_an_end_that_came_before_its_task_was_named_is_told(world):
     """After a restart: the host tells what ended on our first connection, before any client has come."""
     peer, sock = placed(world)
-    peer.streams[0].send(m.caused(m.RELEASE, 77, m.ENDED) + m.caused(m.RELEASE, 78, m.RESET))
+    peer.streams[0].send(
+        m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING)
+        + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE)
+    )
     settled(world)
     sock.send(named(77) + named(78) + named(79))
     settled(world)
-    assert list(world.exchange.standing["h1"]) == [1, 79]
-    assert world.says(sock) == m.caused(m.RELEASE, 77, m.ENDED) + m.caused(m.RELEASE, 78, m.RESET)
+    assert list(world.exchange.running_by_host["h1"]) == [1, 79]
+    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING) + m.encode_with_cause(
+        m.RELEASE, 78, m.TEMPORARY_FAILURE
+    )
 
 
 def test_a_task_named_again_as_its_release_is_on_its_way_stays_over(world):
     peer, sock = placed(world)
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     settled(world)
     sock.send(named(1))  # sent before the release was read
     settled(world)
-    assert not world.exchange.standing and world.says(sock) == m.caused(m.RELEASE, 1, m.ENDED)
+    assert not world.exchange.running_by_host and world.says(sock) == m.encode_with_cause(
+        m.RELEASE, 1, m.NORMAL_CLEARING
+    )
     with pytest.raises(BlockingIOError):
         sock.recv(100)  # told once
 
@@ -191,19 +198,19 @@
 def test_a_task_that_was_called_lost_behind_a_cut_may_be_handed_over(world):
     """Its host never said that it ended."""
     _, sock = placed(world)
-    world.exchange.host_lost("h1")
+    world.exchange.end_tasks_of_host("h1")
     sock.send(named(1))
     settled(world)
-    assert list(world.exchange.standing["h1"]) == [1]
+    assert list(world.exchange.running_by_host["h1"]) == [1]
 
 
 def test_ends_are_kept_for_a_time():
     world = Virtual()
     world.asks(1, api.Bind(1, "h1", 300.0))
-    world.host(m.RELEASE, 77, cause=m.ENDED)
-    world.advance(KEEP_MS + 1.0)
+    world.host(m.RELEASE, 77, cause=m.NORMAL_CLEARING)
+    world.advance(RETENTION_MS + 1.0)
     world.asks(77, extras="cores:1;memory:1;service:s;at:h1", wait=None)
-    assert 77 in world.exchange.standing["h1"]
+    assert 77 in world.exchange.running_by_host["h1"]
 
 
 # ---- newcomers faster than they are taken ----
--- a/tests/platform_server/test_platform_server.py
+++ b/tests/platform_server/test_platform_server.py
@@ -76,7 +76,7 @@
         assert world.back() == [api.Outcome.NOT_SENT]
     assert not world.hosts.hosts["h1"].links and world.hosts.hosts["h1"].failing == float("inf")
     world.ask(owner, 2)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
 
 
 def test_a_connection_that_never_comes_up(world):
@@ -160,12 +160,12 @@
     cut, host = cut_off(monkeypatch), world.hosts.hosts["h0"]
     heard = host.heard
     world.until(lambda: host.failing < world.loop.now() - 200.0)
-    assert "h0" in world.exchange.standing
+    assert "h0" in world.exchange.running_by_host
     if heals:
         cut[0] = False
         world.until(lambda: host.heard > heard)
         world.until(lambda: world.loop.now() > heard + 1_300.0)
-        assert "h0" in world.exchange.standing
+        assert "h0" in world.exchange.running_by_host
     else:
         assert world.back() == [api.Outcome.LOST]
         assert host.failed_at > host.heard + 900.0  # by a try that could have told of a heal until then
@@ -196,10 +196,10 @@
     peer, owner = Peer(world.loop, script), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 2)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.ask(owner, 1)
     assert world.back(ms=1000.0) == [api.Outcome.LOST]  # and not at its time-out
-    assert 2 in world.exchange.standing["h1"] and world.exchange.open == 1
+    assert 2 in world.exchange.running_by_host["h1"] and world.exchange.open_calls == 1
     world.until(lambda: len(peer.streams) == 2)  # what stands there may be told of on the next one only
 
 
@@ -207,26 +207,26 @@
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     assert world.says(owner)
     peer.streams[0].close()  # it breaks with the release on its way
     world.until(lambda: len(peer.streams) == 2)
     assert world.module.events[-1].__class__ is api.AttemptAccepted  # a break proves nothing
-    peer.streams[1].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peer.streams[1].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     assert world.back() == [api.Outcome.COMPLETED]
-    assert world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
-    world.until(lambda: m.RELEASE_HEARD in kinds(peer))
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
+    world.until(lambda: m.RELEASE_COMPLETE in kinds(peer))
 
 
 def test_a_host_that_died_ends_what_stood_there(world):
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     answer = world.says(owner)
     peer.die()
     assert world.back() == [api.Outcome.LOST] and any("refused" in text for text in world.logs)
-    assert answer and world.says(owner) == m.caused(m.RELEASE, 1, m.RESET)
+    assert answer and world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.TEMPORARY_FAILURE)
 
 
 def test_all_links_at_once_tell_that_a_draining_host_ended(world):
@@ -237,7 +237,7 @@
     world.until(lambda: len(peer.got) == 2)
     for stream, message in list(peer.got):
         stands(stream, message)
-    world.until(lambda: len(world.exchange.standing.get("h1", ())) == 2)
+    world.until(lambda: len(world.exchange.running_by_host.get("h1", ())) == 2)
     world.list(("h1", peer.address), phase=api.MachinePhase.DRAINING)
     peer.die()
     assert world.back(2, ms=0.6 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST] * 2
@@ -269,8 +269,8 @@
     monkeypatch.setattr(failure_detector, "QUIET_MS", 50.0)
     monkeypatch.setattr(failure_detector, "NEVER_UP_MS", 600.0 if "nothing" not in says else 60_000.0)
 
-    words = {"notes": m.encode(m.NOTE, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
-             "tests passed": m.caused(m.TESTED, 9, 0)}  # fmt: skip
+    words = {"notes": m.encode(m.OBSERVATION, 1, {m.TOPIC: b"cores", m.VALUE: b"1"}),
+             "tests passed": m.encode_with_cause(m.PROBE_RESULT, 9, 0)}  # fmt: skip
 
     def speak():
         if says in words and peer.streams[0].put(words[says]):
@@ -279,7 +279,7 @@
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     speak()
     peer.listener.close()
     world.list(
@@ -289,11 +289,11 @@
     if says == "nothing, back":  # it was only missing for a moment: refusals say what they said before
         world.list(("h1", peer.address), phase=api.MachinePhase.DRAINING)
     began = world.loop.now()
-    world.until(lambda: "h1" not in world.exchange.standing or world.loop.now() > began + 1_500.0)
-    assert ("h1" not in world.exchange.standing) is over
+    world.until(lambda: "h1" not in world.exchange.running_by_host or world.loop.now() > began + 1_500.0)
+    assert ("h1" not in world.exchange.running_by_host) is over
     if over:
         assert world.back() == [api.Outcome.LOST]
-    assert m.TEST not in kinds(peer)
+    assert m.PROBE not in kinds(peer)
 
 
 @pytest.mark.parametrize("how", ["replaced", "restarted", "unlisted"])
@@ -306,46 +306,46 @@
         owner.send(setup(1, extras="cores:1;memory:1;service:s;at:h9", wait=None))
     else:
         world.ask(owner, 1)
-    world.until(lambda: name in world.exchange.standing)
+    world.until(lambda: name in world.exchange.running_by_host)
     if how == "replaced":
         world.list(("h2", peer.address))
     elif how == "restarted":
         world.list(("h1", peer.address, world.loop.clock.wall() - 30_000.0))
-        assert name in world.exchange.standing  # a start long ago ends nothing
+        assert name in world.exchange.running_by_host  # a start long ago ends nothing
         world.list(("h1", peer.address, world.loop.clock.wall() + 1.0))
-    assert world.back() == [api.Outcome.LOST] and not world.exchange.standing
+    assert world.back() == [api.Outcome.LOST] and not world.exchange.running_by_host
 
 
 @pytest.mark.parametrize("ahead_ms", [-600_000.0, 600_000.0])
 def test_a_start_told_by_a_clock_that_differs_by_minutes_ends_what_stood_and_nothing_later(world, ahead_ms):
     """By one that is behind every word of the list ended all tasks there, by one ahead none ever."""
-    world.channel.ahead_ms += ahead_ms
+    world.channel.wall_clock_offset_ms += ahead_ms
     peer, owner = Peer(world.loop, stands), world.client()
     started = world.loop.clock.wall()
     world.list(("h1", peer.address, started - 5_000.0))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.list(("h1", peer.address, started - 5_000.0))  # told again, as when its room changes
-    assert "h1" in world.exchange.standing
+    assert "h1" in world.exchange.running_by_host
     end = world.loop.now() + 5.0
     world.until(lambda: world.loop.now() > end)
     world.list(("h1", peer.address, started))
-    assert world.back() == [api.Outcome.LOST] and "h1" not in world.exchange.standing
+    assert world.back() == [api.Outcome.LOST] and "h1" not in world.exchange.running_by_host
     world.ask(owner, 2)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.list(("h1", peer.address, started))
-    assert "h1" in world.exchange.standing
+    assert "h1" in world.exchange.running_by_host
 
 
 def test_links_go_by_host_and_not_by_address(world):
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.list(("h1", peer.address), phase=api.MachinePhase.REMOVED)
     world.list(("h2", peer.address))
     world.ask(owner, 2, host="h2")
-    world.until(lambda: "h2" in world.exchange.standing)
+    world.until(lambda: "h2" in world.exchange.running_by_host)
     assert len(peer.streams) == 2
     world.until(lambda: set(world.hosts.hosts) == {"h2"})  # and h1 is forgotten
 
@@ -386,7 +386,7 @@
     peer.streams[0].send(m.encode(m.PROGRESS, 99))
     world.until(lambda: not link.doubtful)
     world.module.next.append([api.Bind(1, "h1", 2000.0)])
-    world.exchange.list_told(ListChange(False, ()))
+    world.exchange.update_machine_list(ListChange(False, ()))
     world.until(lambda: len(peer.got) == 3)
     assert [stream is peer.streams[0] for stream, _ in peer.got] == [True, True, False]
 
@@ -403,10 +403,10 @@
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     for link in list(world.hosts.hosts["h1"].links):
         link.stream.close()
-    owner.send(m.caused(m.RELEASE, 1, 16))
+    owner.send(m.encode_with_cause(m.RELEASE, 1, 16))
     world.until(lambda: m.RELEASE in kinds(peer))
     assert peer.got[-1][0] is peer.streams[1] and world.back() == [api.Outcome.STOPPED]
 
@@ -420,7 +420,7 @@
     for i, peer in enumerate(peers):
         world.list((f"h{i}", peer.address))
         world.ask(owner, i + 1, host=f"h{i}")
-    world.until(lambda: len(world.exchange.standing) == count)
+    world.until(lambda: len(world.exchange.running_by_host) == count)
     return peers, owner
 
 
@@ -440,7 +440,7 @@
     assert len(world.hosts.wait_queue) == 1 and not peers[1].streams
     world.until(lambda: peers[0].got)
     stands(*peers[0].got[0])
-    peers[0].streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    peers[0].streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     world.until(lambda: peers[1].got)
     assert world.back(1) == [api.Outcome.NOT_SENT, api.Outcome.COMPLETED] and not world.hosts.wait_queue
     assert world.descriptors.most == world.descriptors.room
@@ -456,10 +456,10 @@
         world.ask(owner, task, host=f"h{task - 1}")
     first, second = world.hosts.wait_queue
     world.hosts.hosts["h0"].address = ("", 0)
-    world.exchange.failed = lambda attempt, fact: world.hosts.cancel(second)
+    world.exchange.record_delivery_failure = lambda attempt, fact: world.hosts.cancel(second)
     world.descriptors.room = 9
     world.hosts._serve_queue()
-    assert not world.hosts.wait_queue and second.link is None and not world.hosts.hosts["h1"].links
+    assert not world.hosts.wait_queue and second.connection is None and not world.hosts.hosts["h1"].links
 
 
 def test_a_host_that_takes_connections_and_ends_them_is_asked_in_growing_steps(world, monkeypatch):
@@ -478,7 +478,7 @@
     end = world.loop.now() + 1_500.0
     world.until(lambda: world.loop.now() > end)
     assert 3 <= len(taken) <= 9
-    assert world.exchange.standing  # it lives: its tasks do too
+    assert world.exchange.running_by_host  # it lives: its tasks do too
     peer.listener.accept = real
     world.until(lambda: live(world))
 
@@ -512,7 +512,7 @@
     monkeypatch.setattr(host_connections, "connect", connect)
     for i in range(6):
         world.ask(owner, i + 1, host=f"h{i}")
-    world.until(lambda: sum(map(len, world.exchange.standing.values())) == 6)
+    world.until(lambda: sum(map(len, world.exchange.running_by_host.values())) == 6)
     assert max(most) <= 3 and world.hosts.waited >= 3 and world.hosts.connecting.coming == 0
     assert world.hosts.connecting.turned_away > 0 and not world.hosts.connecting.at
 
@@ -531,13 +531,13 @@
 def test_what_nobody_needs_goes_first_whichever_host_it_is(world):
     """Room was made among hosts with several links only; one link each for 400 hosts did not fit."""
     (first, second), owner = standing(world, 2)
-    first.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
+    first.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     world.back()
     world.descriptors.room = world.descriptors.held
     third = Peer(world.loop, stands)
     world.list(("h2", third.address))
     world.ask(owner, 9, host="h2")
-    world.until(lambda: "h2" in world.exchange.standing)
+    world.until(lambda: "h2" in world.exchange.running_by_host)
     assert not live(world, "h0") and live(world, "h1") and live(world, "h2")
 
 
@@ -562,9 +562,9 @@
 
     for task, peer in enumerate(peers, 1):
         accept(peer, task)
-        owed[task] = m.caused(m.RELEASE, task, m.ENDED)
+        owed[task] = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING)
     world.back(6)
-    assert not world.exchange.standing and world.descriptors.most <= 3
+    assert not world.exchange.running_by_host and world.descriptors.most <= 3
 
 
 def test_a_life_test_leaves_one_link(world, monkeypatch):
@@ -602,7 +602,7 @@
     seen = len(peer.streams)
     world.until(lambda: len(peer.streams) >= seen + 2)
     assert first in live(world) and len(live(world)) <= 2
-    owner.send(m.caused(m.RELEASE, 1, 16))
+    owner.send(m.encode_with_cause(m.RELEASE, 1, 16))
     world.until(lambda: live(world) == [first])
 
 
@@ -611,8 +611,10 @@
     assert world.says(owner)
     (link,) = live(world)
     link.leave("room is wanted")
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
+    assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.encode_with_cause(
+        m.RELEASE, 1, m.NORMAL_CLEARING
+    )
     world.until(lambda: not world.descriptors.leaving)
 
 
@@ -636,14 +638,14 @@
     world.until(lambda: len(peer.got) == 2)
     for stream, message in list(peer.got):
         stands(stream, message)
-    world.until(lambda: len(world.exchange.standing.get("h0", ())) == 2)
+    world.until(lambda: len(world.exchange.running_by_host.get("h0", ())) == 2)
     world.list(("h0", peer.address), phase=api.MachinePhase.DRAINING)
     peer.listener.close()
     host = world.hosts.hosts["h0"]
     for link in live(world):
         link.leave("for the test")
     world.until(lambda: not world.descriptors.leaving and host.refused < world.loop.now() - 200.0)
-    assert not host.fell and "h0" in world.exchange.standing
+    assert not host.fell and "h0" in world.exchange.running_by_host
 
 
 def test_the_only_link_to_a_draining_host_is_never_given_up(world):
@@ -664,7 +666,7 @@
     peer.listener.close()
     host = world.hosts.hosts["h0"]
     world.until(lambda: host.refused < world.loop.now() - 5.0 * failure_detector.REFUSED_MS)
-    assert "h0" in world.exchange.standing
+    assert "h0" in world.exchange.running_by_host
     assert world.back(ms=2.0 * failure_detector.DRAIN_REFUSED_MS) == [api.Outcome.LOST]
 
 
@@ -675,8 +677,8 @@
     world.descriptors.room, world.descriptors.rights = 2, {Side.OWNERS: 1, Side.LINKS: 1}
     crowd = [world.client() for _ in range(5)]
     assert [world.says(sock) for sock in crowd] == [b""] * 5
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.says(owner) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
 
 
 def test_a_further_link_goes_once_it_is_not_needed(world, monkeypatch):
@@ -692,7 +694,7 @@
     for stream, message in held:
         stands(stream, message)
     world.until(lambda: len(live(world)) == 1)
-    assert len(world.exchange.standing["h0"]) == 3
+    assert len(world.exchange.running_by_host["h0"]) == 3
 
 
 def test_at_the_limit_no_sweep_tries_again_at_once(world, monkeypatch):
@@ -726,15 +728,15 @@
 @pytest.mark.parametrize("data", UNREADABLE, ids=str)
 def test_what_cannot_be_read_is_closed_and_costs_no_other(world, data):
     bad, good = world.client(), world.client()
-    good.send(m.encode(m.TEST, 9, {m.CAUSE: b"\0"}))
+    good.send(m.encode(m.PROBE, 9, {m.CAUSE: b"\0"}))
     bad.send(data)
-    assert world.says(bad) == b"" and world.says(good) == m.caused(m.TESTED, 9, 1)
+    assert world.says(bad) == b"" and world.says(good) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
 
 
 def test_endless_bytes_end_at_the_first_that_is_wrong(world):
     bad = world.client()
     bad.send(setup(1, cls="nope") + b"\xee" * 100_000)
-    assert world.says(bad) in (m.caused(m.RELEASE, 1, m.NOT_TAKEN), b"")
+    assert world.says(bad) in (m.encode_with_cause(m.RELEASE, 1, m.INVALID_CONTENTS), b"")
     world.until(lambda: not world.owners.owners)
 
 
@@ -750,7 +752,9 @@
     bad = world.client()
     for i in range(client_connections.MOST_BAD + 1):
         bad.send(setup(i + 1, cls="nope"))
-    world.until(lambda: world.exchange.bad > client_connections.MOST_BAD and not world.owners.owners)
+    world.until(
+        lambda: world.exchange.invalid_setups > client_connections.MOST_BAD and not world.owners.owners
+    )
     assert world.module.events == []
 
 
@@ -758,14 +762,14 @@
     flood, good = world.client(), world.client()
     world.until(lambda: len(world.owners.owners) == 2)
     flood.send(b"".join(m.encode(m.PROGRESS, i) for i in range(1, 500)))
-    good.send(m.encode(m.TEST, 9))
+    good.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._message
     world.owners._message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
-    world.until(lambda: m.TEST in seen)
+    world.until(lambda: m.PROBE in seen)
     assert len(seen) <= 3 * client_connections.TURN
 
 
@@ -779,14 +783,14 @@
             data = data[flood.send(data) :]
         except BlockingIOError:
             break
-    good.send(m.encode(m.TEST, 9))
+    good.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._message
     world.owners._message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
-    world.until(lambda: m.TEST in seen)
+    world.until(lambda: m.PROBE in seen)
     assert len(seen) <= 3
 
 
@@ -802,11 +806,11 @@
     world.until(lambda: len(world.owners.owners) == 3)
     busy_owner = next(o for o in world.owners.owners if o.open)
     late = world.client()
-    late.send(m.encode(m.TEST, 9))
-    assert world.says(late) == m.caused(m.TESTED, 9, 1)
+    late.send(m.encode(m.PROBE, 9))
+    assert world.says(late) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
     assert world.says(quiet) == b"" and busy_owner.stream.closed is None
-    lasting.send(m.encode(m.TEST, 9))
-    assert world.says(lasting) == m.caused(m.TESTED, 9, 1)
+    lasting.send(m.encode(m.PROBE, 9))
+    assert world.says(lasting) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
 
 
 def test_a_release_owed_goes_by_a_proven_owner_and_else_by_the_next(world):
@@ -816,24 +820,26 @@
     for task, sock in ((1, owner), (2, owner), (3, other)):
         world.ask(sock, task)
         assert world.says(sock)
-    world.until(lambda: len(world.exchange.standing["h1"]) == 3)
+    world.until(lambda: len(world.exchange.running_by_host["h1"]) == 3)
     rude = world.client()
     world.module.next.append([api.Fail(4)])
     rude.send(setup(9))
-    assert world.says(rude) == m.caused(m.RELEASE, 9, m.RESET)
+    assert world.says(rude) == m.encode_with_cause(m.RELEASE, 9, m.TEMPORARY_FAILURE)
     owner.close()
     world.until(lambda: len(world.owners.owners) == 2)
-    peer.streams[0].send(m.caused(m.RELEASE, 1, m.ENDED))
-    assert world.says(other) == m.caused(m.RELEASE, 1, m.ENDED)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
+    assert world.says(other) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
     other.close()
     world.until(lambda: len(world.owners.owners) == 1)
-    peer.streams[0].send(m.caused(m.RELEASE, 2, m.ENDED))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING))
     world.back(2)
     later, world.calls = world.client(), 4
     world.module.next.append([api.Bind(5, "h1", 2000.0)])
     later.send(setup(10))
-    heard = m.caused(m.RELEASE, 2, m.ENDED) + m.encode(m.ANSWER, 10, {m.DESCRIPTION: b"ok"})
-    assert world.says(later) in (heard, m.caused(m.RELEASE, 2, m.ENDED))
+    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING) + m.encode(
+        m.ANSWER, 10, {m.DESCRIPTION: b"ok"}
+    )
+    assert world.says(later) in (heard, m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING))
     with pytest.raises(BlockingIOError):
         rude.recv(100)
 
@@ -862,8 +868,8 @@
     sock = world.client()
     for number, (listed, leaving) in enumerate(((True, False), (False, False), (True, True))):
         world.owners.ready, world.owners.draining = lambda listed=listed: listed, leaving
-        sock.send(m.encode(m.TEST, number, {m.CAUSE: b"\0"}))
-        assert world.says(sock) == m.caused(m.TESTED, number, int(listed and not leaving))
+        sock.send(m.encode(m.PROBE, number, {m.CAUSE: b"\0"}))
+        assert world.says(sock) == m.encode_with_cause(m.PROBE_RESULT, number, int(listed and not leaving))
 
 
 # ---- the command channel ----
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -145,7 +145,7 @@
 def test_a_day_in_short(platform):
     """Ready, an answer, a reload, a broken file, a planned restart with a call open."""
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.hold.set()
     sock.send(setup(7))
@@ -159,12 +159,12 @@
     assert platform.asked[1].wait(20.0) and platform.resumed[1][0] == b"resume 1\n"
 
     platform.hold.clear()
-    sock.send(setup(8) + m.encode(m.TEST, 2, {m.CAUSE: b"\0"}))
+    sock.send(setup(8) + m.encode(m.PROBE, 2, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.process.send_signal(signal.SIGTERM)
     platform.line("stopping, 1 calls open")
     for token in range(3, 13):  # rounds of its loop go by
-        sock.send(m.encode(m.TEST, token, {m.CAUSE: b"\0"}))
+        sock.send(m.encode(m.PROBE, token, {m.CAUSE: b"\0"}))
         assert reader.next().cause == 0
     late, late_reader = platform.owner()
     late.send(setup(9))
@@ -205,7 +205,7 @@
     """It was taken: after a standstill the end's timer is due in the very turn that reads it."""
     sock, reader = platform.owner()
     platform.hold.set()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(setup(8))
@@ -238,7 +238,7 @@
     """Several times as many on one connection as have their turn at once."""
     platform.hold.set()
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(b"".join(setup(number) for number in range(1, 101)))
@@ -257,7 +257,7 @@
             socket.create_connection(platform.address).close()
     sock.send(setup(7)[30:])
     told = reader.next()
-    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.FULL)
+    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.NO_CAPACITY)
     assert platform.process.wait(20.0) == 0
 
 
@@ -274,7 +274,7 @@
 def test_a_process_that_is_not_ready_ends_on_sigterm(tmp_path):
     made = Platform(tmp_path, known=False)
     sock, reader = made.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 0
     made.process.send_signal(signal.SIGTERM)
     assert "Traceback" not in made.process.stderr.read() and made.process.wait(20.0) == 0
--- a/tests/platform_server/test_process_races.py
+++ b/tests/platform_server/test_process_races.py
@@ -202,7 +202,7 @@
     def _accepted(self, stream):
         super()._accepted(stream)
         for task in self.owed:
-            stream.put(m.caused(m.RELEASE, task, m.ENDED))
+            stream.put(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def _take(self, stream, task):
         self.links[task] = stream
@@ -212,7 +212,7 @@
         self.owed |= set(self.links)
         for task in self.links:  # the link of its set-up may have been left since: on any open one, so on all
             for stream in list(self.streams):
-                stream.put(m.caused(m.RELEASE, task, m.ENDED))
+                stream.put(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def die(self):
         """Its port stays taken, and refuses: a listener of somebody else there would pass for the host."""
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -24,10 +24,10 @@
         if late:
             return
         self._freed()
-        for name in [name for name in self.exchange.standing if name not in self.hosts]:
+        for name in [name for name in self.exchange.running_by_host if name not in self.hosts]:
             self._add(name).leaves(now)
         for host in sorted(self.hosts.values(), key=lambda host: host.heard):
-            if host.name in self.exchange.standing:
+            if host.name in self.exchange.running_by_host:
                 self._look(host, now)
             elif host.uncut:
                 self._again(host, Demand.ATTEMPT)
@@ -91,7 +91,7 @@
         self.peer().notes()
 
     def release(self):
-        task = self.any(self.world.exchange.tasks)
+        task = self.any(self.world.exchange.calls_by_task)
         if task is not None:
             self.world.release(task)
 
@@ -161,7 +161,7 @@
         for name, host in world.hosts.hosts.items()
     }
     d, c = world.descriptors, world.hosts.connecting
-    standing = {name: list(tasks) for name, tasks in world.exchange.standing.items()}
+    standing = {name: list(tasks) for name, tasks in world.exchange.running_by_host.items()}
     return found, standing, d.held, d.most, d.turned_away, c.turned_away, c.coming, world.hosts.waited
 
 
@@ -239,7 +239,9 @@
         peer.breaks()
     world.advance(10_000.0)
     turns = world.hosts.turns
-    assert not (world.hosts.hosts or world.exchange.standing or world.hosts.linked or world.hosts.releasing)
+    assert not (
+        world.hosts.hosts or world.exchange.running_by_host or world.hosts.linked or world.hosts.releasing
+    )
     assert not turns.dirty and not len(turns.due) and world.hosts.links == 0
 
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -154,14 +154,14 @@
     ledger.answered(1, 7.0)
     ledger.answered(1, 8.0)
     ledger.answered(9, 8.0)
-    ledger.released(2, m.FULL)
-    ledger.released(2, m.FULL)
-    ledger.released(3, m.RESET)
-    ledger.released(8, m.ENDED)
+    ledger.released(2, m.NO_CAPACITY)
+    ledger.released(2, m.NO_CAPACITY)
+    ledger.released(3, m.TEMPORARY_FAILURE)
+    ledger.released(8, m.NORMAL_CLEARING)
     assert ledger.given_up(4) and not ledger.given_up(1)
     ledger.answered(4, 10.0)
-    ledger.released(4, m.RESET)
-    ledger.released(1, m.RESET)
+    ledger.released(4, m.TEMPORARY_FAILURE)
+    ledger.released(1, m.TEMPORARY_FAILURE)
     told = {"placed": 1, "refused": 1, "failed": 1, "no answer": 1, "lost": 1}
     told |= {"answer after its time": 1, "release after its time": 1}  # of one that is counted already
     faults = {"second answer": 1, "answer to nothing": 1, "second release": 1, "release of nothing": 1}
@@ -282,12 +282,12 @@
     peer = world.peer()
     peer.stream.send(setup(7))
     world.until(lambda: (m.RELEASE, 7) in peer.kinds())
-    assert peer.kinds() == [(m.ANSWER, 7), (m.NOTE, 7), (m.RELEASE, 7)]
-    assert peer.got[0].parameters[m.DESCRIPTION] and peer.got[2].cause == m.ENDED
+    assert peer.kinds() == [(m.ANSWER, 7), (m.OBSERVATION, 7), (m.RELEASE, 7)]
+    assert peer.got[0].parameters[m.DESCRIPTION] and peer.got[2].cause == m.NORMAL_CLEARING
     other, again = world.peer(number=4), world.peer()
     world.until(lambda: again.got)
     assert again.kinds() == [(m.RELEASE, 7)] and not other.got  # its own allocator's alone
-    again.stream.send(m.encode(m.RELEASE_HEARD, 7))
+    again.stream.send(m.encode(m.RELEASE_COMPLETE, 7))
     world.until(lambda: not world.host.owed)
     counts = world.group.counts()
     assert counts["3 connections"] == 2 and counts["4 connections"] == 1 and counts["3 ended"] == 1
@@ -317,9 +317,11 @@
     peer = world.peer()
     peer.stream.send(setup(1))
     world.until(lambda: len(peer.got) == 2)
-    peer.stream.send(m.caused(m.RELEASE, 1, m.ENDED) + m.caused(m.TEST, 9, 1))
+    peer.stream.send(
+        m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING) + m.encode_with_cause(m.PROBE, 9, 1)
+    )
     world.until(lambda: len(peer.got) == 4)
-    assert peer.kinds()[2:] == [(m.RELEASE_HEARD, 1), (m.TESTED, 9)] and peer.got[3].cause == 1
+    assert peer.kinds()[2:] == [(m.RELEASE_COMPLETE, 1), (m.PROBE_RESULT, 9)] and peer.got[3].cause == 1
     assert not world.host.held
 
 
@@ -332,7 +334,7 @@
     late = world.peer(up=False)
     assert late.ended not in ("closed", "reset", None) and peer.ended is None and not world.host.held
     assert world.group.counts()["3 fell"] == 1
-    peer.stream.send(m.caused(m.TEST, 9, 0))
+    peer.stream.send(m.encode_with_cause(m.PROBE, 9, 0))
     world.group.restore(["h0"])
     world.until(lambda: peer.ended)
     assert len(peer.got) == 2
@@ -355,7 +357,7 @@
 
 def test_sizes_are_those_on_the_wire():
     decoder = m.MessageDecoder()
-    decoder.feed(setup(7) + m.caused(m.RELEASE, 7, 16))
+    decoder.feed(setup(7) + m.encode_with_cause(m.RELEASE, 7, 16))
     assert [wire_size(message) for message in decoder.messages()] == [len(setup(7)), 15]
 
 
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -113,7 +113,7 @@
         self.client.send(setup(self.asked, extras=extras))
         for _ in range(20):
             self.loop.round()
-            if self.process.exchange.taken == self.asked:
+            if self.process.exchange.accepted_calls == self.asked:
                 return
         raise AssertionError("it was not taken")
 
@@ -181,10 +181,10 @@
     with Work() as none:
         sum(i for i in range(1_000))
     with Work() as some:
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
     with Work() as twice:
-        m.encode(m.TEST, 1)
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
+        m.encode(m.PROBE, 1)
     assert none.count == 0 < some.count and twice.count == 2 * some.count
 
 
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -105,7 +105,7 @@
     def up(self, stream):
         self.streams[stream] = None
         for task in self.owed:
-            stream.bring(m.caused(m.RELEASE, task, m.ENDED))
+            stream.bring(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def hears(self, stream, data):
         if self.mode == "silent" or stream.closed is not None:
@@ -114,18 +114,18 @@
             task = message.task
             if message.kind == m.SETUP:
                 self._asked(stream, task)
-            elif message.kind == m.RELEASE_HEARD:
+            elif message.kind == m.RELEASE_COMPLETE:
                 self.owed.pop(task, None)
             elif message.kind == m.RELEASE:
                 self.tasks.pop(task, None)
                 if task % 5:
-                    self.say(stream, m.encode(m.RELEASE_HEARD, task))
+                    self.say(stream, m.encode(m.RELEASE_COMPLETE, task))
 
     def _asked(self, stream, task):
         if task % 7 == 3:
             return  # it hangs
         if task % 7 == 5:
-            self.say(stream, m.caused(m.RELEASE, task, m.FULL))
+            self.say(stream, m.encode_with_cause(m.RELEASE, task, m.NO_CAPACITY))
             return
         self.tasks[task] = stream
         self.say(stream, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"}), 1.0 + task % 40)
@@ -139,12 +139,12 @@
         self.owed[task] = None
         link = link if link in self.streams else next(iter(self.streams), None)
         if link is not None:
-            self.say(link, m.caused(m.RELEASE, task, m.ENDED))
+            self.say(link, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def notes(self):
         for task, stream in list(self.tasks.items()):
             if stream in self.streams:
-                self.say(stream, m.encode(m.NOTE, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
+                self.say(stream, m.encode(m.OBSERVATION, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
 
     def breaks(self, most=99):
         for stream in list(self.streams)[:most]:
@@ -199,11 +199,21 @@
         self.now, self.call_in = self.loop.now, self.loop.call_in
         self.exchange = Exchange(SETTINGS, Module(self), self, 250.0)
         self.hosts.exchange = self.exchange
-        for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
+        for name in (
+            "record_delivery_failure",
+            "report_reachability",
+            "end_tasks_of_host",
+            "receive_host_message",
+            "find_hold_reason",
+        ):
             self._spy(name)
         self.owner, self.peers, self.target, self.no_files = Owner(), {}, "", False
-        self.offer, self.cancel, self.unread = self.hosts.offer, self.hosts.cancel, self.hosts.unread
-        self.cut, self.test = self.hosts.cut, self.hosts.test
+        self.send_attempt, self.cancel_attempt, self.has_unread_data = (
+            self.hosts.offer,
+            self.hosts.cancel,
+            self.hosts.unread,
+        )
+        self.release_task, self.send_probe = self.hosts.cut, self.hosts.test
         if patch is not None:
             patch.setattr(host_connections, "connect", lambda loop, address, ms: self.connect(address, ms))
 
@@ -216,7 +226,7 @@
 
         def told(*args, **more):
             plain = [
-                (a.call.number, a.number) if hasattr(a, "call") else a.host.name if hasattr(a, "host") else a
+                (a.call.call_id, a.number) if hasattr(a, "call") else a.host.name if hasattr(a, "host") else a
                 for a in args
             ]
             self.note(name, plain, sorted(more.items()))
@@ -239,13 +249,13 @@
 
     # ---- Ports that are not the hosts' ----
 
-    def to_owner(self, owner, data, owed):
+    def send_to_client(self, owner, data, owed):
         self.note("owner", data)
 
-    def waits(self, owner, task, exact):
+    def is_client_waiting(self, owner, task, exact):
         return True
 
-    def proves(self, owner):
+    def mark_client_proven(self, owner):
         pass
 
     def log(self, text):
@@ -275,11 +285,11 @@
     def ask(self, task, host, cls="safe", **more):
         self.target = host
         (message,) = read(setup(task, cls=cls, **more))
-        self.exchange.owner_asks(self.owner, message, 0.0)
+        self.exchange.receive_setup(self.owner, message, 0.0)
 
     def adopt(self, task, host):
         self.ask(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
 
     def release(self, task):
-        (message,) = read(m.caused(m.RELEASE, task, m.ENDED))
-        self.exchange.owner_releases(self.owner, message)
+        (message,) = read(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
+        self.exchange.receive_client_release(self.owner, message)
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -69,9 +69,17 @@
         self.hosts.exchange = self.owners.exchange = self.exchange
         self.address = self.owners.listen(("127.0.0.1", 0))
         self.clients, self.calls = [], 0
-        self.to_owner, self.proves, self.offer = self.owners.to_owner, self.owners.proves, self.hosts.offer
-        self.waits, self.unread = self.owners.waits, self.hosts.unread
-        self.cancel, self.cut, self.test = self.hosts.cancel, self.hosts.cut, self.hosts.test
+        self.send_to_client, self.mark_client_proven, self.send_attempt = (
+            self.owners.to_owner,
+            self.owners.proves,
+            self.hosts.offer,
+        )
+        self.is_client_waiting, self.has_unread_data = self.owners.waits, self.hosts.unread
+        self.cancel_attempt, self.release_task, self.send_probe = (
+            self.hosts.cancel,
+            self.hosts.cut,
+            self.hosts.test,
+        )
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
@@ -133,7 +141,7 @@
 
 
 def cancel(task):
-    return m.caused(m.RELEASE, task, m.GIVEN_UP)
+    return m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING)
 
 
 def settled(world, rounds=30):
@@ -148,7 +156,7 @@
     peer, sock, other = Peer(world.loop, stands), world.client(), world.client()
     world.list(("h1", peer.address))
     world.ask(other, 9)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     return peer, sock
 
 
