--- a/glencleat/platform_protocol/__init__.py
+++ b/glencleat/platform_protocol/__init__.py
@@ -1,4 +1,5 @@
-"""The platform's protocol without I/O: messages, the command channel, and the exchange with the module.
+"""The platform's protocol without I/O: codec, command channel, and the exchange with the decision module.
 
-No sockets and no clock here: time is an argument. `glencleat/platform_server/` has the sockets and
-the process."""
+No sockets and no clock: time is an argument or comes from a port. `glencleat/platform_server/` holds the
+sockets and the process.
+"""
--- a/glencleat/platform_protocol/ended_tasks.py
+++ b/glencleat/platform_protocol/ended_tasks.py
@@ -1,38 +1,62 @@
-"""Ends of standing tasks that were heard lately, for clients that name a task (`at`) as or after it ends.
+"""Recent ends of running tasks, for clients that re-register a task as it ends or after.
 
-No I/O: time is an argument. After a restart hosts tell what ended as soon as a connection is up, and clients
-name what they hold as soon as we are ready: either may come first. And a task that we hold may be named again
-while its release is on its way to the client. Guards against adopting what is over: it would never end."""
+No I/O: time is an argument. After a restart hosts report what ended as soon as a connection is up, and
+clients re-register what they hold as soon as the allocator is ready: either may come first. And a task that
+is running here may be registered again while its release is on its way to the client. Guards against adopting
+a task that is over: it would never end.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 RETENTION_MS = 10_000.0  # ends are due within 8 s
-MAX_ENDED_TASKS = 4_000  # the oldest go first
+MAX_ENDED_TASKS = 4_000  # the oldest are dropped first
+
+
+@dataclass(frozen=True, slots=True)
+class EndedTask:
+    """How a task ended at a host, and whether a client that holds it has been notified."""
+
+    cause: int
+    is_client_notified: bool
 
 
 class EndedTasks:
-    """
-    >>> ends = Ends()
-    >>> ends.heard(7, "h1", 16, told=False, now=0.0)
-    >>> ends.claim(7, "h2", 1.0), ends.claim(7, "h1", 1.0), ends.claim(7, "h1", 1.0)
-    (None, (16, False), (16, True))
+    """A bounded table of ends, by task and host.
+
+    >>> ends = EndedTasks()
+    >>> ends.record(7, "h1", EndedTask(cause=16, is_client_notified=False), now_ms=0.0)
+    >>> ends.claim(7, "h2", 1.0)
+    >>> ends.claim(7, "h1", 1.0)
+    EndedTask(cause=16, is_client_notified=False)
+    >>> ends.claim(7, "h1", 1.0)
+    EndedTask(cause=16, is_client_notified=True)
     """
 
     def __init__(self) -> None:
-        self.ends: dict[tuple[int, str], tuple[int, bool, float]] = {}  # task and host; the oldest first
-
-    def record(self, task: int, host: str, cause: int, told: bool, now: float) -> None:
-        """`told`: a client was; else nobody who holds it is known."""
-        self.ends.pop((task, host), None)
-        self.ends[task, host] = cause, told, now
-        while len(self.ends) > MAX_ENDED_TASKS or now - next(iter(self.ends.values()))[2] > RETENTION_MS:
-            del self.ends[next(iter(self.ends))]
-
-    def claim(self, task: int, host: str, now: float) -> tuple[int, bool] | None:
-        """The cause by which it ended there and whether a client was told, who is from now on; None if
-        nothing was heard of it lately."""
-        cause, told, when = self.ends.get((task, host), (0, True, -float("inf")))
-        if now - when > RETENTION_MS:
+        self._ends: dict[tuple[int, str], tuple[EndedTask, float]] = {}  # with their time; the oldest first
+
+    def record(self, task: int, host: str, end: EndedTask, now_ms: float) -> None:
+        """Adds the end of a task at a host; a later one replaces it."""
+        self._ends.pop((task, host), None)
+        self._ends[task, host] = end, now_ms
+        while len(self._ends) > MAX_ENDED_TASKS or now_ms - self._oldest_ms() > RETENTION_MS:
+            del self._ends[next(iter(self._ends))]
+
+    def claim(self, task: int, host: str, now_ms: float) -> EndedTask | None:
+        """Returns how the task ended at that host, None if no end of it was recorded lately.
+
+        The caller notifies the client, so later claims find it notified.
+        """
+        found = self._ends.get((task, host))
+        if found is None:
+            return None
+        end, ended_ms = found
+        if now_ms - ended_ms > RETENTION_MS:
             return None
-        self.ends[task, host] = cause, True, when
-        return cause, told
+        self._ends[task, host] = EndedTask(end.cause, is_client_notified=True), ended_ms
+        return end
+
+    def _oldest_ms(self) -> float:
+        return next(iter(self._ends.values()))[1]
--- a/glencleat/platform_protocol/messages.py
+++ b/glencleat/platform_protocol/messages.py
@@ -1,8 +1,12 @@
-"""Bytes to messages and back: length, type, task, parameters; bounds on each, and whose fault an error is.
+"""Codec of the platform's protocol: bytes to messages and back, with a bound on each length.
 
-Imports nothing of glencleat. The links of `glencleat/platform_server/` feed a Decoder, the
-exchange reads and makes
-messages. Types and causes are named after ISUP and Q.850 where they mean the same."""
+Layout of a message, integers big-endian: two bytes of length (of what follows), one byte of message type,
+eight bytes of task id, then parameters of one byte of code, two bytes of length and the value. Message types
+and causes are named after ISUP (Q.763) and Q.850 where they mean the same.
+
+Imports nothing of glencleat. Errors tell whose fault they are: RemoteProtocolError for bytes that came in,
+LocalProtocolError for a message that must not go out.
+"""
 
 from __future__ import annotations
 
@@ -11,41 +15,85 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MAX_MESSAGE_BYTES = 16_384  # bytes of a message, its length field not counted
-HEADER = struct.Struct(">HBQ")
-PARAMETER_HEADER = struct.Struct(">BH")
-
-SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE = 1, 6, 9, 12, 16
-OBSERVATION, MIGRATE, PROBE, PROBE_RESULT = 44, 51, 52, 53
+HEADER = struct.Struct(">HBQ")  # length of the rest, message type, task id
+PARAMETER_HEADER = struct.Struct(">BH")  # code, length of the value
+LENGTH_BYTES = 2  # of the length field, which does not count itself
+KIND_END = LENGTH_BYTES + 1  # where the message type ends
+MIN_MESSAGE_BYTES = HEADER.size - LENGTH_BYTES  # no parameters; the length field not counted
+MAX_MESSAGE_BYTES = 16_384  # the length field not counted
+
+# Message types.
+SETUP = 1
+PROGRESS = 6
+ANSWER = 9
+RELEASE = 12
+RELEASE_COMPLETE = 16
+OBSERVATION = 44
+MIGRATE = 51
+PROBE = 52
+PROBE_RESULT = 53
 KINDS = frozenset(
     (SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE, OBSERVATION, MIGRATE, PROBE, PROBE_RESULT)
 )
 
-CLASS, WAIT, TENANT, RETRY, NAME, EXTRAS, RETRY_AFTER = 100, 103, 106, 109, 112, 115, 118
-TOPIC, REPORT, VALUE, KEY, CAUSE, DESCRIPTION = 121, 127, 136, 139, 142, 145
-RAW = frozenset((CAUSE, DESCRIPTION))  # all other parameters are text
-
+# Parameter codes. All are text except the cause and the description.
+CLASS = 100
+WAIT = 103
+TENANT = 106
+RETRY = 109
+NAME = 112
+EXTRAS = 115
+RETRY_AFTER = 118
+TOPIC = 121
+REPORT = 127
+VALUE = 136
+KEY = 139
+CAUSE = 142
+DESCRIPTION = 145
+
+# Causes.
 NORMAL_CLEARING = 16
-STOPPED, NO_CAPACITY, TEMPORARY_FAILURE, CONGESTED, ERROR, TIMER_EXPIRED = 31, 34, 41, 42, 47, 102
-INVALID_CONTENTS = 100  # ours: a set-up that can't be read or used, Q.850's invalid contents
+STOPPED = 31
+NO_CAPACITY = 34
+TEMPORARY_FAILURE = 41
+CONGESTED = 42
+ERROR = 47
+INVALID_CONTENTS = 100  # sent by allocators alone: a set-up that can't be read or used
+TIMER_EXPIRED = 102
+
+ERROR_EXCERPT_CHARACTERS = 40  # of a peer's text in an error
+
+
+class PlatformProtocolError(Exception):
+    """Root of this package's errors; `reason` is the text that logs show."""
 
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
-class RemoteProtocolError(Exception):
+
+class RemoteProtocolError(PlatformProtocolError):
     """The peer's fault: bytes that are no message. The connection is of no further use."""
 
 
-class LocalProtocolError(ValueError):
+class LocalProtocolError(PlatformProtocolError, ValueError):
     """Our fault: a message that must not be sent."""
 
 
 @dataclass(slots=True)
 class PlatformMessage:
+    """One message: its type, the task it is about, and the raw parameters by code."""
+
     kind: int
     task: int
     parameters: dict[int, bytes]
 
     def text(self, code: int) -> str | None:
-        """A parameter as text, None where it is absent; PeerError if it is not printable ASCII."""
+        """Returns a parameter as text, None where it is absent.
+
+        Raises:
+            RemoteProtocolError: The value is not printable ASCII.
+        """
         raw = self.parameters.get(code)
         if raw is None:
             return None
@@ -56,7 +104,11 @@
 
     @property
     def cause(self) -> int:
-        """The cause's one byte; PeerError without it."""
+        """The cause's one byte.
+
+        Raises:
+            RemoteProtocolError: There is no cause, or it is not one byte.
+        """
         raw = self.parameters.get(CAUSE)
         if raw is None or len(raw) != 1:
             raise RemoteProtocolError(f"message {self.kind} without a cause of one byte")
@@ -64,85 +116,110 @@
 
 
 def encode(kind: int, task: int, parameters: dict[int, bytes] | None = None) -> bytes:
-    """The bytes of one message; OurError when it passes the protocol's bound.
+    r"""Returns the bytes of one message.
+
+    Raises:
+        LocalProtocolError: The message is longer than the protocol allows.
 
-    >>> encode(TESTED, 7, {CAUSE: b"\\x01"}).hex()
+    >>> encode(PROBE_RESULT, 7, {CAUSE: b"\x01"}).hex()
     '000d3500000000000000078e000101'
     """
     body = b"".join(PARAMETER_HEADER.pack(code, len(raw)) + raw for code, raw in (parameters or {}).items())
-    length = HEADER.size - 2 + len(body)
+    length = MIN_MESSAGE_BYTES + len(body)
     if length > MAX_MESSAGE_BYTES:
         raise LocalProtocolError(f"message {kind} of {length} bytes; the protocol holds {MAX_MESSAGE_BYTES}")
     return HEADER.pack(length, kind, task) + body
 
 
 def encode_with_cause(kind: int, task: int, cause: int, more: dict[int, bytes] | None = None) -> bytes:
-    """A message whose main parameter is a cause, such as a release."""
+    """Returns the bytes of a message whose first parameter is a cause, such as a release.
+
+    Raises:
+        LocalProtocolError: The message is longer than the protocol allows.
+    """
     return encode(kind, task, {CAUSE: bytes((cause,)), **(more or {})})
 
 
-def find_message_end(buffer: bytearray, at: int) -> int | None:
-    """Where the message that begins at `at` ends, None if not all of it is here; PeerError at the first byte
-    that can't be right."""
-    have = len(buffer) - at
-    if have < 2:
+def find_message_end(buffer: bytearray, start: int) -> int | None:
+    """Returns where the message that begins at `start` ends, None if it is not complete yet.
+
+    Raises:
+        RemoteProtocolError: At the first byte that can't be right, complete or not: a peer that sends noise
+        must
+            not make us wait for the rest of it.
+    """
+    available = len(buffer) - start
+    if available < LENGTH_BYTES:
         return None
-    length = buffer[at] << 8 | buffer[at + 1]
-    if not HEADER.size - 2 <= length <= MAX_MESSAGE_BYTES:
+    length = buffer[start] << 8 | buffer[start + 1]
+    if not MIN_MESSAGE_BYTES <= length <= MAX_MESSAGE_BYTES:
         raise RemoteProtocolError(f"a message of {length} bytes")
-    if have >= 3 and buffer[at + 2] not in KINDS:
-        raise RemoteProtocolError(f"a message of unknown type {buffer[at + 2]}")
-    return at + length + 2 if have >= length + 2 else None
+    if available >= KIND_END and buffer[start + LENGTH_BYTES] not in KINDS:
+        raise RemoteProtocolError(f"a message of unknown type {buffer[start + LENGTH_BYTES]}")
+    return start + length + LENGTH_BYTES if available >= length + LENGTH_BYTES else None
 
 
 class MessageDecoder:
-    """Bytes in, whole messages out; keeps at most one message that is not whole yet."""
+    """Bytes in, complete messages out; keeps at most one message that is not complete yet."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     @property
     def has_partial_message(self) -> bool:
-        """A message has begun and is not whole."""
+        """A message has begun and is not complete."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> None:
+        """Adds what a connection brought."""
         self.buffer += data
 
     def messages(self) -> Iterator[PlatformMessage]:
-        """Whole messages; PeerError at the first byte that can't be right."""
-        at = 0
+        """Yields the complete messages.
+
+        Raises:
+            RemoteProtocolError: At the first byte that can't be right, after all messages before it.
+        """
+        start = 0
         try:
-            while (end := find_message_end(self.buffer, at)) is not None:
-                message = decode(bytes(self.buffer[at:end]))
-                at = end
+            while (end := find_message_end(self.buffer, start)) is not None:
+                message = decode(bytes(self.buffer[start:end]))
+                start = end
                 yield message
         finally:
-            del self.buffer[:at]
+            del self.buffer[:start]
 
 
 def decode(data: bytes) -> PlatformMessage:
-    """One whole message, its length and type already looked at."""
+    """Returns one complete message; `find_message_end` has checked its length and type.
+
+    Raises:
+        RemoteProtocolError: The parameters don't fill the message exactly, or one is there twice.
+    """
     _, kind, task = HEADER.unpack_from(data)
-    at, parameters = HEADER.size, dict[int, bytes]()
-    while at < len(data):
-        if len(data) - at < PARAMETER_HEADER.size:
+    offset = HEADER.size
+    parameters: dict[int, bytes] = {}
+    while offset < len(data):
+        if len(data) - offset < PARAMETER_HEADER.size:
             raise RemoteProtocolError(f"message {kind} ends within a parameter")
-        code, length = PARAMETER_HEADER.unpack_from(data, at)
-        at += PARAMETER_HEADER.size
-        if length > len(data) - at:
-            raise RemoteProtocolError(f"parameter {code} of {length} bytes in the {len(data) - at} left")
+        code, length = PARAMETER_HEADER.unpack_from(data, offset)
+        offset += PARAMETER_HEADER.size
+        if length > len(data) - offset:
+            raise RemoteProtocolError(f"parameter {code} of {length} bytes in the {len(data) - offset} left")
         if code in parameters:
             raise RemoteProtocolError(f"parameter {code} twice in message {kind}")
-        parameters[code] = data[at : at + length]
-        at += length
+        parameters[code] = data[offset : offset + length]
+        offset += length
     return PlatformMessage(kind, task, parameters)
 
 
 def parse_number(text: str) -> float:
-    """A finite number; PeerError on anything else.
+    """Returns a finite number.
+
+    Raises:
+        RemoteProtocolError: The text is anything else.
 
-    >>> figure("0.25")
+    >>> parse_number("0.25")
     0.25
     """
     try:
@@ -150,16 +227,23 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise RemoteProtocolError(f"no figure: {text[:40]!r}")
+        raise RemoteProtocolError(f"no figure: {text[:ERROR_EXCERPT_CHARACTERS]!r}")
     return value
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """`a:1;b:2` as a mapping; PeerError on another form or a name twice."""
-    found: dict[str, str] = {}
+    """Returns `a:1;b:2` as a mapping.
+
+    Raises:
+        RemoteProtocolError: The text has another form or a name twice.
+
+    >>> parse_fields("a:1;b:2")
+    {'a': '1', 'b': '2'}
+    """
+    values_by_name: dict[str, str] = {}
     for part in filter(None, text.split(";")):
         name, colon, value = part.partition(":")
-        if not colon or name in found:
-            raise RemoteProtocolError(f"no field: {part[:40]!r}")
-        found[name] = value
-    return found
+        if not colon or name in values_by_name:
+            raise RemoteProtocolError(f"no field: {part[:ERROR_EXCERPT_CHARACTERS]!r}")
+        values_by_name[name] = value
+    return values_by_name
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -1,6 +1,8 @@
-"""A set-up of an owner, read and checked against the settings: what is taken, and what is turned away unread.
+"""Parser of clients' set-ups: checks each against the settings and makes a typed request of it.
 
-Imports messages and the interface. The exchange calls it; nothing here depends on what happened before."""
+Imports the codec and the interface. Stateless: nothing here depends on earlier messages. The exchange calls
+it and answers a set-up that fails here with a release of the cause INVALID_CONTENTS.
+"""
 
 from __future__ import annotations
 
@@ -9,102 +11,114 @@
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
 
-MAX_TEXT_CHARACTERS = 128  # characters of a name, a key, a service
-MAX_WAIT_MS = 3_600_000.0
+MAX_TEXT_CHARACTERS = 128  # of a name, a key, a service
+MAX_WAIT_MS = 3_600_000.0  # an hour
+MAX_WAIT_DIGITS = 10  # beyond, not even parsed
+MAX_NUMBER_CHARACTERS = 40  # of cores and memory; the rest is cut off
 
 
-class SetupError(Exception):
-    """Whole, yet not to be used; the owner is answered so."""
+class SetupError(m.PlatformProtocolError):
+    """A set-up that is a valid message, yet can't be used; its client is answered so."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class SetupRequest:
-    """One set-up: what goes on to a host unchanged, and what the module is asked."""
+    """One set-up: what goes on to a host unchanged, and what the decision module is asked."""
 
     task: int
     task_class: api.TaskClass
     name: bytes
     idempotency_key: bytes | None
     description: bytes
-    wait_ms: float  # from when the owner sent it
+    wait_ms: float  # from when the client sent it
     is_retry: bool
     tenant: str | None
     service: str
     cores: float
     memory: float
-    current_host: str | None  # the machine that holds it already: no answer is owed
+    current_host: str | None  # re-registration: the host that runs it already, so that no answer is owed
 
 
 class SetupParser:
-    """Reads set-ups under one configuration's settings."""
+    """Parses set-ups under one configuration's settings."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.classes_by_name = {c.name: c for c in settings.classes}
+        self.classes_by_name = {task_class.name: task_class for task_class in settings.classes}
         sizes = list(settings.machine_sizes.values())
-        self.max_cores = max(s.cores for s in sizes) * settings.cores_overcommit
-        self.max_memory = max(s.memory for s in sizes) * settings.memory_overcommit
+        self.max_cores = max(size.cores for size in sizes) * settings.cores_overcommit
+        self.max_memory = max(size.memory for size in sizes) * settings.memory_overcommit
 
     def parse(self, message: m.PlatformMessage) -> SetupRequest:
-        """The set-up; BadSetup says what is wrong with it."""
+        """Returns the set-up.
+
+        Raises:
+            SetupError: Something in it is absent, unreadable or out of range; the text says what.
+        """
         try:
-            return self._read(message)
+            return self._parse(message)
         except m.RemoteProtocolError as error:
-            raise SetupError(str(error)) from None
+            raise SetupError(error.reason) from error
 
-    def _read(self, message: m.PlatformMessage) -> SetupRequest:
+    def _parse(self, message: m.PlatformMessage) -> SetupRequest:
         if not message.task:
             raise SetupError("no id")
-        cls = self.classes_by_name.get(self._need(message, m.CLASS, "class"))
-        if cls is None:
-            raise SetupError(f"no class {message.text(m.CLASS)!r}")
-        name, extras = self._need(message, m.NAME, "name"), m.parse_fields(message.text(m.EXTRAS) or "")
+        task_class = self._parse_class(message)
+        name = self._require_text(message, m.NAME, "name")
+        extras = m.parse_fields(message.text(m.EXTRAS) or "")
         key = message.text(m.KEY)
-        if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
+        if task_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
             raise SetupError("no key in a keyed class")
-        at = extras.get("at")
+        current_host = extras.get("at")
         if m.DESCRIPTION not in message.parameters:
             raise SetupError("no description")
-        for text in (name, key, extras.get("service"), at, message.text(m.TENANT)):
+        for text in (name, key, extras.get("service"), current_host, message.text(m.TENANT)):
             if text is not None and len(text) > MAX_TEXT_CHARACTERS:
                 raise SetupError("a text that is too long")
         if not extras.get("service"):
             raise SetupError("no service")
         return SetupRequest(
-            message.task,
-            cls,
-            name.encode(),
-            key.encode() if key else None,
-            message.parameters[m.DESCRIPTION],
-            self._wait(message, at),
-            message.text(m.RETRY) == "1",
-            message.text(m.TENANT) or None,
-            extras["service"],
-            self._figure(extras, "cores", self.max_cores),
-            self._figure(extras, "memory", self.max_memory),
-            at,
+            task=message.task,
+            task_class=task_class,
+            name=name.encode(),
+            idempotency_key=key.encode() if key else None,
+            description=message.parameters[m.DESCRIPTION],
+            wait_ms=self._parse_wait_ms(message, current_host),
+            is_retry=message.text(m.RETRY) == "1",
+            tenant=message.text(m.TENANT) or None,
+            service=extras["service"],
+            cores=self._parse_amount(extras, "cores", self.max_cores),
+            memory=self._parse_amount(extras, "memory", self.max_memory),
+            current_host=current_host,
         )
 
+    def _parse_class(self, message: m.PlatformMessage) -> api.TaskClass:
+        name = self._require_text(message, m.CLASS, "class")
+        task_class = self.classes_by_name.get(name)
+        if task_class is None:
+            raise SetupError(f"no class {name!r}")
+        return task_class
+
     @staticmethod
-    def _need(message: m.PlatformMessage, code: int, what: str) -> str:
+    def _require_text(message: m.PlatformMessage, code: int, label: str) -> str:
         text = message.text(code)
         if not text:
-            raise SetupError(f"no {what}")
+            raise SetupError(f"no {label}")
         return text
 
     @staticmethod
-    def _wait(message: m.PlatformMessage, at: str | None) -> float:
+    def _parse_wait_ms(message: m.PlatformMessage, current_host: str | None) -> float:
         text = message.text(m.WAIT)
-        if at is not None and text is None:
+        if current_host is not None and text is None:
             return 0.0
-        readable = text is not None and len(text) <= 10 and text.isdecimal()
-        if text is None or not readable or not (at or 0 < int(text) <= MAX_WAIT_MS):
-            raise SetupError(f"no time to wait: {text and text[:40]!r}")
+        is_readable = text is not None and len(text) <= MAX_WAIT_DIGITS and text.isdecimal()
+        if text is None or not is_readable or not (current_host or 0 < int(text) <= MAX_WAIT_MS):
+            raise SetupError(f"no time to wait: {text and text[: m.ERROR_EXCERPT_CHARACTERS]!r}")
         return float(text)
 
     @staticmethod
-    def _figure(extras: dict[str, str], name: str, most: float) -> float:
-        """A figure that some machine could take, by the settings."""
-        value = m.parse_number(extras.get(name, "")[:40])
-        if not 0.0 < value <= most:
+    def _parse_amount(extras: dict[str, str], name: str, maximum: float) -> float:
+        """Returns an amount of cores or memory that some machine could take, by the settings."""
+        value = m.parse_number(extras.get(name, "")[:MAX_NUMBER_CHARACTERS])
+        if not 0.0 < value <= maximum:
             raise SetupError(f"{name} out of range: {value}")
         return value
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -1,7 +1,8 @@
-"""What hosts say of reasons, figures and notes, in the module's types.
+"""Translation of hosts' words for causes, reasons, load and observations to the interface's types.
 
-Imports messages, the interface and the settings' names; `platform_protocol/exchange.py` asks it.
-PeerError where a figure can't be read."""
+Imports the codec, the interface and the settings' names. The functions raise RemoteProtocolError where a
+value can't be read.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +10,7 @@
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_settings import read_report
 
+# Causes that are not listed mean Outcome.LOST.
 OUTCOME_BY_CAUSE_BEFORE_ANSWER = {
     m.NO_CAPACITY: api.Outcome.REJECTED,
     m.ERROR: api.Outcome.ERROR,
@@ -17,7 +19,7 @@
 OUTCOME_BY_CAUSE_AFTER_ANSWER = {
     m.NORMAL_CLEARING: api.Outcome.COMPLETED,
     m.STOPPED: api.Outcome.STOPPED,
-}  # every other cause: LOST
+}
 REASON_BY_TOPIC = {
     "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
@@ -34,18 +36,17 @@
     "served": api.ObservationKind.SERVICE_LEVEL,
     "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-SETTINGS_FIELD_BY_WIRE_NAME = {
-    "util": "busy",
-    "queue": "q",
-}  # names on the sockets -> in the settings, where they differ
+SETTINGS_FIELD_BY_WIRE_NAME = {"util": "busy", "queue": "q"}  # where the two differ
 
 
 def parse_outcome_reason(message: m.PlatformMessage) -> api.OutcomeReason:
+    """Returns why a release was sent, UNSPECIFIED where its topic is absent or unknown."""
     return REASON_BY_TOPIC.get(message.text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
 
 
 def parse_load_report(message: m.PlatformMessage) -> api.LoadReport | None:
-    raw = m.parse_fields(message.text(m.REPORT) or "")
+    """Returns the load report in a message, None where there is none."""
+    fields = m.parse_fields(message.text(m.REPORT) or "")
     return read_report(
-        {SETTINGS_FIELD_BY_WIRE_NAME.get(name, name): m.parse_number(value) for name, value in raw.items()}
+        {SETTINGS_FIELD_BY_WIRE_NAME.get(name, name): m.parse_number(value) for name, value in fields.items()}
     )
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -71,7 +71,7 @@
         limits = raw["settings"]["limits"]
         return ProcessConfig(
             name=str(raw["name"]),
-            listen=parse_address(raw["listen"], least=0),
+            listen=parse_address(raw["listen"], min_port=0),
             seed=int(str(raw["seed"]), 16),
             descriptors=int(raw["limits"]["sockets"]),
             channel=parse_address(raw["channel"]),
--- a/tests/support/exchange_world.py
+++ b/tests/support/exchange_world.py
@@ -42,6 +42,7 @@
 
 
 def read(data):
+    """The messages in data, which holds nothing else."""
     decoder = m.MessageDecoder()
     decoder.feed(data)
     found = list(decoder.messages())
@@ -50,18 +51,24 @@
 
 
 class Owner:
+    """A client's connection: what was sent to it, decoded."""
+
     def __init__(self):
-        self.open, self.got, self.closed = set(), [], False
+        self.open = set()
+        self.got = []
+        self.closed = False
 
     def said(self):
+        """Kind, task and cause of each message that came, 0 for no cause."""
         return [(x.kind, x.task, x.parameters.get(m.CAUSE, b"\0")[0]) for x in self.got]
 
 
 class Script:
-    """A module that does what the test says; events are kept."""
+    """A decision module that does what the test says; events are recorded."""
 
     def __init__(self):
-        self.events, self.next = [], []
+        self.events = []
+        self.next = []  # lists of actions, one for each event to come
 
     def handle(self, now, event):
         self.events.append(event)
@@ -74,13 +81,15 @@
     def __init__(self, module=None, settings=SETTINGS):
         super().__init__()
         self.module = module or Script()
-        self.offers, self.cancelled_attempts, self.cuts, self.logs, self.tests = [], [], [], [], []
-        self.fact, self.testable, self.cancelled, self.lies_unread = (
-            DeliveryOutcome.ANSWER_TIMEOUT,
-            True,
-            set(),
-            False,
-        )
+        self.offers = []
+        self.cancelled_attempts = []
+        self.cuts = []
+        self.logs = []
+        self.tests = []
+        self.fact = DeliveryOutcome.ANSWER_TIMEOUT  # what cancelling an attempt returns
+        self.testable = True  # hosts have a connection for probes
+        self.cancelled = set()  # tasks whose client has left
+        self.lies_unread = False
         self.exchange = Exchange(settings, self.module, self, 250.0)
         self.owner = Owner()
 
@@ -139,15 +148,19 @@
         self.exchange.receive_host_message(host, link or self.offers[-1].connection, message)
 
     def told(self, kind):
+        """The events of that type, in order."""
         return [event for event in self.module.events if isinstance(event, kind)]
 
     def outcomes(self):
+        """The outcomes of the attempts that have ended, in order."""
         return [event.outcome for event in self.told(api.AttemptEnded)]
 
 
 def machine(name="h1", phase=api.MachinePhase.SERVING, ready=None):
+    """A machine of 16 cores and 32 of memory, all free."""
     return api.Machine(name, "std", "a", 0, phase, 16.0, 32.0, ready)
 
 
 def news(*hosts, whole=True):
+    """A change of the machine list."""
     return ListChange(whole, tuple(HostEntry(h, ("127.0.0.1", 9), 0.0) for h in hosts))
