--- a/glencleat/platform_protocol/ended_tasks.py
+++ b/glencleat/platform_protocol/ended_tasks.py
@@ -8,14 +8,13 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 RETENTION_MS = 10_000.0  # ends are due within 8 s
 MAX_ENDED_TASKS = 4_000  # the oldest are dropped first
 
 
-@dataclass(frozen=True, slots=True)
-class EndedTask:
+class EndedTask(NamedTuple):
     """How a task ended at a host, and whether a client that holds it has been notified."""
 
     cause: int
--- a/glencleat/platform_protocol/setup_calls.py
+++ b/glencleat/platform_protocol/setup_calls.py
@@ -24,6 +24,8 @@
     RUNNING = "stands"  # the task runs at a host: it is no longer owed an answer, but the word of its end
     CLOSED = "over"  # forgotten: what comes later finds nothing and changes nothing
 
+    __hash__ = object.__hash__  # by identity: a member's default hash is a call of Python code
+
 
 class SetupEvent(Enum):
     """What changes a call's state."""
@@ -34,6 +36,8 @@
     ATTEMPT_END = "every other end of the attempt"
     CLOSE = "the final answer, or its client left"
 
+    __hash__ = object.__hash__  # as above
+
 
 TRANSITIONS = {
     (SetupState.ACCEPTED, SetupEvent.BIND): SetupState.DISPATCHED,
