--- a/glencleat/platform_protocol/attempts.py
+++ b/glencleat/platform_protocol/attempts.py
@@ -66,7 +66,7 @@
         call = attempt.call
         task = call.setup.task
         if not self.ports.is_client_waiting(call.client, task, exact=False):
-            # Its client left before it could be told: nobody would ever end the task.
+            # Its client left before it could be notified: nobody would ever end the task.
             self.ports.release_task(attempt.host, task)
             self.end(attempt, api.Outcome.STOPPED, has_client_left=True)
             return
@@ -177,7 +177,7 @@
         self.dispatcher.tell(api.CallAbandoned(call.call_id))
 
     def record_delivery_failure(self, attempt: SetupAttempt, delivery: DeliveryOutcome) -> None:
-        """Ends a dispatched attempt on its connection's word; one that has ended already stays as it is."""
+        """Ends a dispatched attempt on its connection's report; one that has already ended is left alone."""
         if attempt.is_dispatched:
             has_client_left = delivery is DeliveryOutcome.CLIENT_DISCONNECTED
             self.end(attempt, OUTCOME_BY_DELIVERY[delivery], has_client_left=has_client_left)
--- a/glencleat/platform_protocol/command_channel.py
+++ b/glencleat/platform_protocol/command_channel.py
@@ -59,14 +59,14 @@
 
 
 class MachineListPayload(msgspec.Struct):
-    """The machines of one event: the whole list where `reset` is set, else changes to it."""
+    """The machines of one event: the complete list where `reset` is set, else changes to it."""
 
     reset: bool = False
     instances: list[MachineEntry] = []
 
 
 class ChannelEvent(msgspec.Struct):
-    """One numbered event, or with no nodes the service's word which number is its last."""
+    """One numbered event, or with no nodes the service's report of its last number."""
 
     cursor: int
     nodes: MachineListPayload | None = None
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What one event changed: the whole list (a snapshot), or some of it."""
+    """What one event changed: the complete list (a snapshot), or some of it."""
 
     is_snapshot: bool
     hosts: tuple[HostEntry, ...]
@@ -289,15 +289,16 @@
         cores, memory = (known.machine.free_cores, known.machine.free_memory) if known else (0.0, 0.0)
         if entry.free is not None and len(entry.free) == FREE_AMOUNTS and all(map(math.isfinite, entry.free)):
             cores, memory = entry.free
+        # By position: one for each entry of a snapshot, and keywords cost a twentieth of an entry's time.
         machine = api.Machine(
-            name=entry.instance_id,
-            kind=entry.machine_type,
-            zone=entry.zone,
-            cell=entry.cell,
-            phase=self._current_phase(entry, cursor),
-            free_cores=cores,
-            free_memory=memory,
-            ready_at_ms=self._ready_at_ms(entry, known, now_ms, is_snapshot),
+            entry.instance_id,
+            entry.machine_type,
+            entry.zone,
+            entry.cell,
+            self._current_phase(entry, cursor),
+            cores,
+            memory,
+            self._ready_at_ms(entry, known, now_ms, is_snapshot),
         )
         return HostEntry(machine, parse_address(entry.host_port), entry.started_at_ms)
 
--- a/glencleat/platform_protocol/delivery.py
+++ b/glencleat/platform_protocol/delivery.py
@@ -20,7 +20,7 @@
 
 
 class DeliveryOutcome(Enum):
-    """What a connection can tell of an attempt that came to nothing without the host's word."""
+    """How an attempt came to nothing without an answer of its host, as its connection reports it."""
 
     REFUSED = "the connection was refused"
     CONNECT_TIMEOUT = "no connection came up in time"
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -111,7 +111,7 @@
             case api.SetTimer():
                 self._set_timer(action)
             case api.WatchMachineList():
-                # The connections hold a command channel at all times: what it has told is what there is.
+                # The connections hold a command channel at all times: what it has received is the list.
                 self.dispatcher.tell(
                     api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.list_machines())
                 )
@@ -207,7 +207,7 @@
     # ---- connections to hosts ----
 
     def record_delivery_failure(self, attempt: SetupAttempt, delivery: DeliveryOutcome) -> None:
-        """Ends a dispatched attempt on its connection's word; one that has ended already stays as it is."""
+        """Ends a dispatched attempt on its connection's report; one that has already ended is left alone."""
         self.attempts.record_delivery_failure(attempt, delivery)
 
     def find_hold_reason(
--- a/glencleat/platform_protocol/setup_calls.py
+++ b/glencleat/platform_protocol/setup_calls.py
@@ -21,7 +21,7 @@
 
     ACCEPTED = "taken"  # an answer is owed, no attempt is out
     DISPATCHED = "out"  # an attempt waits for its host's answer
-    RUNNING = "stands"  # the task runs at a host: it is no longer owed an answer, but the word of its end
+    RUNNING = "stands"  # the task runs at a host: no answer is owed any more, but a release at its end
     CLOSED = "over"  # forgotten: what comes later finds nothing and changes nothing
 
     __hash__ = object.__hash__  # by identity: a member's default hash is a call of Python code
