--- a/tests/platform_protocol/test_command_channel.py
+++ b/tests/platform_protocol/test_command_channel.py
@@ -74,14 +74,12 @@
 
 
 def test_events_are_applied_once_for_any_cuts_of_the_stream(channel):
-    data, seen = (
-        lines(
-            event(2, entry("h3")),
-            {"cursor": 2},
-            event(2, entry("h3")),
-            event(3, entry("h1", lifecycle="DELETED")),
-        ),
-        [],
+    seen = []
+    data = lines(
+        event(2, entry("h3")),
+        {"cursor": 2},
+        event(2, entry("h3")),
+        event(3, entry("h1", lifecycle="DELETED")),
     )
     for at in range(0, len(data), 7):
         seen += channel.feed(data[at : at + 7])
@@ -147,7 +145,8 @@
     assert [news.is_snapshot for news in told] == [True, False]
     assert channel.cursor == 2
     phases = {name: host.machine.phase for name, host in channel.hosts.items()}
-    serving, draining = api.MachinePhase.SERVING, api.MachinePhase.DRAINING
+    serving = api.MachinePhase.SERVING
+    draining = api.MachinePhase.DRAINING
     assert phases == {"h1": draining, "h3": serving, "h4": serving}
     list(channel.feed(lines(event(3, entry("h2", startedAtMs=9_000)))))  # another process under its name
     assert channel.hosts["h2"].machine.phase is serving
--- a/tests/platform_protocol/test_exchange.py
+++ b/tests/platform_protocol/test_exchange.py
@@ -352,7 +352,8 @@
 
 def kept_entries(world):
     """How much the exchange, its contract and the module still hold."""
-    exchange, module = world.exchange, world.module
+    exchange = world.exchange
+    module = world.module
     return (
         len(exchange.calls),
         len(exchange.calls_by_task),
--- a/tests/platform_protocol/test_messages.py
+++ b/tests/platform_protocol/test_messages.py
@@ -15,7 +15,9 @@
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(MESSAGES, st.lists(st.integers(1, 50), min_size=1, max_size=20))
 def test_decoder_returns_all_messages_for_any_cuts_of_the_stream(told, cuts):
-    data, decoder, found = b"".join(m.encode(*one) for one in told), m.MessageDecoder(), []
+    data = b"".join(m.encode(*one) for one in told)
+    decoder = m.MessageDecoder()
+    found = []
     while data:
         cut = cuts[len(data) % len(cuts)]
         decoder.feed(data[:cut])
