--- a/glencleat/emulators/platform_peers.py
+++ b/glencleat/emulators/platform_peers.py
@@ -68,7 +68,7 @@
         self.got.append((self.loop.now(), task))
         yes = m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"})
         self.loop.call_in(self.decide_ms, lambda: self._say(stream, yes))
-        end = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2)
+        end = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING)
         self.loop.call_in(self.life_ms, lambda: self._say(stream, end))
 
     @staticmethod
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -161,7 +161,7 @@
         """Writes a release. It stays pending until acknowledged: the connection may break with it unread."""
         if task in host.pending_releases:
             host.pending_releases[task] = connection
-        connection.write(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+        connection.write(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def request_load_report(self, name: str, token: int) -> bool:
         """Asks a host for its load report. False if there is no connection to ask on."""
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -71,7 +71,7 @@
         limits = raw["settings"]["limits"]
         return ProcessConfig(
             name=str(raw["name"]),
-            listen_address=parse_address(raw["listen"], least=0),
+            listen_address=parse_address(raw["listen"], min_port=0),
             seed=int(str(raw["seed"]), 16),
             descriptor_limit=int(raw["limits"]["sockets"]),
             channel_address=parse_address(raw["channel"]),
@@ -231,8 +231,8 @@
         )
         stood, d = sum(map(len, x.running_by_host.values())), self.descriptors
         self.log(
-            f"taken {x.accepted_calls} open {x.open_calls} standing {stood} bad {x.invalid_setups} late {x.late_answers} came to"
-            f" nothing: {nothing}; owners"
+            f"taken {x.accepted_calls} open {x.open_calls} standing {stood} bad {x.invalid_setups}"
+            f" late {x.late_answers} came to nothing: {nothing}; owners"
             f" {len(self.clients.connections)} links {self.hosts.connection_count}"
             f" hosts {len(self.hosts.hosts_by_name)} descriptors"
             f" {d.held_count} most {d.peak_held} of {d.capacity} refused {d.rejected_count}"
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -82,7 +82,7 @@
         decoder = m.MessageDecoder()
         try:
             for task in [task for task, whose in self.owed.items() if whose == allocator]:
-                self._say(stream, allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+                self._say(stream, allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
             while data := (yield from stream.read()):
                 if self.silent:
                     continue
@@ -173,7 +173,7 @@
         del self.held[task]
         self.group.tally.count(held.allocator, "ended")
         self.owed[task] = held.allocator
-        self._say(self._way(held), held.allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+        self._say(self._way(held), held.allocator, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     # ---- troubles ----
 
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -68,7 +68,7 @@
             self.ends["refused" if cause in HARMLESS else "failed"] += 1
         elif task in self.standing:
             self.standing.discard(task)
-            self.ends["ended" if cause == m.NORMAL_CLEARING_2 else "lost"] += 1
+            self.ends["ended" if cause == m.NORMAL_CLEARING else "lost"] += 1
         else:
             self.ends["second release" if task in self.over else "release of nothing"] += 1
         self.over.add(task)
--- a/tests/platform_server/test_attempt_delivery.py
+++ b/tests/platform_server/test_attempt_delivery.py
@@ -146,9 +146,9 @@
     peer.streams[0].close()  # it breaks with the release on its way
     world.until(lambda: len(peer.streams) == 2)
     assert world.module.events[-1].__class__ is api.AttemptAccepted  # a break proves nothing
-    peer.streams[1].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    peer.streams[1].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     assert world.back() == [api.Outcome.COMPLETED]
-    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
     world.until(lambda: m.RELEASE_COMPLETE in kinds(peer))
 
 
--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -122,19 +122,19 @@
     assert world.says(rude) == m.encode_with_cause(m.RELEASE, 9, m.TEMPORARY_FAILURE)
     owner.close()
     world.until(lambda: len(world.owners.owners) == 2)
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
-    assert world.says(other) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
+    assert world.says(other) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
     other.close()
     world.until(lambda: len(world.owners.owners) == 1)
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING))
     world.back(2)
     later, world.calls = world.client(), 4
     world.module.next.append([api.Bind(5, "h1", 2000.0)])
     later.send(setup(10))
-    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2) + m.encode(
+    heard = m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING) + m.encode(
         m.ANSWER, 10, {m.DESCRIPTION: b"ok"}
     )
-    assert world.says(later) in (heard, m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING_2))
+    assert world.says(later) in (heard, m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING))
     with pytest.raises(BlockingIOError):
         rude.recv(100)
 
--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -35,7 +35,7 @@
     assert len(world.hosts.pending_queue) == 1 and not peers[1].streams
     world.until(lambda: peers[0].got)
     stands(*peers[0].got[0])
-    peers[0].streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    peers[0].streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     world.until(lambda: peers[1].got)
     assert world.back(1) == [api.Outcome.NOT_SENT, api.Outcome.COMPLETED] and not world.hosts.pending_queue
     assert world.descriptors.most == world.descriptors.room
@@ -134,7 +134,7 @@
 def test_what_nobody_needs_goes_first_whichever_host_it_is(world):
     """Room was made among hosts with several links only; one link each for 400 hosts did not fit."""
     (first, second), owner = standing(world, 2)
-    first.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    first.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     world.back()
     world.descriptors.room = world.descriptors.held
     third = Peer(world.loop, stands)
@@ -165,7 +165,7 @@
 
     for task, peer in enumerate(peers, 1):
         accept(peer, task)
-        owed[task] = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2)
+        owed[task] = m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING)
     world.back(6)
     assert not world.exchange.standing and world.descriptors.most <= 3
 
@@ -216,9 +216,9 @@
     assert world.says(owner)
     (link,) = live(world)
     link.close_gracefully("room is wanted")
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     assert world.back() == [api.Outcome.COMPLETED] and world.says(owner) == m.encode_with_cause(
-        m.RELEASE, 1, m.NORMAL_CLEARING_2
+        m.RELEASE, 1, m.NORMAL_CLEARING
     )
     world.until(lambda: not world.descriptors.leaving)
 
@@ -282,8 +282,8 @@
     world.descriptors.room, world.descriptors.rights = 2, {Side.CLIENTS: 1, Side.HOSTS: 1}
     crowd = [world.client() for _ in range(5)]
     assert [world.says(sock) for sock in crowd] == [b""] * 5
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
-    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2)
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
+    assert world.says(owner) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
 
 
 def test_a_further_link_goes_once_it_is_not_needed(world, monkeypatch):
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -170,26 +170,26 @@
     """After a restart: the host tells what ended on our first connection, before any client has come."""
     peer, sock = placed(world)
     peer.streams[0].send(
-        m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2)
+        m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING)
         + m.encode_with_cause(m.RELEASE, 78, m.TEMPORARY_FAILURE)
     )
     settled(world)
     sock.send(named(77) + named(78) + named(79))
     settled(world)
     assert list(world.exchange.standing["h1"]) == [1, 79]
-    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING_2) + m.encode_with_cause(
+    assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.NORMAL_CLEARING) + m.encode_with_cause(
         m.RELEASE, 78, m.TEMPORARY_FAILURE
     )
 
 
 def test_a_task_named_again_as_its_release_is_on_its_way_stays_over(world):
     peer, sock = placed(world)
-    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2))
+    peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     settled(world)
     sock.send(named(1))  # sent before the release was read
     settled(world)
     assert not world.exchange.standing and world.says(sock) == m.encode_with_cause(
-        m.RELEASE, 1, m.NORMAL_CLEARING_2
+        m.RELEASE, 1, m.NORMAL_CLEARING
     )
     with pytest.raises(BlockingIOError):
         sock.recv(100)  # told once
@@ -207,7 +207,7 @@
 def test_ends_are_kept_for_a_time():
     world = Virtual()
     world.asks(1, api.Bind(1, "h1", 300.0))
-    world.host(m.RELEASE, 77, cause=m.NORMAL_CLEARING_2)
+    world.host(m.RELEASE, 77, cause=m.NORMAL_CLEARING)
     world.advance(RETENTION_MS + 1.0)
     world.asks(77, extras="cores:1;memory:1;service:s;at:h1", wait=None)
     assert 77 in world.exchange.running_by_host["h1"]
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -47,7 +47,11 @@
     sock.send(setup(1))
     leave(sock, how)  # both lie unread
     settled(world)
-    assert sent(peer) == [9] and world.exchange.open == 0 and list(world.exchange.standing["h1"]) == [9]
+    assert (
+        sent(peer) == [9]
+        and world.exchange.open_calls == 0
+        and list(world.exchange.running_by_host["h1"]) == [9]
+    )
 
 
 def test_an_end_behind_hundreds_of_set_ups_is_seen_before_the_first(world):
@@ -75,7 +79,7 @@
     leave(sock, how)
     settled(world)
     assert len(peer.streams) == 1 and m.SETUP not in kinds(peer)
-    assert world.back() == [api.Outcome.NOT_SENT] and world.exchange.open == 0
+    assert world.back() == [api.Outcome.NOT_SENT] and world.exchange.open_calls == 0
 
 
 @LEAVES
@@ -85,7 +89,7 @@
     sock, other = world.client(), world.client()
     world.list(("h1", first.address), ("h2", second.address))
     world.ask(other, 9, host="h2")
-    world.until(lambda: "h2" in world.exchange.standing)  # a link is up there
+    world.until(lambda: "h2" in world.exchange.running_by_host)  # a link is up there
     world.ask(sock, 1)
     world.until(lambda: first.got)
     world.module.next.append([api.Bind(2, "h2", 2000.0)])
@@ -93,7 +97,7 @@
     leave(sock, how)
     settled(world)
     assert sent(second) == [9]
-    assert world.exchange.open == 0
+    assert world.exchange.open_calls == 0
 
 
 @LEAVES
@@ -123,7 +127,7 @@
     stands(*peer.got[0])
     leave(sock, how)
     settled(world)
-    assert kinds(peer) == [m.SETUP, m.RELEASE] and not world.exchange.standing
+    assert kinds(peer) == [m.SETUP, m.RELEASE] and not world.exchange.running_by_host
     assert world.back() == [api.Outcome.STOPPED] and not world.told(api.AttemptAccepted)
 
 
@@ -131,14 +135,14 @@
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     last = world.client()
     last.send(
         b"".join(m.encode(m.PROGRESS, n) for n in range(3 * client_connections.MESSAGES_PER_TURN)) + cancel(1)
     )
     last.close()
     settled(world)
-    assert m.RELEASE in kinds(peer) and not world.exchange.standing
+    assert m.RELEASE in kinds(peer) and not world.exchange.running_by_host
 
 
 def test_an_inbox_tells_what_lies_in_it():
@@ -213,7 +217,7 @@
     monkeypatch.setattr(world.hosts, "is_warming_up", lambda host: True)
     world.ask(sock, 1)
     (attempt,) = (a for link in world.hosts.hosts_by_name["h1"].connections for a in link.waiting_attempts)
-    attempt.began -= 1.0
+    attempt.began_ms -= 1.0
     world.exchange.settings = replace(SETTINGS, warm_up_window_ms=1.0)
     settled(world)
     assert m.SETUP not in kinds(peer) and world.back() == [api.Outcome.NOT_SENT]
@@ -236,7 +240,7 @@
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     (link,) = world.hosts.hosts_by_name["h1"].connections
     link.stream.unsent += b"\0"  # as if the socket had taken no more
     world.ask(sock, 2)
@@ -262,7 +266,7 @@
     stands(*peer.got[0])
     standstill(world, 600.0)
     settled(world)
-    assert list(world.exchange.standing["h1"]) == [1] and not world.told(api.AttemptEnded)
+    assert list(world.exchange.running_by_host["h1"]) == [1] and not world.told(api.AttemptEnded)
 
 
 def test_what_lies_unread_at_a_time_out_puts_it_off_once(world):
@@ -297,7 +301,7 @@
     world.module.next.append([api.Bind(2, "h1", 2000.0)])
     tower.streams[0].send(json.dumps(drain).encode() + b"\n")
     world.loop.call_in(
-        0.0, lambda: world.exchange.telling.tell(api.ReachabilityChanged("h1", True))
+        0.0, lambda: world.exchange.dispatcher.tell(api.ReachabilityChanged("h1", True))
     )  # any event will do
     standstill(world, 5.0)
     settled(world)
@@ -313,7 +317,7 @@
     peer.streams[0].send(m.encode(m.OBSERVATION, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
     standstill(world, 8_000.0)
     settled(world)
-    assert list(world.exchange.standing["h1"]) == [9]
+    assert list(world.exchange.running_by_host["h1"]) == [9]
 
 
 def test_an_answer_by_the_module_on_hearing_of_a_client_that_left_is_no_fault(world):
@@ -324,10 +328,10 @@
     first, second = (event.call_id for event in world.told(api.PlacementRequested))
     order = [world.exchange.calls[first].setup.task, world.exchange.calls[second].setup.task]
     (owner,) = world.owners.owners
-    others = {task: world.exchange.tasks[task].number for task in order}
+    others = {task: world.exchange.calls_by_task[task].call_id for task in order}
     left = next(iter(owner.open))
     world.module.next.append([api.Reject(next(n for task, n in others.items() if task != left))])
-    world.exchange.owner_gone(owner)
+    world.exchange.disconnect_client(owner)
     assert not world.exchange.calls and [event.call_id for event in world.told(api.CallAbandoned)] == [
         others[left]
     ]
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -93,7 +93,7 @@
         self.peer().notes()
 
     def release(self):
-        task = self.any(self.world.exchange.tasks)
+        task = self.any(self.world.exchange.calls_by_task)
         if task is not None:
             self.world.release(task)
 
@@ -165,7 +165,7 @@
         for name, host in world.hosts.hosts_by_name.items()
     }
     d, c = world.descriptors, world.hosts.connection_limiter
-    standing = {name: list(tasks) for name, tasks in world.exchange.standing.items()}
+    standing = {name: list(tasks) for name, tasks in world.exchange.running_by_host.items()}
     return (
         found,
         standing,
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -157,7 +157,7 @@
     ledger.released(2, m.NO_CAPACITY)
     ledger.released(2, m.NO_CAPACITY)
     ledger.released(3, m.TEMPORARY_FAILURE)
-    ledger.released(8, m.NORMAL_CLEARING_2)
+    ledger.released(8, m.NORMAL_CLEARING)
     assert ledger.given_up(4) and not ledger.given_up(1)
     ledger.answered(4, 10.0)
     ledger.released(4, m.TEMPORARY_FAILURE)
@@ -283,7 +283,7 @@
     peer.stream.send(setup(7))
     world.until(lambda: (m.RELEASE, 7) in peer.kinds())
     assert peer.kinds() == [(m.ANSWER, 7), (m.OBSERVATION, 7), (m.RELEASE, 7)]
-    assert peer.got[0].parameters[m.DESCRIPTION] and peer.got[2].cause == m.NORMAL_CLEARING_2
+    assert peer.got[0].parameters[m.DESCRIPTION] and peer.got[2].cause == m.NORMAL_CLEARING
     other, again = world.peer(number=4), world.peer()
     world.until(lambda: again.got)
     assert again.kinds() == [(m.RELEASE, 7)] and not other.got  # its own allocator's alone
@@ -318,7 +318,7 @@
     peer.stream.send(setup(1))
     world.until(lambda: len(peer.got) == 2)
     peer.stream.send(
-        m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING_2) + m.encode_with_cause(m.PROBE, 9, 1)
+        m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING) + m.encode_with_cause(m.PROBE, 9, 1)
     )
     world.until(lambda: len(peer.got) == 4)
     assert peer.kinds()[2:] == [(m.RELEASE_COMPLETE, 1), (m.PROBE_RESULT, 9)] and peer.got[3].cause == 1
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -116,7 +116,7 @@
     def up(self, stream):
         self.streams[stream] = None
         for task in self.owed:
-            stream.bring(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+            stream.bring(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def hears(self, stream, data):
         if self.mode == "silent" or stream.closed is not None:
@@ -150,7 +150,7 @@
         self.owed[task] = None
         link = link if link in self.streams else next(iter(self.streams), None)
         if link is not None:
-            self.say(link, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+            self.say(link, m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
 
     def notes(self):
         for task, stream in list(self.tasks.items()):
@@ -311,5 +311,5 @@
         self.ask(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
 
     def release(self, task):
-        (message,) = read(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING_2))
+        (message,) = read(m.encode_with_cause(m.RELEASE, task, m.NORMAL_CLEARING))
         self.exchange.receive_client_release(self.owner, message)
