--- a/glencleat/flow_control/__init__.py
+++ b/glencleat/flow_control/__init__.py
@@ -1,3 +1,4 @@
-"""What allocators are to each other, and what many of them do to those that they all ask.
+"""Flow control between allocators and what they share: backoff, connection limits, slow start.
 
-Decisions without I/O: no sockets, no clock read, no random numbers but those passed in."""
+State machines without I/O: no sockets, no clock, no random numbers but those passed in.
+"""
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -1,12 +1,13 @@
-"""Keeps the machine list in a file (`endpoint_snapshot.py`), and takes it from there at a start.
+"""Stores the machine list in a file (`endpoint_snapshot.py`), and loads it at a start.
 
-A change of phase is written before the module hears of it; the whole file anew now and then, by a rename. No
-fsync: it outlives the process, not the machine. What can't be written makes the file untrue; it goes."""
+A change of phase is written before the policy learns of it; the whole file is rewritten now and then, and
+replaced by a rename. There is no fsync: the file outlives the process, not the machine. A file that can't be
+written may lack a drain, and is removed.
+"""
 
 from __future__ import annotations
 
 import contextlib
-import os
 from collections.abc import Callable
 from pathlib import Path
 from typing import BinaryIO
@@ -16,52 +17,71 @@
 from glencleat.allocator.endpoint_list import MachineListing
 from glencleat.event_loop import Loop
 
-REWRITE_INTERVAL_MS = (
-    30_000.0  # between two whole files; a list that stays the same has its age renewed by it
-)
-MAX_FILE_BYTES = 64 << 20  # bytes of a file that is read
+REWRITE_INTERVAL_MS = 30_000.0  # between two whole files; renews the age of a list that stays the same
+MAX_FILE_BYTES = 64 << 20  # that are read of a file
+MS_PER_S = 1e3
 
 
 class EndpointSnapshotFile:
+    """One allocator's file at `path`, for the machine list of `pool`.
+
+    A stored list older than `max_age_ms` is not used. `listing` is the list as it is known now, `log` takes an
+    event and its fields.
+    """
+
     def __init__(
         self,
         loop: Loop,
         path: Path,
         pool: str,
-        most_age_ms: float,
+        max_age_ms: float,
         listing: MachineListing,
         log: Callable[..., None],
     ) -> None:
-        self.loop, self.path, self.pool, self.max_age_ms = loop, path, pool, most_age_ms
-        self.listing, self.log = listing, log
-        self.file: BinaryIO | None = None  # that changes are added to
-        self.written_phases: dict[str, api.MachinePhase] = {}
-        self.is_live = False  # the directory tells the list just now
+        self.loop = loop
+        self.path = path
+        self.pool = pool
+        self.max_age_ms = max_age_ms
+        self.listing = listing
+        self.log = log
+        self.file: BinaryIO | None = None  # that deltas are appended to
+        self.written_phases: dict[str, api.MachinePhase] = {}  # by machine
+        self.is_live = False  # the directory sends the list just now
 
     def load(self) -> tuple[api.Machine, ...]:
-        """What it holds, if that may be used; else nothing, and the log says why."""
+        """The machines that the file holds; none, with the reason logged, if it may not be used."""
         try:
-            with self.path.open("rb") as file:
-                data = file.read(MAX_FILE_BYTES)
-            found = endpoint_snapshot.parse_snapshot(data)
-            wall = self.loop.clock.wall()
-            why = endpoint_snapshot.find_rejection_reason(found, self.pool, wall, self.max_age_ms)
-            told = endpoint_snapshot.restore_machines(found, self.loop.now(), wall) if why is None else ()
+            snapshot = self._read()
+            wall_ms = self.loop.clock.wall()
+            self._check_usable(snapshot, wall_ms)
+            machines = endpoint_snapshot.restore_machines(snapshot, self.loop.now(), wall_ms)
         except FileNotFoundError:
             return ()
         except OSError as error:
-            why, told = str(error.strerror), ()
+            self._log_rejection(str(error.strerror))
+            return ()
         except endpoint_snapshot.EndpointSnapshotError as error:
-            why, told = str(error), ()
-        if why is not None:
-            self.log("kept list not used", file=str(self.path), why=why)
-        else:
-            age = round((wall - found.at_ms) / 1e3, 1)
-            self.log("kept list used", file=str(self.path), machines=len(told), age_s=age)
-        return told
+            self._log_rejection(str(error))
+            return ()
+        age_s = round((wall_ms - snapshot.at_ms) / MS_PER_S, 1)
+        self.log("kept list used", file=str(self.path), machines=len(machines), age_s=age_s)
+        return machines
+
+    def _read(self) -> endpoint_snapshot.EndpointSnapshot:
+        with self.path.open("rb") as file:
+            data = file.read(MAX_FILE_BYTES)
+        return endpoint_snapshot.parse_snapshot(data)
+
+    def _check_usable(self, snapshot: endpoint_snapshot.EndpointSnapshot, wall_ms: float) -> None:
+        reason = endpoint_snapshot.find_rejection_reason(snapshot, self.pool, wall_ms, self.max_age_ms)
+        if reason is not None:
+            raise endpoint_snapshot.EndpointSnapshotError(reason)
+
+    def _log_rejection(self, reason: str) -> None:
+        self.log("kept list not used", file=str(self.path), why=reason)
 
     def record_update(self, event: api.MachineListUpdated) -> None:
-        """News of the directory, before anybody else hears of it."""
+        """Stores an update of the directory; called before anybody else learns of it."""
         if event.kind is api.ListUpdateKind.FAILED:
             self.is_live = False
         elif event.kind is api.ListUpdateKind.SNAPSHOT:
@@ -71,17 +91,19 @@
             self._append_deltas(event.machines)
 
     def start(self) -> None:
-        """Renews the file from time to time, while the list is live."""
+        """Rewrites the file every REWRITE_INTERVAL_MS while the directory sends the list."""
         self.loop.call_in(REWRITE_INTERVAL_MS, self.start)
         if self.is_live:
             self._rewrite()
 
     def _append_deltas(self, machines: tuple[api.Machine, ...]) -> None:
-        now, wall, lines = self.loop.now(), self.loop.clock.wall(), b""
+        now_ms = self.loop.now()
+        wall_ms = self.loop.clock.wall()
+        lines = b""
         for machine in machines:
             if self.written_phases.get(machine.name) is not machine.phase:
                 self.written_phases[machine.name] = machine.phase
-                lines += endpoint_snapshot.encode_delta(machine, now, wall)
+                lines += endpoint_snapshot.encode_delta(machine, now_ms, wall_ms)
         if lines and self.file is not None:
             try:
                 self.file.write(lines)
@@ -90,36 +112,36 @@
                 self._remove_stale_file(error)
 
     def _rewrite(self) -> None:
-        """An empty list is not written: it would take the place of one that was good."""
+        """Replaces the file. An empty list is not written: it would take the place of one that was good."""
         machines = self.listing.known
         if not machines:
             return
         self._close()
-        beside = self.path.with_name(self.path.name + ".new")
+        new_path = self.path.with_name(self.path.name + ".new")
+        data = endpoint_snapshot.encode_snapshot(
+            self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()
+        )
         try:
-            file = beside.open("wb")
-            self.file = file
-            file.write(
-                endpoint_snapshot.encode_snapshot(
-                    self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()
-                )
-            )
+            file = new_path.open("wb")
+            self.file = file  # stays open for deltas: `_close` ends it
+            file.write(data)
             file.flush()
-            os.replace(beside, self.path)
+            new_path.replace(self.path)
         except OSError as error:
             self._remove_stale_file(error)
             return
         self.written_phases = {name: machine.phase for name, machine in machines.items()}
 
     def _remove_stale_file(self, error: OSError) -> None:
-        """What the file holds may lack a drain by now. Harm: the next start has no list until it is told."""
+        """Removes a file that may lack a drain by now: the next start has no list until it is sent one."""
         self._close()
         self.log("kept list not written, removed", file=str(self.path), why=str(error.strerror))
         with contextlib.suppress(OSError):
             self.path.unlink()
 
     def _close(self) -> None:
-        file, self.file = self.file, None
+        file = self.file
+        self.file = None
         if file is not None:
             with contextlib.suppress(OSError):
                 file.close()
--- a/tests/flow_control/test_connection_limiter.py
+++ b/tests/flow_control/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""How many connections begin: bounds that hold at every instant, and what is left for set-ups."""
+"""Connection limits: bounds that hold at every instant, and what probes leave to set-ups."""
 
 from bisect import bisect_right
 from heapq import heapify, heappop, heappush
@@ -21,89 +21,87 @@
 
 
 def test_a_second_holds_no_more_than_the_rate_and_a_burst():
-    connecting, begun = ConnectionLimiter(), []
+    limiter, begun = ConnectionLimiter(), []
     for at in range(0, 5_000, 2):
-        while connecting.allows(float(at), HOSTS):
-            connecting.record_start((f"h{len(begun)}", 1), float(at))
-            connecting.record_end((f"h{len(begun)}", 1))
+        while limiter.allows(float(at), HOSTS):
+            limiter.record_start((f"h{len(begun)}", 1), float(at))
+            limiter.record_end((f"h{len(begun)}", 1))
             begun.append(at)
     for start in range(0, 4_000, 250):
         assert sum(start <= at < start + 1_000 for at in begun) <= HOSTS * (1.0 + BURST_S) + 1
     assert len(begun) > 4.9 * HOSTS
 
 
-def test_looks_leave_half_to_set_ups():
-    connecting = ConnectionLimiter()
+def test_probes_leave_half_to_set_ups():
+    limiter = ConnectionLimiter()
     for count in range(10_000):
-        if not connecting.allows(0.0, 10, is_probe=True):
+        if not limiter.allows(0.0, 10, is_probe=True):
             break
-        connecting.record_start((f"h{count}", 1), 0.0)
-    assert count <= MIN_CONNECTING / 2 and connecting.allows(0.0, 10)
-    assert connecting.rejected_count == 1
+        limiter.record_start((f"h{count}", 1), 0.0)
+    assert count <= MIN_CONNECTING / 2 and limiter.allows(0.0, 10)
+    assert limiter.rejected_count == 1
 
 
-def test_more_hosts_allow_more_and_the_rest_of_the_tokens_goes():
+def test_more_hosts_raise_the_rate_but_not_the_first_burst():
     few, many = ConnectionLimiter(), ConnectionLimiter()
 
-    def count(one, hosts):
+    def start_all(limiter, host_count):
         begun = 0
-        while one.allows(0.0, hosts):
-            one.record_start(("h", begun), 0.0)
+        while limiter.allows(0.0, host_count):
+            limiter.record_start(("h", begun), 0.0)
             begun += 1
         return begun
 
-    assert count(few, 10) == BURST_S * MIN_RATE_PER_S  # tokens first, then what comes up
-    assert count(many, 4_000) == BURST_S * MIN_RATE_PER_S  # a larger list fills up over time, not at once
+    assert start_all(few, 10) == BURST_S * MIN_RATE_PER_S  # tokens first, then what comes up
+    assert start_all(many, 4_000) == BURST_S * MIN_RATE_PER_S  # a larger list fills up over time, not at once
     assert many.allows(1_000.0, 4_000)
 
 
-def test_many_allocators_look_less_often_each():
+def test_many_allocators_probe_less_often_each():
     assert probe_interval_ms(16) == 500.0  # below the second that one alone keeps
     assert probe_interval_ms(64) == 2_000.0 and probe_interval_ms(300) == probe_interval_ms(10_000) == 3_000.0
 
 
-def test_one_address_is_shared_until_one_has_ended():
-    connecting, address = ConnectionLimiter(), ("h", 1)
+def test_an_address_is_saturated_until_one_has_ended():
+    limiter, address = ConnectionLimiter(), ("h", 1)
     for _ in range(MAX_CONNECTING_PER_ADDRESS):
-        assert not connecting.is_saturated(address)
-        connecting.record_start(address, 0.0)
-    assert connecting.is_saturated(address) and not connecting.is_saturated(("h", 2))
-    connecting.record_end(address)
-    assert (
-        not connecting.is_saturated(address) and connecting.connecting_count == MAX_CONNECTING_PER_ADDRESS - 1
-    )
+        assert not limiter.is_saturated(address)
+        limiter.record_start(address, 0.0)
+    assert limiter.is_saturated(address) and not limiter.is_saturated(("h", 2))
+    limiter.record_end(address)
+    assert not limiter.is_saturated(address) and limiter.connecting_count == MAX_CONNECTING_PER_ADDRESS - 1
 
 
 @pytest.mark.parametrize("count", [50, 300])
-def test_hundreds_come_back_to_a_host_spread(count):
-    """By model: a host resets all of them at once. Before, all were back in the same instant each time."""
-    tries = []
-    for i in range(count):
-        asking, at = Backoff(HOST_BACKOFF, Random(i)), 0.0
-        while at < 5_000.0:
-            at += asking.next_delay_ms()
-            tries.append(at)
-    assert max(sum(at <= t < at + 10.0 for t in tries) for at in range(0, 4_990, 10)) < 0.2 * count
-    late = sum(1_000.0 <= t < 4_000.0 for t in tries) / 3.0 / count
-    assert 1.1 < late < 1.5  # a second each, in the mean as before (1.25)
-
-
-def test_a_host_that_takes_ten_connections_a_second_is_up_for_all_as_soon_as_it_can():
-    """300 allocators have something there at one moment; who is not let in hears nothing for a connect's time."""
-    count, rate, connect_ms = 300, 10, 250.0
-    asking = [Backoff(HOST_BACKOFF, Random(i)) for i in range(count)]
-    tries = [(0.0, i) for i in range(count)]
-    heapify(tries)
-    asked, let_in = [], []
-    while tries:
-        at, i = heappop(tries)
-        asked.append(at)
-        recent = len(let_in) - bisect_right(let_in, at - 1_000.0)
-        if recent < rate:
-            let_in.append(at)
+def test_hundreds_reconnect_to_a_host_spread(count):
+    """A model of a host that resets all at once. Without jitter all were back in the same instant each time."""
+    attempts = []
+    for seed in range(count):
+        backoff, at_ms = Backoff(HOST_BACKOFF, Random(seed)), 0.0
+        while at_ms < 5_000.0:
+            at_ms += backoff.next_delay_ms()
+            attempts.append(at_ms)
+    assert max(sum(at <= t < at + 10.0 for t in attempts) for at in range(0, 4_990, 10)) < 0.2 * count
+    late = sum(1_000.0 <= t < 4_000.0 for t in attempts) / 3.0 / count
+    assert 1.1 < late < 1.5  # attempts a second each; 1.25 on average
+
+
+def test_a_host_that_accepts_ten_a_second_is_up_for_all_as_soon_as_it_can():
+    """300 allocators connect at one moment; one that is not accepted waits for the connect timeout."""
+    count, rate_per_s, connect_timeout_ms = 300, 10, 250.0
+    backoffs = [Backoff(HOST_BACKOFF, Random(seed)) for seed in range(count)]
+    attempts = [(0.0, i) for i in range(count)]
+    heapify(attempts)
+    attempted, accepted = [], []
+    while attempts:
+        at, i = heappop(attempts)
+        attempted.append(at)
+        recent = len(accepted) - bisect_right(accepted, at - 1_000.0)
+        if recent < rate_per_s:
+            accepted.append(at)
         else:
-            heappush(tries, (at + connect_ms + asking[i].next_delay_ms(), i))
-    assert let_in[-1] < 1.1e3 * count / rate  # no second goes by unused
-    later = [at for at in asked if 3_000.0 <= at < 13_000.0]
-    assert len(later) / 10.0 < 1.1 * count  # a try a second each, not one a millisecond
+            heappush(attempts, (at + connect_timeout_ms + backoffs[i].next_delay_ms(), i))
+    assert accepted[-1] < 1.1e3 * count / rate_per_s  # no second goes by unused
+    later = [at for at in attempted if 3_000.0 <= at < 13_000.0]
+    assert len(later) / 10.0 < 1.1 * count  # an attempt a second each, not one a millisecond
     assert busiest(later, 100.0) < 0.25 * count
