--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -202,10 +202,12 @@
 
     def _poll_shutdown(self) -> None:
         """Looks at all there is by asking the system: after a standstill no event tells of it yet."""
-        came, half = self.clients.read_everything_pending()
+        pending = self.clients.read_everything_pending()
         seen = ShutdownObservation(
             has_open_calls=bool(self.exchange.open),
-            has_unhandled_data=came or half or self.clients.has_unsent_data,
+            has_unhandled_data=pending.has_arrivals
+            or pending.has_partial_message
+            or self.clients.has_unsent_data,
             has_undelivered_releases=bool(self.clients.undelivered_releases) or self.hosts.cutting,
         )
         state = self.shutdown.observe(self.loop.now(), seen)
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -25,8 +25,8 @@
 class EndpointSnapshotFile:
     """One allocator's file at `path`, for the machine list of `pool`.
 
-    A stored list older than `max_age_ms` is not used. `listing` is the list as it is known now, `log` takes an
-    event and its fields.
+    A stored list older than `max_age_ms` is not used. `listing` is the list as it is known now, `log` takes
+    an event and its fields.
     """
 
     def __init__(
--- a/tests/platform_server/test_watch_client.py
+++ b/tests/platform_server/test_watch_client.py
@@ -1,4 +1,4 @@
-"""The watch on the list: a channel that drips, one that is slow, one that moves. The path is test_node.py's."""
+"""The watch on the machine list: a channel that drips, one that is slow, one whose address changes."""
 
 import pytest
 
@@ -7,64 +7,66 @@
 from tests.platform_server.test_platform_server import Tower, list_event
 
 
-def follow(world, pace, script):
-    tower, told = Tower(world.loop, script), []
-    made = watch_client.WatchClient(
+def follow(world, policy, script):
+    tower, changes = Tower(world.loop, script), []
+    client = watch_client.WatchClient(
         world.loop,
         world.channel,
-        Backoff(pace, world.hosts.random),
+        Backoff(policy, world.hosts.random),
         tower.address,
-        told.append,
+        changes.append,
         world.logs.append,
     )
-    return tower, told, made
+    return tower, changes, client
 
 
-def test_a_channel_that_drips_half_a_line_is_silent(world, monkeypatch):
+def test_a_channel_that_drips_a_partial_line_is_silent(world, monkeypatch):
     monkeypatch.setattr(watch_client, "SILENCE_TIMEOUT_MS", 120.0)
-    tower, told, _ = follow(
+    tower, changes, _ = follow(
         world, BackoffPolicy(1.0, 1.0, 9e9), lambda n: list_event(1) if n == 1 else list_event(2)
     )
-    world.until(lambda: told)
+    world.until(lambda: changes)
 
     def drip():
         if tower.streams[0].closed is None and tower.streams[0].put(b" "):
             world.loop.call_in(2.0, drip)
 
     drip()
-    world.until(lambda: len(told) == 2, ms=1_000.0)
+    world.until(lambda: len(changes) == 2, ms=1_000.0)
     assert tower.got[:2] == [b"resume 0\n", b"resume 1\n"]
 
 
 def test_a_long_list_that_comes_slowly_is_not_silent(world, monkeypatch):
     monkeypatch.setattr(watch_client, "SILENCE_TIMEOUT_MS", 120.0)
     monkeypatch.setattr(watch_client, "PROGRESS_BYTES", 100)
-    tower, told, made = follow(world, BackoffPolicy(1.0, 1.0, 9e9), lambda n: b" " * 64)
+    tower, changes, client = follow(world, BackoffPolicy(1.0, 1.0, 9e9), lambda n: b" " * 64)
 
-    def more(left=40):
+    def send_more(remaining=40):
         if tower.streams[0].closed is None:
-            tower.streams[0].put(b" " * 64 if left else list_event(1))
-            if left:
-                world.loop.call_in(10.0, lambda: more(left - 1))
+            tower.streams[0].put(b" " * 64 if remaining else list_event(1))
+            if remaining:
+                world.loop.call_in(10.0, lambda: send_more(remaining - 1))
 
     world.until(lambda: tower.got)
-    more()
-    world.until(lambda: told, ms=2_000.0)
-    assert made.disconnect_count == 0
+    send_more()
+    world.until(lambda: changes, ms=2_000.0)
+    assert client.disconnect_count == 0
 
 
-@pytest.mark.parametrize("when", ["backs off", "connects"])
-def test_a_move_is_not_held_up_by_what_the_old_address_did(world, when):
-    """Held: the wait before the next try would be ten minutes."""
-    pace = BackoffPolicy(600_000.0, 600_000.0, 9e9)
-    tower, told, made = follow(world, pace, lambda n: list_event(1))
-    world.until(lambda: told)
+@pytest.mark.parametrize("when", ["backs off", "connects"], ids=["while backing off", "while connecting"])
+def test_a_change_of_address_is_not_delayed_by_failures_of_the_old_one(world, when):
+    """The delay before the next attempt would be ten minutes."""
+    policy = BackoffPolicy(600_000.0, 600_000.0, 9e9)
+    tower, changes, client = follow(world, policy, lambda n: list_event(1))
+    world.until(lambda: changes)
     new = Tower(world.loop, lambda n: list_event(2))
     tower.streams[0].close()
-    world.until(lambda: made.retry_pause.asleep)
-    made.backoff.policy = BackoffPolicy(1.0, 600_000.0, 9e9)  # what a move draws its wait from
+    world.until(lambda: client.retry_pause.asleep)
+    client.backoff.policy = BackoffPolicy(
+        1.0, 600_000.0, 9e9
+    )  # what a change of address draws its delay from
     if when == "connects":
-        made.retry_pause.end()  # the try at the old one has been begun by nobody yet
-    made.change_address(new.address)
-    world.until(lambda: len(told) == 2)
+        client.retry_pause.end()  # the attempt at the old address has not begun yet
+    client.change_address(new.address)
+    world.until(lambda: len(changes) == 2)
     assert new.got == [b"resume 1\n"]
