--- a/glencleat/platform_server/__init__.py
+++ b/glencleat/platform_server/__init__.py
@@ -1,4 +1,5 @@
-"""The live path's sockets and process: owners' listener, links to hosts, the command channel, signals.
+"""The platform's allocator process: client listener, host connections, command channel, signals.
 
-Imports the kernel and `glencleat/platform_protocol/`. `python -m glencleat node` starts it;
-nothing else is imported."""
+Imports the event loop and `glencleat/platform_protocol/`. `python -m glencleat node` starts it and imports
+nothing else.
+"""
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -193,7 +193,7 @@
             if self.read_pending(client) or client.inbox.waiting:
                 has_arrivals = True
         has_partial_message = any(client.partial_message is not None for client in self.connections)
-        return PendingInput(has_arrivals=has_arrivals, has_partial_message=has_partial_message)
+        return PendingInput(has_arrivals, has_partial_message)
 
     @property
     def has_unsent_data(self) -> bool:
@@ -219,9 +219,8 @@
         inbox = client.inbox
         try:
             while inbox.waiting or not inbox.ended:
-                has_arrivals = client.stream.readable and self._read_available(
-                    client, READ_BYTES, exact=False
-                )
+                is_readable = client.stream.readable
+                has_arrivals = is_readable and self._read_available(client, READ_BYTES, exact=False)
                 if inbox.ended or client.stream.closed is not None:
                     inbox.ended = True
                     self.exchange.owner_gone(client)  # before what lies unread: it may be set-ups
@@ -322,7 +321,7 @@
             self.exchange.owner_releases(client, message)
         elif message.kind == m.TEST:
             is_accepting = not self.is_draining and self.is_ready()
-            self._write(client, m.caused(m.TESTED, message.task, int(is_accepting)))
+            client.stream.put(m.caused(m.TESTED, message.task, int(is_accepting)))
 
     def _handle_setup(
         self, client: ClientConnection, message: m.PlatformMessage, arrived: float | None
@@ -338,12 +337,7 @@
 
         After a stall all that waited comes at once, with deadlines that would else seem fresh.
         """
-        if arrived is None:
-            return 0.0
-        return min(MAX_QUEUED_MS, max(0.0, self.loop.clock.wall() - arrived))
-
-    def _write(self, client: ClientConnection, data: bytes) -> bool:
-        return client.stream.put(data)
+        return 0.0 if arrived is None else min(MAX_QUEUED_MS, max(0.0, self.loop.clock.wall() - arrived))
 
     def proves(self, owner: ClientConnection) -> None:
         """Marks a connection by which a task was placed: releases may be sent on it."""
@@ -354,11 +348,11 @@
             self.proven_count += 1
         self.descriptors.update_priority(owner)
         while self.undelivered_releases and owner.stream.closed is None:
-            self._write(owner, self.undelivered_releases.popleft().data)
+            owner.stream.put(self.undelivered_releases.popleft().data)
 
     def to_owner(self, owner: ClientConnection | None, data: bytes, owed: bool) -> None:
         """Sends to a client; what is `owed` goes by another connection, or the next, if that one is gone."""
-        if owner is not None and not (owed and self._has_ended(owner)) and self._write(owner, data):
+        if owner is not None and not (owed and self._has_ended(owner)) and owner.stream.put(data):
             self.descriptors.update_priority(owner)
             return
         if owed:
@@ -371,7 +365,7 @@
         """
         proven = [client for client in self.connections if client.is_proven]
         for client in sorted(proven, key=lambda client: client.last_used_ms, reverse=True):
-            if not self._has_ended(client) and self._write(client, data):
+            if not self._has_ended(client) and client.stream.put(data):
                 return
         self.undelivered_releases.append(UndeliveredRelease(self.loop.now(), data))
 
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -1,7 +1,7 @@
-"""One allocator on the platform: configuration, joined parts, signals, the end.
+"""The allocator process on the platform: configuration, the joined parts, signals, the end.
 
-Started by `python -m glencleat node`, reading ROUTER_CONFIG. Exit codes: 0 after SIGTERM, 2 for a
-configuration that can't be used, 3 when the system refuses (an address in use)."""
+Started by `python -m glencleat node`, which reads the file named by ROUTER_CONFIG.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from glencleat.platform_protocol.delivery import DeliveryOutcome
 from glencleat.platform_protocol.exchange import Exchange, SetupAttempt
 from glencleat.platform_protocol.messages import PeerError
-from glencleat.platform_server.client_connections import ClientConnections
+from glencleat.platform_server.client_connections import ClientConnection, ClientConnections
 from glencleat.platform_server.connection_pool import ConnectionPool
 from glencleat.platform_server.graceful_shutdown import (
     ADMISSION_WINDOW_MS,
@@ -38,12 +38,20 @@
 from glencleat.platform_settings import read_settings
 from glencleat.policy.scheduler import Scheduler
 
-SHUTDOWN_POLL_MS = 10.0  # between two looks whether all is answered
+SHUTDOWN_POLL_MS = 10.0  # between two quiescence checks
 # After the start: nine in ten have to be ready within 10 s, whether discovery is up or not. Sooner would cost
-# what is asked of an allocator that has no host and is told one a moment later.
+# the requests to an allocator that has no host and learns of one a moment later.
 READY_WITHOUT_HOSTS_MS = 7_000.0
-RELOAD_RETRY_MS, MAX_RELOAD_ATTEMPTS = 100.0, 20  # the file may be read while it is replaced
+RELOAD_RETRY_MS = 100.0  # the file may be read while it is replaced
+MAX_RELOAD_ATTEMPTS = 20
 STATUS_INTERVAL_MS = 10_000.0
+TRACE_MAX_LINES_PER_S = 1 << 30  # all of them
+TRACE_MAX_LINE_CHARACTERS = 500
+FAULT_FRAMES = 5  # of a traceback that are logged, innermost first
+BYTES_PER_KB = 1024
+EXIT_STOPPED = 0  # after SIGTERM
+EXIT_BAD_CONFIG = 2
+EXIT_CANNOT_LISTEN = 3  # the system refuses, as for an address in use
 
 
 class ProcessConfigError(Exception):
@@ -52,6 +60,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessConfig:
+    """What the configuration file says; times in milliseconds."""
+
     name: str
     listen_address: tuple[str, int]
     seed: int
@@ -64,9 +74,9 @@
 
 
 def load_config(path: str) -> ProcessConfig:
-    """Reads and checks the file that ROUTER_CONFIG names; raises BadConfig."""
+    """Reads and checks the file that ROUTER_CONFIG names; raises ProcessConfigError."""
     try:
-        with open(path, "rb") as file:
+        with open(path, "rb") as file:  # noqa: PTH123 - pathlib would cost six modules at the start
             raw = msgspec.json.decode(file.read())
         limits = raw["settings"]["limits"]
         return ProcessConfig(
@@ -81,108 +91,126 @@
             idle_timeout_ms=float(limits["conn-idle-ms"]),
         )
     except OSError as error:
-        raise ProcessConfigError(f"{path}: {error.strerror}") from None
+        raise ProcessConfigError(f"{path}: {error.strerror}") from error
     except PeerError as error:
-        raise ProcessConfigError(f"{path}: {error}") from None
+        raise ProcessConfigError(f"{path}: {error}") from error
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-        raise ProcessConfigError(f"{path}: {type(error).__name__}: {error}") from None
+        raise ProcessConfigError(f"{path}: {type(error).__name__}: {error}") from error
 
 
 class PlatformProcess:
-    """The parts joined; the exchange's Ports."""
+    """The joined parts of an allocator; implements the ports that the exchange asks of the sockets."""
 
     def __init__(self, config: ProcessConfig, loop: Loop, log: Callable[[str], None], path: str) -> None:
-        self.loop, self.log, self.config_path = loop, log, path
+        self.loop = loop
+        self.log = log
+        self.config_path = path
+        self.started_at_ms = loop.now()
+        self.reload_attempts = 0
+        self.fault_count = 0
+        self.longest_round_ms = 0.0  # since the last status line
+        self.shutdown = GracefulShutdown()
+        random = Random(config.seed)
         self.channel = CommandChannel(loop.clock.wall() - loop.now())
         self.descriptors = DescriptorBudget(config.descriptor_limit)
         self.clients = ClientConnections(loop, self.descriptors, log)
-        random = Random(config.seed)
         limits = config.connect_timeout_ms, config.idle_timeout_ms
         self.hosts = ConnectionPool(loop, self.channel, self.descriptors, *limits, random, log)
-        self.started_at_ms = loop.now()
-        self.clients.is_ready = self.is_ready
-        self.hosts.peers, self.hosts.cold_ms = config.settings.allocator_count, config.settings.warm_up_ms
-        module = Scheduler(config.settings, config.seed)
-        self.exchange = Exchange(config.settings, module, self, config.connect_timeout_ms)
-        self.exchange.machines = self.channel.machines
-        self.clients.exchange = self.hosts.exchange = self.exchange
-        for news in self.channel.begin(config.known_commands, loop.now()):
-            self.list_told(news)
-        asking = Backoff(COMMAND_CHANNEL_BACKOFF, random)
+        self.exchange = self._join_exchange(config)
+        for change in self.channel.begin(config.known_commands, loop.now()):
+            self.list_told(change)
+        backoff = Backoff(COMMAND_CHANNEL_BACKOFF, random)
         self.watch_client = WatchClient(
-            loop, self.channel, asking, config.channel_address, self.list_told, log
+            loop, self.channel, backoff, config.channel_address, self.list_told, log
         )
-        self.reload_attempts = 0
-        self.fault_count = 0
         if os.environ.get("GLENCLEAT_TRACE") == "1":
             self._install_trace()
-        self.longest_round_ms = 0.0
-        self.shutdown = GracefulShutdown()
+
+    def _join_exchange(self, config: ProcessConfig) -> Exchange:
+        policy = Scheduler(config.settings, config.seed)
+        exchange = Exchange(config.settings, policy, self, config.connect_timeout_ms)
+        exchange.machines = self.channel.machines
+        self.clients.exchange = exchange
+        self.clients.is_ready = self.is_ready
+        self.hosts.exchange = exchange
+        self.hosts.peers = config.settings.allocator_count
+        self.hosts.cold_ms = config.settings.warm_up_ms
+        return exchange
 
     def is_ready(self) -> bool:
-        """There is somewhere to place, or there was no list for too long: what is asked is then refused at
-        once, which costs its owners a moment, while one that is never ready counts as failed to start."""
+        """Whether there is somewhere to place, or there was no machine list for too long.
+
+        In the second case requests are rejected at once, which costs their clients a moment, while a process
+        that is never ready counts as failed to start.
+        """
         return bool(self.channel.hosts) or self.loop.now() - self.started_at_ms > READY_WITHOUT_HOSTS_MS
 
     def _install_trace(self) -> None:
-        from glencleat.platform_server.trace import Trace
+        from glencleat.platform_server.trace import Trace  # not loaded in a process that is not traced
 
-        line, contract = (
-            RateLimitedLog("trace", max_lines_per_s=1 << 30, max_characters=500),
-            self.exchange.contract,
+        contract = self.exchange.contract
+        write_line = RateLimitedLog(
+            "trace",
+            max_lines_per_s=TRACE_MAX_LINES_PER_S,
+            max_characters=TRACE_MAX_LINE_CHARACTERS,
         )
-        contract.module = trace = Trace(contract.module, self.exchange.calls, line)
-        self.clients.trace = self.hosts.trace = trace
+        trace = Trace(contract.module, self.exchange.calls, write_line)
+        contract.module = trace
+        self.clients.trace = trace
+        self.hosts.trace = trace
 
-    # ---- Ports ----
+    # ---- ExchangePorts, documented there ----
 
-    def to_owner(self, owner: Any, data: bytes, owed: bool) -> None:
+    def to_owner(self, owner: ClientConnection | None, data: bytes, owed: bool) -> None:  # noqa: D102
         self.clients.to_owner(owner, data, owed)
 
-    def waits(self, owner: Any, task: int, exact: bool) -> bool:
+    def waits(self, owner: ClientConnection, task: int, exact: bool) -> bool:  # noqa: D102
         return self.clients.waits(owner, task, exact)
 
-    def proves(self, owner: Any) -> None:
+    def proves(self, owner: ClientConnection) -> None:  # noqa: D102
         self.clients.proves(owner)
 
-    def offer(self, attempt: SetupAttempt) -> None:
+    def offer(self, attempt: SetupAttempt) -> None:  # noqa: D102
         self.hosts.offer(attempt)
 
-    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:
+    def cancel(self, attempt: SetupAttempt) -> DeliveryOutcome:  # noqa: D102
         return self.hosts.cancel(attempt)
 
-    def unread(self, attempt: SetupAttempt) -> bool:
+    def unread(self, attempt: SetupAttempt) -> bool:  # noqa: D102
         return self.hosts.unread(attempt)
 
-    def cut(self, host: str, task: int) -> None:
+    def cut(self, host: str, task: int) -> None:  # noqa: D102
         self.hosts.cut(host, task)
 
-    def test(self, host: str, token: int) -> bool:
+    def test(self, host: str, token: int) -> bool:  # noqa: D102
         return self.hosts.test(host, token)
 
-    def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
+    def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:  # noqa: D102
         return self.loop.call_in(in_ms, call)
 
-    def now(self) -> float:
+    def now(self) -> float:  # noqa: D102
         return self.loop.now()
 
-    # ---- the list ----
+    # ---- machine list ----
+
+    def list_told(self, change: ListChange) -> None:
+        """Passes on a change of the machine list.
 
-    def list_told(self, news: ListChange) -> None:
-        # The module first: what stood at a host that was replaced is then bound anew by the newer list.
-        self.exchange.list_told(news)
-        self.hosts.list_told(news)
+        The policy first: tasks that ran at a host that was replaced are then bound anew by the newer list.
+        """
+        self.exchange.list_told(change)
+        self.hosts.list_told(change)
 
     # ---- signals ----
 
     def reload(self) -> None:
-        """SIGHUP: the channel's address; anything else of the file belongs to the start."""
+        """On SIGHUP takes the command channel's address from the file; the rest counts at the start only."""
         self.reload_attempts = 0
         self._reload_config()
 
     def _reload_config(self) -> None:
         try:
-            place = load_config(self.config_path).channel_address
+            channel_address = load_config(self.config_path).channel_address
         except ProcessConfigError as error:
             self.reload_attempts += 1
             if self.reload_attempts < MAX_RELOAD_ATTEMPTS:
@@ -190,27 +218,27 @@
             else:
                 self.log(f"the new configuration can't be used, the old one goes on: {error}")
             return
-        self.log(f"configuration read again, command channel at {place[0]}:{place[1]}")
-        self.watch_client.change_address(place)
+        host, port = channel_address
+        self.log(f"configuration read again, command channel at {host}:{port}")
+        self.watch_client.change_address(channel_address)
 
     def begin_shutdown(self) -> None:
-        """SIGTERM: `draining.py` says when all is over."""
+        """On SIGTERM starts draining; `graceful_shutdown.py` says when the process may end."""
         if self.shutdown.begin(self.loop.now()):
             self.clients.is_draining = True
             self.log(f"stopping, {self.exchange.open} calls open")
             self.loop.call_in(ADMISSION_WINDOW_MS, self._poll_shutdown)
 
     def _poll_shutdown(self) -> None:
-        """Looks at all there is by asking the system: after a standstill no event tells of it yet."""
+        """Makes a quiescence check by asking the system: after a stall no event tells what has arrived."""
         pending = self.clients.read_everything_pending()
-        seen = ShutdownObservation(
+        has_unsent_data = self.clients.has_unsent_data
+        observation = ShutdownObservation(
             has_open_calls=bool(self.exchange.open),
-            has_unhandled_data=pending.has_arrivals
-            or pending.has_partial_message
-            or self.clients.has_unsent_data,
+            has_unhandled_data=pending.has_arrivals or pending.has_partial_message or has_unsent_data,
             has_undelivered_releases=bool(self.clients.undelivered_releases) or self.hosts.cutting,
         )
-        state = self.shutdown.observe(self.loop.now(), seen)
+        state = self.shutdown.observe(self.loop.now(), observation)
         if state is not ShutdownState.DRAINING:
             self.clients.close()
         if state is ShutdownState.CLOSED:
@@ -245,60 +273,72 @@
         )
 
     def run(self) -> None:
-        """Until stopped. A fault of ours in one event is told and counted; the others go on."""
+        """Runs until stopped. An error of ours in one event is logged and counted; the others go on."""
         self.loop.on_error = lambda task, error: self._record_fault(error)
         self.loop.running = True
         while self.loop.running:
-            began, idle = self.loop.now(), self.loop.poller.idle_ms
+            began_ms = self.loop.now()
+            idle_before_ms = self.loop.poller.idle_ms
             try:
                 self.loop.round()
             except Exception as error:
                 self._record_fault(error)
-            self.longest_round_ms = max(
-                self.longest_round_ms, self.loop.now() - began - (self.loop.poller.idle_ms - idle)
-            )
+            idle_ms = self.loop.poller.idle_ms - idle_before_ms
+            self.longest_round_ms = max(self.longest_round_ms, self.loop.now() - began_ms - idle_ms)
 
     def _record_fault(self, error: BaseException) -> None:
         self.fault_count += 1
-        frames = reversed(traceback.extract_tb(error.__traceback__)[-5:])
+        frames = reversed(traceback.extract_tb(error.__traceback__)[-FAULT_FRAMES:])
         where = " < ".join(f"{frame.name}:{frame.lineno}" for frame in frames)
         self.log(f"FAULT {type(error).__name__}: {error} at {where}")
 
 
 def resident_size() -> str:
-    """Resident size in kB, as the system tells it."""
-    with open("/proc/self/statm", "rb") as file:
-        return f"{int(file.read().split()[1]) * os.sysconf('SC_PAGE_SIZE') // 1024} kB"
+    """The resident size of this process in kB, as the system reports it."""
+    with open("/proc/self/statm", "rb") as file:  # noqa: PTH123 - pathlib would cost six modules at the start
+        resident_pages = int(file.read().split()[1])
+    return f"{resident_pages * os.sysconf('SC_PAGE_SIZE') // BYTES_PER_KB} kB"
+
+
+def _report(text: str) -> None:
+    print(f"glencleat node: {text}", file=sys.stderr)
+
+
+def _create_process(path: str, log: Callable[[str], None]) -> tuple[ProcessConfig, PlatformProcess]:
+    """The process by the file at `path`; raises ProcessConfigError, PeerError or ValueError."""
+    try:
+        config = load_config(path)
+        return config, PlatformProcess(config, Loop(), log, path)
+    except (LookupError, TypeError, AttributeError, ArithmeticError) as error:
+        # Settings of a form that nothing here was made for: unusable, and no fault to be traced.
+        raise ProcessConfigError(f"{path}: {type(error).__name__}: {error}") from error
 
 
 def main() -> int:
+    """Runs `python -m glencleat node`; returns its exit code."""
     signals = Signals()
     log = RateLimitedLog(os.environ.get("ROUTER_NAME", "node"))
     path = os.environ.get("ROUTER_CONFIG")
     if path is None:
-        print("glencleat node: ROUTER_CONFIG is not set; expected the path of a file", file=sys.stderr)
-        return 2
+        _report("ROUTER_CONFIG is not set; expected the path of a file")
+        return EXIT_BAD_CONFIG
     try:
-        config = load_config(path)
-        process = PlatformProcess(config, Loop(), log, path)
+        config, process = _create_process(path, log)
     except (ProcessConfigError, PeerError, ValueError) as error:
-        print(f"glencleat node: {error}", file=sys.stderr)
-        return 2
-    except (LookupError, TypeError, AttributeError, ArithmeticError) as error:
-        # Settings of a form that nothing here was made for: as good as none, and no fault to be traced.
-        print(f"glencleat node: {path}: {type(error).__name__}: {error}", file=sys.stderr)
-        return 2
+        _report(str(error))
+        return EXIT_BAD_CONFIG
     signals.follow(process.loop, process.begin_shutdown, process.reload)
     try:
-        bound = process.clients.listen(config.listen_address)
+        bound_host, bound_port = process.clients.listen(config.listen_address)
     except OSError as error:
-        place = f"{config.listen_address[0]}:{config.listen_address[1]}"
-        print(f"glencleat node: can't listen on {place}: {error.strerror}", file=sys.stderr)
-        return 3
+        host, port = config.listen_address
+        _report(f"can't listen on {host}:{port}: {error.strerror}")
+        return EXIT_CANNOT_LISTEN
     gc.collect()
     gc.freeze()
-    log(f"listening on {bound[0]}:{bound[1]}, {len(process.channel.hosts)} hosts known, {resident_size()}")
+    host_count = len(process.channel.hosts)
+    log(f"listening on {bound_host}:{bound_port}, {host_count} hosts known, {resident_size()}")
     process.log_status()
     process.run()
     log(f"stopped, {process.exchange.open} open")
-    return 0
+    return EXIT_STOPPED
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -1,7 +1,9 @@
-"""Belief against fact: with GLENCLEAT_TRACE=1 every event and action of the module and every message of the
-links is one line on standard error. Off by default; a line that standard error would not take is dropped.
+"""A trace for debugging: with GLENCLEAT_TRACE=1 each decision and each message is a line on standard error.
 
-Imports the interface and messages. `pair` in a line is the platform's id: `grep ID` shows both sides."""
+A decision is an event with the actions of the policy; messages are those of client and host connections. Off
+by default; a line that standard error would not take is dropped. `pair` in a line is the platform's id:
+`grep ID` shows both sides. Imports the interface and messages.
+"""
 
 from __future__ import annotations
 
@@ -15,30 +17,35 @@
 if TYPE_CHECKING:
     from glencleat.platform_protocol.exchange import SetupCall
 
-QUIET_EVENTS = (
-    api.TimerFired,
-    api.MachineListUpdated,
-    api.TaskObserved,
-)  # told only where the module answers with more than a timer
+# Traced only where the policy answers with more than a timer.
+QUIET_EVENTS = (api.TimerFired, api.MachineListUpdated, api.TaskObserved)
+NO_CALL = -1  # for events and actions that are of no call
 
 
 class Trace:
-    """A module around the real one, which it asks; `message` is for what passes on the sockets."""
+    """A decision module that wraps the real one and traces what it is asked and answers.
+
+    `calls` are the open calls by number, `write_line` takes a line of text.
+    """
 
     def __init__(
-        self, module: DecisionModule, calls: dict[int, SetupCall], line: Callable[[str], None]
+        self, module: DecisionModule, calls: dict[int, SetupCall], write_line: Callable[[str], None]
     ) -> None:
-        self.module, self.calls, self.write_line = module, calls, line
+        self.module = module
+        self.calls = calls
+        self.write_line = write_line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Asks the real module and traces its answer."""
         actions = self.module.handle(now_ms, event)
         if isinstance(event, QUIET_EVENTS) and all(isinstance(action, api.SetTimer) for action in actions):
             return actions
-        calls = [self.calls.get(getattr(said, "call", -1)) for said in (event, *actions)]
+        calls = [self.calls.get(getattr(item, "call_id", NO_CALL)) for item in (event, *actions)]
         pairs = {f"{call.setup.task:016x}" for call in calls if call is not None}
-        told = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
-        self.write_line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
+        subject = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
+        self.write_line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {subject} -> {actions}")
         return actions
 
-    def record_message(self, where: str, message: m.PlatformMessage) -> None:
-        self.write_line(f"{where} pair {message.task:016x}: {message.kind} {message.parameters}")
+    def record_message(self, side: str, message: m.PlatformMessage) -> None:
+        """Traces a message received on a connection of `side`."""
+        self.write_line(f"{side} pair {message.task:016x}: {message.kind} {message.parameters}")
