--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -15,8 +15,14 @@
 
 from glencleat.event_loop import Loop
 from glencleat.platform_protocol import messages as m
+from glencleat.platform_server.client_connections import MESSAGE_TIMEOUT_MS
 from glencleat.platform_server.graceful_shutdown import ADMISSION_WINDOW_MS
-from glencleat.platform_server.process import READY_WITHOUT_HOSTS_MS, PlatformProcess, load_config
+from glencleat.platform_server.process import (
+    READY_WITHOUT_HOSTS_MS,
+    SHUTDOWN_POLL_MS,
+    PlatformProcess,
+    load_config,
+)
 from tests.support.exchange_world import setup
 
 SETTINGS = {
@@ -246,21 +252,6 @@
     assert platform.process.wait(20.0) == 0
 
 
-def test_half_a_message_is_waited_for_and_what_came_too_late_is_refused(platform):
-    platform.hold.set()
-    sock, reader = platform.owner()
-    sock.send(setup(7)[:30])
-    platform.process.send_signal(signal.SIGTERM)
-    platform.line("stopping, 0 calls open")
-    with pytest.raises(ConnectionRefusedError):
-        while True:  # until the window is over and nobody is let in
-            socket.create_connection(platform.address).close()
-    sock.send(setup(7)[30:])
-    told = reader.next()
-    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.FULL)
-    assert platform.process.wait(20.0) == 0
-
-
 def test_signals_in_any_order_end_in_order(platform):
     """A reload while it ends, and another SIGTERM: one end, without a traceback."""
     platform.path.write_text("{")
@@ -321,3 +312,76 @@
     assert not process.clients.is_ready()
     loop.clock.at += 1.0
     assert process.clients.is_ready() and READY_WITHOUT_HOSTS_MS < 9_000.0  # nine in ten within 10 s
+
+
+class VirtualClock(Clock):
+    """Monotonic time stands still between steps; wall time is the system's, which stamps what arrives."""
+
+    def wall(self):
+        return time.time() * 1e3
+
+
+def write_config(path, known):
+    path.write_text(json.dumps({
+        "name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "limits": {"sockets": 256}, "channel": "127.0.0.1:9",
+        "known": known, "settings": SETTINGS,
+    }))  # fmt: skip
+
+
+@pytest.fixture
+def stepped_process(tmp_path):
+    """A process with host h1 known, in this one, whose time passes only by `loop.clock.at`."""
+    entry = {"instanceId": "h1", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "std", "cell": 0,
+             "lifecycle": "SERVING", "weight": 1, "startedAtMs": 0, "free": [16.0, 32.0]}  # fmt: skip
+    event = {"cursor": 1, "nodes": {"generation": 1, "reset": True, "instances": [entry]}}
+    write_config(tmp_path / "config.json", {"cursor": 1, "cmds": [event]})
+    process = PlatformProcess(
+        load_config(str(tmp_path / "config.json")), Loop(VirtualClock()), lambda text: None, ""
+    )
+    process.loop.running = True
+    yield process
+    process.clients.close()
+    for client in list(process.clients.connections):
+        client.stream.close()
+
+
+def run_rounds_until(loop, is_done, rounds=2_000):
+    for _ in range(rounds):
+        if is_done():
+            return
+        loop.call_in(0.0, lambda: None)
+        loop.round()
+    raise AssertionError(f"not done in {rounds} rounds")
+
+
+def test_a_partial_message_holds_the_end_for_its_whole_timeout(stepped_process):
+    """The rest comes at the last instant that its timeout allows, well after the window, and is rejected."""
+    process, clock = stepped_process, stepped_process.loop.clock
+    address = process.clients.listen(("127.0.0.1", 0))
+    with socket.create_connection(address) as sock:
+        sock.send(setup(7)[:30])
+        run_rounds_until(
+            process.loop, lambda: any(client.partial_message for client in process.clients.connections)
+        )
+        process.begin_shutdown()
+        clock.at += ADMISSION_WINDOW_MS
+        run_rounds_until(process.loop, lambda: process.clients.listener is None)
+        with pytest.raises(ConnectionRefusedError):
+            socket.create_connection(address)
+        clock.at += MESSAGE_TIMEOUT_MS - ADMISSION_WINDOW_MS
+        process.loop.round()
+        assert process.loop.running
+        sock.send(setup(7)[30:])
+        sock.setblocking(False)
+        decoder, messages = m.MessageDecoder(), []
+
+        def has_answer():
+            with contextlib.suppress(BlockingIOError):
+                decoder.feed(sock.recv(4096))
+                messages.extend(decoder.messages())
+            return messages
+
+        run_rounds_until(process.loop, has_answer)
+        assert [(told.kind, told.task, told.cause) for told in messages] == [(m.RELEASE, 7, m.FULL)]
+        clock.at += SHUTDOWN_POLL_MS
+        run_rounds_until(process.loop, lambda: not process.loop.running)
