--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -32,9 +32,9 @@
 
     def send(i, now):
         nonlocal order
-        while waiting[i] and (first is None or starts[i].room()):
+        while waiting[i] and (first is None or starts[i].available_slots()):
             waiting[i] -= 1
-            starts[i].sent()
+            starts[i].record_sent()
             host, order = (i + order) % HOSTS, order + 1
             queue = (free_at[host] - now) / TAKES_MS
             done = max(now, free_at[host]) + TAKES_MS
@@ -48,7 +48,7 @@
         send(i, 0.0)
     while events:
         now, _, i, placed = heapq.heappop(events)
-        starts[i].back(now, placed)
+        starts[i].record_answer(now, placed)
         lost, last = lost + (not placed), max(last, now)
         waiting[i] += not placed
         send(i, now)
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -107,7 +107,7 @@
     (link,) = world.hosts.hosts_by_name["h1"].connections
     peer.script = lambda stream, message: None
     world.ask(sock, 5)  # which keeps the link
-    link.is_unresponsive, world.descriptors.room = True, 0  # it takes nothing more, and there is no other
+    link.is_unresponsive, world.descriptors.capacity = True, 0  # it takes nothing more, and there is no other
     world.ask(sock, 1)
     assert len(world.hosts.pending_queue) == 1
     link.is_unresponsive = False
@@ -327,7 +327,7 @@
     world.until(lambda: len(world.told(api.PlacementRequested)) == 2)
     first, second = (event.call_id for event in world.told(api.PlacementRequested))
     order = [world.exchange.calls[first].setup.task, world.exchange.calls[second].setup.task]
-    (owner,) = world.owners.owners
+    (owner,) = world.owners.connections
     others = {task: world.exchange.calls_by_task[task].call_id for task in order}
     left = next(iter(owner.open))
     world.module.next.append([api.Reject(next(n for task, n in others.items() if task != left))])
