--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -14,52 +14,54 @@
 
 from glencleat.allocator import status_mapping
 from glencleat.allocator.call_table import Call, FinalAnswer
-from glencleat.allocator.domain_events import CallAnswered, Happened
+from glencleat.allocator.domain_events import CallAnswered, DomainEvent
 from glencleat.allocator.ports import CorePort
 from glencleat.flow_control.slow_start import LAST_MS, SLOT_MS, SlowStart
 
-Place = tuple[float, float, int]
-WAIT_MS = 1_000.0  # a task without an answer for so long waits for room, and holds up nobody
+QueuePosition = tuple[float, float, int]
+MAX_OUTSTANDING_MS = 1_000.0  # a task without an answer for so long waits for room, and holds up nobody
 
 
 class AdmissionQueue:
     def __init__(self, core: CorePort) -> None:
         self.core = core
-        self.line: SortedDict[Place, Call] = SortedDict()
-        self.out: dict[int, float] = {}  # call -> since when it is the module's
-        self.start: SlowStart | None = None
-        self.over = False  # the line was empty once; from then on tasks are told as they come
+        self.waiting_calls: SortedDict[QueuePosition, Call] = SortedDict()
+        self.dispatched_at_ms: dict[int, float] = {}  # call -> since when it is the module's
+        self.slow_start: SlowStart | None = None
+        self.is_finished = False  # the line was empty once; from then on tasks are told as they come
         self.timer: Any = None
-        self.longest = self.refused = 0
-        core.hear(self._heard)
-
-    def add(self, call: Call) -> None:
-        due = call.taken_at + call.ask.left_ms - LAST_MS
-        place = -self.core.classes[call.ask.task_class].weight, due, call.number
-        self.line[place] = call
-        self.longest = max(self.longest, len(self.line))
+        self.max_length = self.rejected_count = 0
+        core.subscribe(self._heard)
+
+    def enqueue(self, call: Call) -> None:
+        due = call.accepted_at_ms + call.request.remaining_ms - LAST_MS
+        place = -self.core.classes_by_name[call.request.task_class].weight, due, call.number
+        self.waiting_calls[place] = call
+        self.max_length = max(self.max_length, len(self.waiting_calls))
         self.core.timing.call_in(max(0.0, due - self.core.now()), lambda: self._refuse(place))
-        if self.start is not None:
+        if self.slow_start is not None:
             self._pump_in(0.0)
 
-    def begin(self) -> None:
+    def begin_dispatching(self) -> None:
         """Machines are listed, and those that are there have told what they run."""
-        if self.start is not None:
+        if self.slow_start is not None:
             return
         # One a machine from all allocators together, as none knows what the others do.
-        self.start = SlowStart(len(self.core.listed or ()) / max(1, self.core.settings.allocator_count))
-        self.start.begin(self.core.now())
-        self.core.log("open", held=len(self.line), first=int(self.start.window))
+        self.slow_start = SlowStart(
+            len(self.core.listed_machines or ()) / max(1, self.core.settings.allocator_count)
+        )
+        self.slow_start.begin(self.core.now())
+        self.core.log("open", held=len(self.waiting_calls), first=int(self.slow_start.window))
         self._pump()
 
-    def _heard(self, what: Happened) -> None:
-        if isinstance(what, CallAnswered) and what.call.number in self.out:
-            self._back(what.call.number, what.given is FinalAnswer.SERVED)
+    def _heard(self, what: DomainEvent) -> None:
+        if isinstance(what, CallAnswered) and what.call.number in self.dispatched_at_ms:
+            self._back(what.call.number, what.final_answer is FinalAnswer.PLACED)
 
     def _back(self, number: int, placed: bool) -> None:
-        del self.out[number]
-        if self.start is not None and not self.over:
-            self.start.back(self.core.now(), placed)
+        del self.dispatched_at_ms[number]
+        if self.slow_start is not None and not self.is_finished:
+            self.slow_start.back(self.core.now(), placed)
             self._pump_in(0.0)
 
     def _pump_in(self, ms: float) -> None:
@@ -68,40 +70,44 @@
         self.timer = self.core.timing.call_in(ms, self._pump)
 
     def _pump(self) -> None:
-        start, now = self.start, self.core.now()
-        if start is None or self.over:
+        start, now = self.slow_start, self.core.now()
+        if start is None or self.is_finished:
             return
-        for number in [number for number, since in self.out.items() if now - since > WAIT_MS]:
+        for number in [
+            number for number, since in self.dispatched_at_ms.items() if now - since > MAX_OUTSTANDING_MS
+        ]:
             self._back(number, placed=False)
-        while self.line and start.room():
-            place, call = self.line.peekitem(0)
+        while self.waiting_calls and start.room():
+            place, call = self.waiting_calls.peekitem(0)
             _, due, number = place
-            if call.given is not None or due <= now:
+            if call.final_answer is not None or due <= now:
                 self._refuse(place)  # taken back meanwhile, or its time is over in this very turn
                 continue
-            del self.line[place]
+            del self.waiting_calls[place]
             start.sent()
-            self.out[number] = now
-            self.core.tell_asked(call, due + LAST_MS - now)
+            self.dispatched_at_ms[number] = now
+            self.core.dispatch_request(call, due + LAST_MS - now)
         self._give_up(start, now)
-        if self.line:
+        if self.waiting_calls:
             self._pump_in(SLOT_MS)
             return
-        self.over = True
-        self.out.clear()
-        self.core.log("all told that waited for the start", longest=self.longest, refused=self.refused)
+        self.is_finished = True
+        self.dispatched_at_ms.clear()
+        self.core.log(
+            "all told that waited for the start", longest=self.max_length, refused=self.rejected_count
+        )
 
     def _give_up(self, start: SlowStart, now: float) -> None:
         """Whoever will have no turn in time, by the rate of the last turns."""
         ahead = 0
-        for place in list(self.line) if start.rate else ():
+        for place in list(self.waiting_calls) if start.rate else ():
             if start.wait_ms(ahead) > place[1] - now:
                 self._refuse(place)
             else:
                 ahead += 1
 
-    def _refuse(self, place: Place) -> None:
-        call = self.line.pop(place, None)
-        if call is not None and call.given is None:
-            self.refused += 1
-            self.core.answer(call, FinalAnswer.REFUSED, status_mapping.refusal(False))
+    def _refuse(self, place: QueuePosition) -> None:
+        call = self.waiting_calls.pop(place, None)
+        if call is not None and call.final_answer is None:
+            self.rejected_count += 1
+            self.core.answer_call(call, FinalAnswer.REJECTED, status_mapping.refusal(False))
--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -18,7 +18,7 @@
     """A caller or the module broke the contract of `glencleat/interface.py`; the text says how."""
 
 
-class DecisionModule(Protocol):
+class PolicyPort(Protocol):
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
 
 
@@ -26,23 +26,26 @@
 class TrackedCall:
     """What the contract remembers of one call."""
 
-    binds: int = 0
+    attempt_count: int = 0
     machine: str = ""
-    out: bool = False  # the last attempt has had no Returned
-    accepted: bool = False
-    over: bool = False  # answered, left or ended: nothing more may be bound
+    is_attempt_active: bool = False  # the last attempt has had no Returned
+    is_accepted: bool = False
+    is_closed: bool = False  # answered, left or ended: nothing more may be bound
 
 
 class Contract:
     """Wraps a module; forgets a call once it is over and its last attempt is back."""
 
-    def __init__(self, module: DecisionModule) -> None:
-        self.module = module
+    def __init__(self, module: PolicyPort) -> None:
+        self.policy = module
         self.now = float("-inf")
         self.calls: dict[int, TrackedCall] = {}
-        self.timers = 0
-        self.module_s, self.events = 0.0, 0  # CPU time that the module itself took, and for how many events
-        self.probes: dict[str, int] = {}
+        self.pending_timers = 0
+        self.policy_cpu_s, self.event_count = (
+            0.0,
+            0,
+        )  # CPU time that the module itself took, and for how many events
+        self.pending_probes: dict[str, int] = {}
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         if now_ms < self.now:
@@ -50,9 +53,9 @@
         self.now = now_ms
         self._event(event)
         began = time.thread_time()
-        actions = self.module.handle(now_ms, event)
-        self.module_s += time.thread_time() - began
-        self.events += 1
+        actions = self.policy.handle(now_ms, event)
+        self.policy_cpu_s += time.thread_time() - began
+        self.event_count += 1
         if isinstance(event, api.AttemptEnded | api.CallAbandoned):
             self._forget(event.call_id)
         for action in actions:
@@ -66,25 +69,25 @@
             self._asked(event)
         elif isinstance(event, api.AttemptAccepted):
             known = self._attempt(event, "Accepted")
-            if known.accepted:
+            if known.is_accepted:
                 raise ContractError(f"call {event.call_id}: Accepted told twice")
-            known.accepted = True
+            known.is_accepted = True
         elif isinstance(event, api.AttemptEnded):
             known = self._attempt(event, "Returned")
-            known.out = False
-            if known.accepted and not event.is_call_closed:
+            known.is_attempt_active = False
+            if known.is_accepted and not event.is_call_closed:
                 raise ContractError(f"call {event.call_id}: Returned after Accepted must be over")
-            known.over |= event.is_call_closed
+            known.is_closed |= event.is_call_closed
         elif isinstance(event, api.CallAbandoned):
-            self._known(event.call_id, "Left").over = True
+            self._known(event.call_id, "Left").is_closed = True
         elif isinstance(event, api.TimerFired):
-            self._count("timers", "TimerDue without a SetTimer")
+            self._count("pending_timers", "TimerDue without a SetTimer")
         elif isinstance(event, api.ProbeEnded):
-            if self.probes.get(event.machine, 0) < 1:
+            if self.pending_probes.get(event.machine, 0) < 1:
                 raise ContractError(f"machine {event.machine}: Probed without a Probe")
-            self.probes[event.machine] -= 1
-            if not self.probes[event.machine]:
-                del self.probes[event.machine]
+            self.pending_probes[event.machine] -= 1
+            if not self.pending_probes[event.machine]:
+                del self.pending_probes[event.machine]
 
     def _asked(self, event: api.PlacementRequested) -> None:
         if event.call_id in self.calls:
@@ -103,14 +106,14 @@
 
     def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> TrackedCall:
         known = self._known(event.call_id, name)
-        if event.attempt != known.binds - 1:
+        if event.attempt != known.attempt_count - 1:
             told = f"{name} of attempt {event.attempt}"
             raise ContractError(
-                f"call {event.call_id}: {told}; attempts count from 0, out is {known.binds - 1}"
+                f"call {event.call_id}: {told}; attempts count from 0, out is {known.attempt_count - 1}"
             )
         if event.machine != known.machine:
             raise ContractError(f"call {event.call_id}: {name} by {event.machine}, bound to {known.machine}")
-        if not known.out:
+        if not known.is_attempt_active:
             raise ContractError(
                 f"call {event.call_id}: {name} of attempt {event.attempt}, which is back already"
             )
@@ -129,28 +132,32 @@
     def _action(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
             known = self._open(action.call_id, "Bind")
-            if known.out:
-                raise ContractError(f"call {action.call_id}: Bind while attempt {known.binds - 1} is out")
-            known.binds, known.machine = known.binds + 1, action.machine
-            known.out, known.accepted = True, False
+            if known.is_attempt_active:
+                raise ContractError(
+                    f"call {action.call_id}: Bind while attempt {known.attempt_count - 1} is out"
+                )
+            known.attempt_count, known.machine = known.attempt_count + 1, action.machine
+            known.is_attempt_active, known.is_accepted = True, False
         elif isinstance(action, api.Reject | api.Fail):
             known = self._open(action.call_id, type(action).__name__)
-            if known.out:
-                raise ContractError(f"call {action.call_id}: answered while attempt {known.binds - 1} is out")
-            known.over = True
+            if known.is_attempt_active:
+                raise ContractError(
+                    f"call {action.call_id}: answered while attempt {known.attempt_count - 1} is out"
+                )
+            known.is_closed = True
             self._forget(action.call_id)
         elif isinstance(action, api.SetTimer):
-            self.timers += 1
+            self.pending_timers += 1
         elif isinstance(action, api.Probe):
-            self.probes[action.machine] = self.probes.get(action.machine, 0) + 1
+            self.pending_probes[action.machine] = self.pending_probes.get(action.machine, 0) + 1
 
     def _open(self, call: int, name: str) -> TrackedCall:
         known = self.calls.get(call)
-        if known is None or known.over:
+        if known is None or known.is_closed:
             raise ContractError(f"call {call}: {name} after its answer")
         return known
 
     def _forget(self, call: int) -> None:
         known = self.calls.get(call)
-        if known is not None and known.over and not known.out:
+        if known is not None and known.is_closed and not known.is_attempt_active:
             del self.calls[call]
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -38,7 +38,7 @@
 
     attempt: Attempt
     outcome: api.Outcome
-    why: api.OutcomeReason
+    reason: api.OutcomeReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     """The one final answer of a call."""
 
     call: Call
-    given: FinalAnswer
+    final_answer: FinalAnswer
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineListChanged:
-    news: api.MachineListUpdated
+    update: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
 class AgentStateChanged:
     """An agent subscribed, went away or was given up; `state` is members.State's value."""
 
-    agent: str
+    agent_id: str
     state: str
 
 
@@ -83,7 +83,7 @@
     """Asks are told to the module from here on."""
 
 
-Happened = (
+DomainEvent = (
     CallTaken
     | AttemptSent
     | AttemptConcluded
@@ -94,18 +94,18 @@
     | AgentStateChanged
     | PlacementOpened
 )
-Hear = Callable[[Happened], None]
+EventSubscriber = Callable[[DomainEvent], None]
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
     """A task that is about to be taken."""
 
-    owner: str  # framework id, or an insider's
+    owner_id: str  # framework id, or an insider's
     tenant: str | None
     task_id: str
-    effect: api.Idempotency
-    ask: TaskRequest
+    idempotency: api.Idempotency
+    request: TaskRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     text: str
 
 
-Decider = Callable[[AdmissionRequest], AdmissionDecision | None]
+AdmissionCheck = Callable[[AdmissionRequest], AdmissionDecision | None]
 
 
 class InProcessOwner(Protocol):
@@ -124,5 +124,5 @@
 
     prefix: str
 
-    def wants(self, call: Call) -> bool:
+    def is_wanted(self, call: Call) -> bool:
         """Whether somebody still stands behind the task."""
--- a/glencleat/allocator/event_dispatcher.py
+++ b/glencleat/allocator/event_dispatcher.py
@@ -8,28 +8,28 @@
 from collections.abc import Callable
 
 from glencleat import interface as api
-from glencleat.allocator.contract import DecisionModule
+from glencleat.allocator.contract import PolicyPort
 
 
 class EventDispatcher:
     """Tells a module what happened; all its actions are carried out before the next event is told."""
 
     def __init__(
-        self, module: DecisionModule, now: Callable[[], float], act: Callable[[api.Action], None]
+        self, module: PolicyPort, now: Callable[[], float], act: Callable[[api.Action], None]
     ) -> None:
-        self.module, self.now, self.act = module, now, act
+        self.policy, self.now, self.carry_out = module, now, act
         self.pending: deque[api.Event] = deque()
-        self.busy = False
+        self.is_dispatching = False
 
-    def tell(self, *events: api.Event) -> None:
+    def dispatch(self, *events: api.Event) -> None:
         """In order: what actions cause at once is told after them."""
         self.pending.extend(events)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.pending:
-                for action in self.module.handle(self.now(), self.pending.popleft()):
-                    self.act(action)
+                for action in self.policy.handle(self.now(), self.pending.popleft()):
+                    self.carry_out(action)
         finally:
-            self.busy = False
+            self.is_dispatching = False
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -41,7 +41,7 @@
             old: Any = replaced
             old.send(m.encode(m.SchedulerEvent("ERROR", error=m.ErrorEvent("Framework failed over"))))
             old.close("framework failed over")
-        told = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_ms / 1000.0)
+        told = m.SubscribedFramework(m.Value(framework.id), core.options.heartbeat_interval_ms / 1000.0)
         session.send(m.encode(m.SchedulerEvent("SUBSCRIBED", subscribed=told)))
         for status in core.frameworks.unacknowledged(framework):
             self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
@@ -57,7 +57,7 @@
     def teardown(self, framework: Framework, why: str) -> None:
         """The framework is gone: its tasks are stopped, and nobody waits for their updates."""
         core = self.core
-        for call in core.ledger.of(framework.id):
+        for call in core.call_table.calls_of(framework.id):
             self.withdraw(call)
         core.frameworks.remove(framework)
         session: Any = framework.session
@@ -81,7 +81,7 @@
 
     def _offer(self, framework: Framework, now: float) -> None:
         core = self.core
-        if core.ending or not core.frameworks.wants_offer(framework, now):
+        if core.is_shutting_down or not core.frameworks.wants_offer(framework, now):
             return
         self.offer_number += 1
         offer_id = f"{core.options.name}-{core.incarnation}-o{self.offer_number}"
@@ -111,7 +111,7 @@
     def accept(self, framework: Framework, accept: m.Accept) -> None:
         """ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
         core, now = self.core, self.core.now()
-        again = core.options.offer_again_ms
+        again = core.options.offer_interval_ms
         valid = [core.frameworks.use(framework, o.value, now, again) for o in accept.offer_ids]
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
@@ -129,10 +129,10 @@
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
-        before = core.ledger.task(framework.id, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
-            if before.given is not None:
+        before = core.call_table.find_call(framework.id, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.events["launch repeated"] += 1
+            if before.final_answer is not None:
                 self._reconciled(framework, before.task_id, before)
             return
         verdict = self._refused(before, framework.open, core.frameworks.behind(framework))
@@ -140,7 +140,7 @@
             self._turn_away(framework, info, verdict.answer, verdict.text)
             return
         try:
-            ask = read(info, core.classes, core.options.default_class, core.options.answer_margin_ms)
+            ask = read(info, core.classes_by_name, core.options.default_class, core.options.answer_margin_ms)
         except TaskRequestError as error:
             answer = StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER, status_mapping.TASK_INVALID)
             self._turn_away(framework, info, answer, str(error))
@@ -150,31 +150,37 @@
             self._turn_away(framework, info, taken.answer, taken.text)
             return
         framework.open += 1
-        core.ask(taken)
+        core.request_placement(taken)
 
     def _refused(self, before: Call | None, open_here: int, behind: bool) -> AdmissionDecision | None:
         """Why a task that is no repeat of one in hand is not taken, before what it asks for is looked at."""
         core = self.core
-        if admission.repeats(before) == "never" and before is not None:
-            return AdmissionDecision(status_mapping.reconciled(before.fate()), "it may have run before")
+        if admission.classify_repeat(before) == "never" and before is not None:
+            return AdmissionDecision(
+                status_mapping.reconciled(before.execution_status()), "it may have run before"
+            )
         load = admission.AdmissionLoad(
-            core.ledger.open, open_here, len(core.ledger.calls), behind, core.ending
+            core.call_table.unanswered_count,
+            open_here,
+            len(core.call_table.active_calls),
+            behind,
+            core.is_shutting_down,
         )
-        why = admission.refuses(load, core.options.limits)
+        why = admission.find_exceeded_limit(load, core.options.admission_limits)
         return AdmissionDecision(status_mapping.refusal(False), why) if why is not None else None
 
     def _take(
         self, owner: str, tenant: str | None, info: m.TaskInfo, ask: TaskRequest
     ) -> Call | AdmissionDecision:
         core = self.core
-        effect = core.classes[ask.task_class].idempotency
-        verdict = core.decide(AdmissionRequest(owner, tenant, info.task_id.value, effect, ask))
+        effect = core.classes_by_name[ask.task_class].idempotency
+        verdict = core.decide_admission(AdmissionRequest(owner, tenant, info.task_id.value, effect, ask))
         if verdict is not None:
             return verdict
-        call = Call(next(core.numbers), owner, info.task_id.value, info, ask, effect, tenant, core.now())
-        core.ledger.take(call)
-        core.figures.take(ask.task_class)
-        core.happened(CallTaken(call))
+        call = Call(next(core.call_numbers), owner, info.task_id.value, info, ask, effect, tenant, core.now())
+        core.call_table.add_call(call)
+        core.counters.count_taken(ask.task_class)
+        core.publish(CallTaken(call))
         return call
 
     def take_inside(
@@ -190,9 +196,9 @@
         `record`: the reasons of its earlier rounds, to which this one's are added. A task that is open or
         placed already is given as it is: the same ask again, or adopted from a former incarnation."""
         core = self.core
-        before = core.ledger.task(owner, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
+        before = core.call_table.find_call(owner, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.events["launch repeated"] += 1
             return before
         verdict = self._refused(before, 0, False)
         if verdict is not None:
@@ -200,21 +206,21 @@
         taken = self._take(owner, tenant, info, ask)
         if isinstance(taken, Call):
             if record is not None:
-                taken.why = record
-            core.ask(taken)
+                taken.pending_reasons = record
+            core.request_placement(taken)
         return taken
 
     def _turn_away(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """An answer without a call: the module was never asked. Counted as taken and refused or failed."""
         name = m.label(info.labels, "class") or "-"
-        name = name if name in self.core.classes else "-"
-        given = FinalAnswer.FAILED if answer.retry is not RetryAdvice.HARMLESS else FinalAnswer.REFUSED
-        self.core.figures.take(name)
-        self.core.figures.give(name, given)
+        name = name if name in self.core.classes_by_name else "-"
+        given = FinalAnswer.FAILED if answer.retry is not RetryAdvice.HARMLESS else FinalAnswer.REJECTED
+        self.core.counters.count_taken(name)
+        self.core.counters.count_answered(name, given)
         self._status(framework, info.task_id.value, answer, None, text)
 
     def kill(self, framework: Framework, task_id: str) -> None:
-        call = self.core.ledger.task(framework.id, task_id)
+        call = self.core.call_table.find_call(framework.id, task_id)
         if call is None:
             answer = StatusAnswer(
                 status_mapping.UNKNOWN, RetryAdvice.RECONCILE, status_mapping.RECONCILIATION
@@ -226,31 +232,31 @@
     def withdraw(self, call: Call) -> None:
         """The owner wants no more of the task; with an attempt out, the answer waits for its end."""
         core = self.core
-        if call.over or call.left:
+        if call.is_closed or call.is_abandoned:
             return
-        out = call.out()
-        call.left = True
-        if call.told:
-            core.tell(api.CallAbandoned(call.number))
+        out = call.active_attempt()
+        call.is_abandoned = True
+        if call.is_requested:
+            core.dispatch(api.CallAbandoned(call.number))
         if out is not None:
-            core.kill(out)
-        elif call.given is None:
-            if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
-                core.answer(call, FinalAnswer.FAILED, status_mapping.failure())
+            core.kill_attempt(out)
+        elif call.final_answer is None:
+            if call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT:
+                core.answer_call(call, FinalAnswer.FAILED, status_mapping.failure())
             else:
-                core.answer(
-                    call, FinalAnswer.REFUSED, StatusAnswer(status_mapping.KILLED, RetryAdvice.HARMLESS)
+                core.answer_call(
+                    call, FinalAnswer.REJECTED, StatusAnswer(status_mapping.KILLED, RetryAdvice.HARMLESS)
                 )
 
     # ---- updates ----
 
     def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
         """A status of a call's task to its owner, if that is still known."""
-        self.core.happened(TaskStatusReported(call, answer, text))
-        framework = self.core.framework_of(call)
+        self.core.publish(TaskStatusReported(call, answer, text))
+        framework = self.core.find_framework(call)
         if framework is not None:
-            out = call.last()
-            machine = out.machine if out is not None and call.given is FinalAnswer.SERVED else None
+            out = call.last_attempt()
+            machine = out.machine if out is not None and call.final_answer is FinalAnswer.PLACED else None
             self._status(framework, call.task_id, answer, machine, text)
 
     def _status(
@@ -262,7 +268,7 @@
         text: str | None = None,
         acked: bool = True,
     ) -> None:
-        status = self.core.status(task_id, answer, machine, text, acked)
+        status = self.core.build_status(task_id, answer, machine, text, acked)
         self.core.frameworks.push(framework, status, self.core.now())
         self._send(framework, m.SchedulerEvent("UPDATE", update=m.UpdateEvent(status)))
 
@@ -273,21 +279,21 @@
 
     def acknowledge(self, framework: Framework, uuid: str) -> None:
         if not self.core.frameworks.acknowledge(framework, uuid):
-            self.core.figures.events["acknowledge unknown"] += 1
+            self.core.counters.events["acknowledge unknown"] += 1
 
     def reconcile(self, framework: Framework, tasks: list[m.ReconcileTask]) -> None:
         """RECONCILE: explicit for the named tasks, implicit (all that are not over) for none."""
         self.reconciling.ask(framework, [task.task_id.value for task in tasks])
 
     def _reconciled(self, framework: Framework, task_id: str, call: Call | None) -> None:
-        if call is not None and call.given is None:
+        if call is not None and call.final_answer is None:
             answer, machine = (
                 StatusAnswer(status_mapping.STAGING, RetryAdvice.NEVER, status_mapping.RECONCILIATION),
                 None,
             )
         else:
-            last = call.last() if call is not None else None
+            last = call.last_attempt() if call is not None else None
             accepted = last is not None and last.step is status_mapping.AttemptStep.ACCEPTED
-            answer = status_mapping.reconciled(None if call is None else call.fate(), accepted)
-            machine = last.machine if last is not None and call is not None and call.placed() else None
+            answer = status_mapping.reconciled(None if call is None else call.execution_status(), accepted)
+            machine = last.machine if last is not None and call is not None and call.is_placed() else None
         self._status(framework, task_id, answer, machine, acked=False)
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from glencleat.allocator.call_table import Call
-from glencleat.allocator.domain_events import Happened, PlacementOpened
+from glencleat.allocator.domain_events import DomainEvent, PlacementOpened
 from glencleat.allocator.frameworks import Framework
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self.lines: dict[str, dict[str, None]] = {}  # framework -> tasks, each once, in the order asked
         self.waiting = 0
         self.pumping = False
-        core.hear(self._heard)
+        core.subscribe(self._heard)
 
     def ask(self, framework: Framework, tasks: Iterable[str]) -> None:
         """The named tasks; none named: all that are out."""
@@ -39,14 +39,14 @@
             if task in line:
                 continue
             if self.waiting >= MOST:
-                self.core.figures.events["reconcile turned away"] += 1
+                self.core.counters.events["reconcile turned away"] += 1
                 break
             line[task] = None
             self.waiting += 1
         if not self.pumping:
             self._pump()  # few are answered before the call returns
 
-    def _heard(self, what: Happened) -> None:
+    def _heard(self, what: DomainEvent) -> None:
         if isinstance(what, PlacementOpened):
             self._soon()
 
@@ -57,7 +57,7 @@
 
     def _pump(self) -> None:
         self.pumping = False
-        left = TURN if self.core.opening.done else 0
+        left = TURN if self.core.startup_gate.is_open else 0
         while left > 0 and self.lines:
             name, line = next(iter(self.lines.items()))
             del self.lines[name]
@@ -68,7 +68,7 @@
             left -= self._some(framework, line, min(left, SHARE))
             if line:
                 self.lines[name] = line  # behind the others
-        if self.core.opening.done:
+        if self.core.startup_gate.is_open:
             self._soon()
 
     def _some(self, framework: Framework, line: dict[str, None], most: int) -> int:
@@ -81,15 +81,15 @@
             if task == ALL:
                 self._all(framework, line)
                 continue
-            self.answer(framework, task, self.core.ledger.task(framework.id, task))
+            self.answer(framework, task, self.core.call_table.find_call(framework.id, task))
             count += 1
         return count
 
     def _all(self, framework: Framework, line: dict[str, None]) -> None:
-        for call in self.core.ledger.of(framework.id):
+        for call in self.core.call_table.calls_of(framework.id):
             if self.waiting >= MOST:
-                self.core.figures.events["reconcile turned away"] += 1
+                self.core.counters.events["reconcile turned away"] += 1
                 return
-            if call.placed() and not call.over and call.task_id not in line:
+            if call.is_placed() and not call.is_closed and call.task_id not in line:
                 line[call.task_id] = None
                 self.waiting += 1
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -68,8 +68,8 @@
         key=text(info, "key", info.task_id.value),
         cores=amount(info, "cpus"),
         memory=amount(info, "mem"),
-        left_ms=left - margin_ms,
-        life_ms=number(info, "life_ms"),
-        again=label(info.labels, "again") == "true",
-        key_told=bool(label(info.labels, "key")),
+        remaining_ms=left - margin_ms,
+        expected_run_ms=number(info, "life_ms"),
+        is_retry=label(info.labels, "again") == "true",
+        has_explicit_key=bool(label(info.labels, "key")),
     )
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -69,7 +69,11 @@
         ready.write(json.dumps(bound) + "\n")
         ready.flush()
     daemon.loop.run()
-    log.info("stopped", open=daemon.core.ledger.open, mismatch=daemon.core.figures.mismatch())
+    log.info(
+        "stopped",
+        open=daemon.core.call_table.unanswered_count,
+        mismatch=daemon.core.counters.find_mismatches(),
+    )
 
 
 @main.command()
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -44,16 +44,16 @@
         pool=config.pool,
         default_class=config.default_class,
         answer_margin_ms=config.answer_margin,
-        heartbeat_ms=config.heartbeat.every,
-        missed=config.heartbeat.missed,
-        return_ms=config.heartbeat.agents_return,
+        heartbeat_interval_ms=config.heartbeat.every,
+        max_missed_heartbeats=config.heartbeat.missed,
+        agent_return_timeout_ms=config.heartbeat.agents_return,
         probe_timeout_ms=config.probe_timeout,
-        grace_ms=config.grace,
-        unacked_most=limit.unacknowledged,
-        remembered=limit.remembered,
-        frameworks_most=limit.frameworks,
-        agents_most=limit.agents,
-        limits=Admission(limit.open_tasks, limit.open_each, limit.placed),
+        startup_grace_ms=config.grace,
+        max_unacknowledged_updates=limit.unacknowledged,
+        max_closed_calls=limit.remembered,
+        max_frameworks=limit.frameworks,
+        max_agents=limit.agents,
+        admission_limits=Admission(limit.open_tasks, limit.open_each, limit.placed),
     )
 
 
@@ -113,7 +113,7 @@
             3.0 * config.heartbeat.every,
             log=self._log,
         )
-        self.core.watch = self.directory.watch
+        self.core.on_watch_requested = self.directory.watch
         self.kept: EndpointSnapshotFile | None = None
         if (keep := config.keep_list) is not None:
             listing = self.directory.listing
@@ -128,7 +128,7 @@
     def _list_told(self, event: api.MachineListUpdated) -> None:
         if self.kept is not None:
             self.kept.told(event)  # first: what was once told must be known after a kill
-        self.core.list_told(event)
+        self.core.update_machine_list(event)
 
     def start(self) -> dict[str, str]:
         """Binds the listeners; gives their addresses. Raises OSError naming the address."""
@@ -155,10 +155,10 @@
             except OSError as error:
                 raise OSError(f"listen {name} {address[0]}:{address[1]}: {error.strerror}") from None
         # An empty change is news of nothing, at which the module asks for the list by itself.
-        self.core.tell(api.MachineListUpdated(api.ListUpdateKind.DELTA))
+        self.core.dispatch(api.MachineListUpdated(api.ListUpdateKind.DELTA))
         if self.kept is not None:
             if machines := self.kept.load():
-                self.core.list_told(api.MachineListUpdated(api.ListUpdateKind.DELTA, machines))
+                self.core.update_machine_list(api.MachineListUpdated(api.ListUpdateKind.DELTA, machines))
             self.kept.start()
         gc.freeze()  # what is there from the start need not be looked at by each collection
         gc.set_threshold(*COLLECT)
@@ -174,14 +174,14 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", open=self.core.ledger.open)
+        self.log.info("stopping", open=self.core.call_table.unanswered_count)
         self.loop.call_in(self.config.shutdown, self._finish)
         if self.plane is not None:
             self.plane.end()
-        self.core.end()
+        self.core.begin_shutdown()
 
     def _finish(self) -> None:
-        self.core.finish()
+        self.core.finish_shutdown()
         self._end_soon()
 
     def _end_soon(self) -> None:
@@ -219,7 +219,7 @@
             return
         self.config = config
         self.core.options = options(config)
-        self.core.frameworks.most, self.core.members.most = config.limit.frameworks, config.limit.agents
+        self.core.frameworks.most, self.core.membership.most = config.limit.frameworks, config.limit.agents
         self.core.frameworks.unacked_most = config.limit.unacknowledged
         for server in self.servers.values():
             server.limits = server_limits(config)
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -20,7 +20,7 @@
 from typing import Any, Protocol
 
 from glencleat import interface as api
-from glencleat.allocator.contract import Contract, DecisionModule
+from glencleat.allocator.contract import Contract, PolicyPort
 from glencleat.allocator.event_dispatcher import EventDispatcher
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol import value_mapping
@@ -133,7 +133,7 @@
     """One allocator's calls. `machines` is set by whoever joins the parts."""
 
     def __init__(
-        self, settings: api.Settings, module: DecisionModule, ports: ExchangePorts, test_ms: float
+        self, settings: api.Settings, module: PolicyPort, ports: ExchangePorts, test_ms: float
     ) -> None:
         self.ports, self.test_ms, self.settings = ports, test_ms, settings
         self.contract = Contract(module)
@@ -207,14 +207,14 @@
     def _tested(self, token: int, outcome: api.Outcome, report: api.LoadReport | None) -> None:
         host = self.tests.pop(token, None)
         if host is not None:
-            self.telling.tell(api.ProbeEnded(host, outcome, report))
+            self.telling.dispatch(api.ProbeEnded(host, outcome, report))
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.ports.call_in(action.delay_ms, lambda: self.telling.tell(api.TimerFired(action.token)))
+        self.ports.call_in(action.delay_ms, lambda: self.telling.dispatch(api.TimerFired(action.token)))
 
     def _watch(self, _: api.WatchMachineList) -> None:
         # The sockets hold a channel at all times: what it told is what there is.
-        self.telling.tell(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.machines()))
+        self.telling.dispatch(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.machines()))
 
     def _log(self, action: api.LogMessage) -> None:
         self.ports.log(action.text)
@@ -262,7 +262,7 @@
                     f"host {attempt.host}: attempt {attempt.number} {outcome.value} after {spent:.0f} ms"
                 )
         told = api.AttemptEnded(call.number, attempt.number, attempt.host, outcome, spent, over, why, report)
-        self.telling.tell(*([api.CallAbandoned(call.number)] if left else []), told)
+        self.telling.dispatch(*([api.CallAbandoned(call.number)] if left else []), told)
 
     def _forget(self, call: SetupCall, host: str = "") -> None:
         self.calls.pop(call.number, None)
@@ -366,12 +366,12 @@
         description = {m.DESCRIPTION: message.parameters[m.DESCRIPTION]}
         self.ports.to_owner(call.owner, m.encode(m.ANSWER, call.setup.task, description), owed=False)
         spent = max(0.0, self.ports.now() - attempt.began)
-        self.telling.tell(api.AttemptAccepted(call.number, attempt.number, attempt.host, spent))
+        self.telling.dispatch(api.AttemptAccepted(call.number, attempt.number, attempt.host, spent))
 
     def _note(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
         topic, value = message.text(m.TOPIC), m.figure(message.text(m.VALUE) or "0")
         if attempt is not None and attempt.call.state is SetupState.STANDS and topic in TOPICS:
-            self.telling.tell(api.TaskObserved(attempt.call.number, attempt.host, TOPICS[topic], value))
+            self.telling.dispatch(api.TaskObserved(attempt.call.number, attempt.host, TOPICS[topic], value))
 
     # ---- owners ----
 
@@ -427,7 +427,7 @@
         if not self.ports.waits(owner, setup.task, exact=False):
             return  # its cancel or its client's end came while it lay unread: nothing is owed
         owner.open.add(setup.task)
-        self.telling.tell(self._asked(self._new(owner, setup), left_ms))
+        self.telling.dispatch(self._asked(self._new(owner, setup), left_ms))
 
     def _adopt(self, owner: ClientPort, setup: SetupRequest) -> None:
         """A task that runs already. One that we hold is named again at every start, and changes nothing."""
@@ -443,7 +443,7 @@
         call = self._new(owner, setup)
         call.attempts, call.attempt = 1, SetupAttempt(call, 0, setup.at, now, now)
         self._stands(call, setup.at)
-        self.telling.tell(self._asked(call, 0.0))
+        self.telling.dispatch(self._asked(call, 0.0))
 
     def owner_releases(self, owner: ClientPort, message: m.PlatformMessage) -> None:
         """An open set-up is given up on its own connection; what stands may be ended on any."""
@@ -470,14 +470,14 @@
             self._back(call.attempt, outcome, left=True)
         else:
             self._forget(call)
-            self.telling.tell(api.CallAbandoned(call.number))
+            self.telling.dispatch(api.CallAbandoned(call.number))
 
     # ---- machines ----
 
     def reached(self, host: str, up: bool) -> None:
         """The links' word on a host that they tried by themselves."""
-        self.telling.tell(api.ReachabilityChanged(host, up))
+        self.telling.dispatch(api.ReachabilityChanged(host, up))
 
     def list_told(self, news: ListChange) -> None:
         kind = api.ListUpdateKind.SNAPSHOT if news.whole else api.ListUpdateKind.DELTA
-        self.telling.tell(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
+        self.telling.dispatch(api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts)))
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -126,7 +126,7 @@
         from glencleat.platform_server.trace import Trace
 
         line, contract = RateLimitedLog("trace", most=1 << 30, width=500), self.exchange.contract
-        contract.module = trace = Trace(contract.module, self.exchange.calls, line)
+        contract.policy = trace = Trace(contract.policy, self.exchange.calls, line)
         self.owners.trace = self.hosts.trace = trace
 
     # ---- Ports ----
@@ -225,7 +225,7 @@
             f" {d.held} most {d.most} of {d.room} refused {d.turned_away} waited {self.hosts.waited} paced"
             f" {self.hosts.connecting.turned_away} cursor"
             f" {self.channel.cursor} channel breaks {self.feed.breaks} longest round {self.lag:.0f} ms"
-            f" module {x.contract.module_s:.2f} s cpu {time.process_time():.2f} s faults {self.faults}"
+            f" module {x.contract.policy_cpu_s:.2f} s cpu {time.process_time():.2f} s faults {self.faults}"
             f" rss {resident()}"
         )
         self.lag = 0.0
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from glencleat import interface as api
-from glencleat.allocator.contract import DecisionModule
+from glencleat.allocator.contract import PolicyPort
 from glencleat.platform_protocol import messages as m
 
 if TYPE_CHECKING:
@@ -25,9 +25,7 @@
 class Trace:
     """A module around the real one, which it asks; `message` is for what passes on the sockets."""
 
-    def __init__(
-        self, module: DecisionModule, calls: dict[int, SetupCall], line: Callable[[str], None]
-    ) -> None:
+    def __init__(self, module: PolicyPort, calls: dict[int, SetupCall], line: Callable[[str], None]) -> None:
         self.module, self.calls, self.line = module, calls, line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -116,7 +116,7 @@
 
 def after_round(slot: Slot, given: FinalAnswer, answer: StatusAnswer, now: float, random: Random) -> Next:
     """What follows the final answer of a round."""
-    if given is FinalAnswer.SERVED:
+    if given is FinalAnswer.PLACED:
         return Next(JobStep.PLACED)
     if given is FinalAnswer.FAILED or slot.cancelled or not may_ask_again(answer, slot.job.cls.idempotency):
         return Next(JobStep.OVER)
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -19,7 +19,7 @@
     CallAnswered,
     CallForgotten,
     CallTaken,
-    Happened,
+    DomainEvent,
     MachineListChanged,
     TaskStatusReported,
 )
@@ -102,7 +102,7 @@
 
     # ---- hearing ----
 
-    def hear(self, what: Happened) -> None:
+    def hear(self, what: DomainEvent) -> None:
         """What happened to tasks of frameworks, and to machines; a job's tasks are the plane's matter."""
         if isinstance(what, TaskStatusReported):
             self.told(what.call, what.answer, what.text)
@@ -113,7 +113,7 @@
         elif isinstance(what, CallAnswered):
             seen = self.of(what.call)
             if seen is not None and seen.call is what.call and seen.slot is None:
-                seen.answer = what.given.value
+                seen.answer = what.final_answer.value
         elif isinstance(what, CallTaken):
             self.taken(what.call)
         elif isinstance(what, CallForgotten):
@@ -121,11 +121,11 @@
             if seen is not None and seen.call is what.call and seen.slot is None:
                 self.drop(seen.key)
         elif isinstance(what, MachineListChanged):
-            self._machines(what.news)
+            self._machines(what.update)
         elif isinstance(what, AgentStateChanged):
-            self.agents[what.agent] = what.state
-            self.silent.pop(what.agent, None)
-            self.touch_machine(what.agent)
+            self.agents[what.agent_id] = what.state
+            self.silent.pop(what.agent_id, None)
+            self.touch_machine(what.agent_id)
 
     @staticmethod
     def key(call: Call) -> Key:
@@ -143,8 +143,8 @@
         if seen.slot is None:
             seen.wait()
             self.ended.pop(key, None)
-            if call.given is not None:
-                seen.answer = call.given.value
+            if call.final_answer is not None:
+                seen.answer = call.final_answer.value
         self.touch(key)
         return seen
 
@@ -152,7 +152,7 @@
         seen = self.of(call)
         if seen is None or seen.call is not call:
             return
-        last = call.last()
+        last = call.last_attempt()
         seen.tell(answer, text, last.machine if last is not None and answer.state in LIVE else None)
         if last is not None and answer.state in (STARTING, RUNNING):
             self.silent.pop(last.machine, None)
@@ -254,7 +254,7 @@
             shape = (slot.job.cls.name, spec.service, spec.cores, spec.memory)
             attempts = sum(reason.count for reason in slot.record.reasons.values())
         elif call is not None:
-            ask = call.ask
+            ask = call.request
             shape, attempts = (ask.task_class, ask.service, ask.cores, ask.memory), len(call.attempts)
         else:
             return
@@ -392,18 +392,18 @@
     def stage(self, seen: Seen) -> s.Cause | None:
         """What the task waits for just now, as far as that is ours."""
         slot, call = seen.slot, seen.call
-        if not self.opening().done:
+        if not self.opening().is_open:
             return reasons.OPENING
         if slot is not None and slot.step is not JobStep.ASKED:
             return reasons.PAUSE if slot.step is JobStep.PAUSED else reasons.QUEUE
-        last = call.out() if call is not None else None
+        last = call.active_attempt() if call is not None else None
         return reasons.out(last.machine, last.number) if last is not None else None
 
     def why(self, seen: Seen) -> s.Why:
         if seen.slot is not None:
             record = seen.slot.record
         else:
-            record = seen.call.why if seen.call is not None else PendingReasons()
+            record = seen.call.pending_reasons if seen.call is not None else PendingReasons()
         common = self.common.get(seen.shape, []) if seen.shape is not None else []
         return reasons.why(self.stage(seen), record, common, self.wall_of)
 
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -26,7 +26,7 @@
     CallAnswered,
     CallForgotten,
     CallTaken,
-    Happened,
+    DomainEvent,
     PlacementOpened,
     TaskStatusReported,
 )
@@ -102,7 +102,12 @@
         self.versions = Versions(core.incarnation, kinds)
         self.channels = WatchChannels(limits.watch, self.versions.told)
         self.mirror = Mirror(
-            core, lambda: core.opening, self.versions, self.channels, core.timing.clock.wall, limits.ended
+            core,
+            lambda: core.startup_gate,
+            self.versions,
+            self.channels,
+            core.timing.clock.wall,
+            limits.ended,
         )
         self.mirror.stir = self._stir
         self.pace = overload.AdmissionPace()
@@ -119,8 +124,8 @@
         self.pump_due = 0.0
         self.fanning = False
         self.cut: Callable[[Any], None] = lambda watcher: None  # set by the front
-        core.admit(self)
-        core.hear(self.hear)
+        core.register_owner(self)
+        core.subscribe(self.hear)
         core.timing.call_in(limits.sweep_ms, self._sweep)
 
     def retune(self, limits: RestLimits) -> None:
@@ -143,18 +148,17 @@
                 )
             if known is not None:
                 return known[1], False
-        cls = self.core.classes.get(new.spec.task_class)
+        cls = self.core.classes_by_name.get(new.spec.task_class)
         if cls is None:
-            text = (
-                f"spec.class is {new.spec.task_class[:80]!r}; expected one of {', '.join(self.core.classes)}"
-            )
+            expected = ", ".join(self.core.classes_by_name)
+            text = f"spec.class is {new.spec.task_class[:80]!r}; expected one of {expected}"
             raise ConflictError(422, text)
         least = 2.0 * self.core.options.answer_margin_ms
         if new.spec.wait_ms is not None and new.spec.wait_ms <= least:
             raise ConflictError(422, f"spec.waitMs is {new.spec.wait_ms:g}; expected more than {least:g}")
         if new.name is not None and (tenant, new.name) in self.jobs:
             raise ConflictError(409, f"job {new.name} of {tenant} is there already")
-        if self.core.ending:
+        if self.core.is_shutting_down:
             raise TooManyError(overload.OverloadRejection(503, "the allocator is shutting down", 5_000.0))
         if key is not None and not self.keys.room(now):
             raise TooManyError(
@@ -197,7 +201,7 @@
         seen.slot, seen.labels = slot, slot.job.labels
         self.mirror.ended.pop(key, None)
         self.mirror.touch(key)
-        if seen.call is not None and seen.call.placed():
+        if seen.call is not None and seen.call.is_placed():
             self._join(slot, seen.call)  # it runs already: adopted from a former incarnation
         else:
             seen.wait()  # what an adopted one that is over has left behind is no answer to this ask
@@ -221,17 +225,17 @@
         slot.cancelled = True
         if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
             self._refuse(slot, StatusAnswer(KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
-        elif slot.call is not None and slot.call.over:  # out of sight; stopped should it come back
+        elif slot.call is not None and slot.call.is_closed:  # out of sight; stopped should it come back
             self._step(slot, JobStep.OVER)
             self._settled(slot.job)
         elif slot.call is not None:
-            self.core.owners.withdraw(slot.call)  # its answer, or its end, follows
+            self.core.framework_sessions.withdraw(slot.call)  # its answer, or its end, follows
 
     def cancel_task(self, seen: Seen) -> None:
         if seen.slot is not None:
             self.cancel_slot(seen.slot)
         elif seen.call is not None:
-            self.core.owners.withdraw(seen.call)
+            self.core.framework_sessions.withdraw(seen.call)
         self.mirror.flush_task(seen.key)
 
     def patch(self, job: JobState, labels: dict[str, str | None]) -> None:
@@ -253,7 +257,7 @@
         self._pump_soon()
 
     def _pump_soon(self) -> None:
-        if self.pumping or not self.core.opening.done:
+        if self.pumping or not self.core.startup_gate.is_open:
             return
         self.pumping = True
         self.pump_due = self.core.timing.now() + TURN_MS
@@ -306,9 +310,9 @@
             data=spec.data,
         )
         slot.step, slot.rounds = JobStep.ASKED, slot.rounds + 1
-        taken = core.owners.take_inside(owner_id(job.tenant), job.tenant, info, ask, slot.record)
+        taken = core.framework_sessions.take_inside(owner_id(job.tenant), job.tenant, info, ask, slot.record)
         if isinstance(taken, AdmissionDecision):
-            given = FinalAnswer.REFUSED if taken.answer.retry is RetryAdvice.HARMLESS else FinalAnswer.FAILED
+            given = FinalAnswer.REJECTED if taken.answer.retry is RetryAdvice.HARMLESS else FinalAnswer.FAILED
             self._after(
                 slot, after_round(slot, given, taken.answer, core.now(), self.random), taken.answer, given
             )
@@ -319,13 +323,13 @@
     def _join(self, slot: Slot, call: Call) -> None:
         """The task is there already: adopted from a former incarnation."""
         slot.call = self.seen(slot).call = call
-        if call.given is FinalAnswer.SERVED:
+        if call.final_answer is FinalAnswer.PLACED:
             self._step(slot, JobStep.PLACED)
-            slot.placed_once, slot.given = True, FinalAnswer.SERVED
-            last = call.last()
+            slot.placed_once, slot.given = True, FinalAnswer.PLACED
+            last = call.last_attempt()
             starting = last is None or last.step is AttemptStep.ACCEPTED
             answer = StatusAnswer(STARTING if starting else RUNNING, RetryAdvice.NEVER)
-            self.seen(slot).answer = FinalAnswer.SERVED.value
+            self.seen(slot).answer = FinalAnswer.PLACED.value
             self.seen(slot).tell(answer, None, last.machine if last is not None else None)
         self.mirror.touch(self.seen(slot).key)
 
@@ -338,8 +342,8 @@
     def _refuse(self, slot: Slot, answer: StatusAnswer, text: str | None = None) -> None:
         """The final answer of a task that has no round out."""
         if text is None:
-            text = slot.record.text(len(self.core.listed or ()))
-        self._after(slot, Next(JobStep.OVER), answer, FinalAnswer.REFUSED, text)
+            text = slot.record.text(len(self.core.listed_machines or ()))
+        self._after(slot, Next(JobStep.OVER), answer, FinalAnswer.REJECTED, text)
 
     def _after(
         self, slot: Slot, then: Next, answer: StatusAnswer, given: FinalAnswer, text: str | None = None
@@ -354,27 +358,27 @@
             return
         self._step(slot, then.step)
         slot.given, seen.answer = given, given.value
-        last = slot.call.last() if slot.call is not None and then.step is JobStep.PLACED else None
+        last = slot.call.last_attempt() if slot.call is not None and then.step is JobStep.PLACED else None
         seen.tell(answer, text, last.machine if last is not None else None)
         if then.step is JobStep.OVER:
             self._settled(slot.job)
 
     # ---- hearing the core ----
 
-    def wants(self, call: Call) -> bool:
+    def is_wanted(self, call: Call) -> bool:
         seen = self.mirror.of(call)
         return seen is not None and (seen.slot is None or not seen.slot.cancelled)
 
-    def hear(self, what: Happened) -> None:
+    def hear(self, what: DomainEvent) -> None:
         if not self._ours(what):
             self.mirror.hear(what)
         if isinstance(what, AttemptSent):
             if what.attempt.call.framework.startswith(PREFIX + ":"):
-                self.out[what.attempt.id] = what.attempt.sent_at
+                self.out[what.attempt.id] = what.attempt.sent_at_ms
         elif isinstance(what, AttemptConcluded):
             self._heard(what.attempt, what.outcome is api.Outcome.REJECTED)
-        elif isinstance(what, CallAnswered) and what.given is FinalAnswer.SERVED:
-            self._heard(what.call.last(), True)
+        elif isinstance(what, CallAnswered) and what.final_answer is FinalAnswer.PLACED:
+            self._heard(what.call.last_attempt(), True)
         elif isinstance(what, PlacementOpened):
             self._pump_soon()
 
@@ -384,7 +388,7 @@
         if sent is not None and answered:
             self.pace.answered(self.core.now() - sent)
 
-    def _ours(self, what: Happened) -> bool:
+    def _ours(self, what: DomainEvent) -> bool:
         """Whether it is about a job's task; then it is handled here."""
         if not isinstance(what, TaskStatusReported | CallTaken | CallAnswered | CallForgotten):
             return False
@@ -399,7 +403,7 @@
         return True
 
     def _told(self, slot: Slot, seen: Seen, what: TaskStatusReported) -> None:
-        answer, given = what.answer, what.call.given
+        answer, given = what.answer, what.call.final_answer
         if slot.step is JobStep.ASKED and given is not None:
             then = after_round(slot, given, answer, self.core.now(), self.random)
             slot.placed_once |= then.step is JobStep.PLACED
@@ -411,7 +415,7 @@
             slot.placed_once = True
             if slot.step is not JobStep.PLACED:
                 self._step(slot, JobStep.PLACED)
-                slot.given = slot.given or FinalAnswer.SERVED
+                slot.given = slot.given or FinalAnswer.PLACED
                 seen.answer = slot.given.value
                 self.over.pop(slot.job, None)
                 slot.job.over_at = None
@@ -432,7 +436,7 @@
         """A task that was placed and lost is asked for anew, with its whole time before it."""
         now = self.core.now()
         slot.until, slot.rounds, slot.given = now + then.pause_ms + slot.job.wait_ms(), 0, None
-        self._after(slot, then, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REFUSED)
+        self._after(slot, then, StatusAnswer(DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REJECTED)
         self._expire_later([slot])
 
     # ---- time ----
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -41,17 +41,17 @@
     def _subscribe(self, call: m.ExecutorCall) -> Subscribe:
         def begin(link: RecordLink) -> Callable[[str], None]:
             try:
-                agent = self.core.agents.subscribe(call, link)
+                agent = self.core.agent_sessions.subscribe(call, link)
             except (AgentLimitError, m.MessageError, NotSubscribedError) as error:
                 link.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(str(error)))))
                 link.close(str(error))
                 return lambda why: None
-            return lambda why: self.core.agents.closed(agent, link, why)
+            return lambda why: self.core.agent_sessions.closed(agent, link, why)
 
-        return Subscribe({}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
+        return Subscribe({}, begin, HEARTBEAT, self.core.options.heartbeat_interval_ms)
 
     def _call(self, call: m.ExecutorCall) -> None:
-        agents, name = self.core.agents, call.executor_id.value
+        agents, name = self.core.agent_sessions, call.executor_id.value
         if call.type == "UPDATE":
             agents.update(name, need(call.update, "update").status)
         elif call.type == "MESSAGE":
--- a/glencleat/servers/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -27,7 +27,7 @@
         self.core = core
 
     def collect(self) -> Iterator[Metric]:
-        figures = self.core.figures
+        figures = self.core.counters
         taken = CounterMetricFamily("glencleat_tasks_taken", "Tasks taken from owners", labels=["class"])
         for name, value in sorted(figures.taken.items()):
             taken.add_metric([name], value)
@@ -35,19 +35,19 @@
         given = CounterMetricFamily("glencleat_tasks_answered", "Final answers", labels=["class", "answer"])
         for name in sorted(figures.taken):
             for answer in FinalAnswer:
-                given.add_metric([name, answer.value], figures.given[name, answer.value])
+                given.add_metric([name, answer.value], figures.answered[name, answer.value])
         yield given
         still = GaugeMetricFamily("glencleat_tasks_open", "Tasks without an answer yet", labels=["class"])
-        open_now = figures.open_by_class()
+        open_now = figures.count_open_by_class()
         for name in sorted(figures.taken):
             still.add_metric([name], open_now[name])
         yield still
         yield from self._others(open_now)
 
     def _others(self, open_now: Counter[str]) -> Iterator[Metric]:
-        figures, core = self.core.figures, self.core
+        figures, core = self.core.counters, self.core
         off = GaugeMetricFamily("glencleat_tasks_mismatch", "Taken less answered less open: 0, or a fault")
-        off.add_metric([], sum(abs(v) for v in figures.mismatch(open_now).values()))
+        off.add_metric([], sum(abs(v) for v in figures.find_mismatches(open_now).values()))
         yield off
         attempts = CounterMetricFamily("glencleat_attempts", "Attempts back, by outcome", labels=["outcome"])
         for name, value in sorted(figures.attempts.items()):
@@ -59,7 +59,7 @@
         yield events
         agents = GaugeMetricFamily("glencleat_agents", "Agents by state", labels=["state"])
         for state in AgentState:
-            members = core.members.members.values()
+            members = core.membership.members.values()
             agents.add_metric([state.value], sum(member.state is state for member in members))
         yield agents
         frameworks = GaugeMetricFamily("glencleat_frameworks", "Owners' frameworks", labels=["connected"])
@@ -70,7 +70,7 @@
             )
         yield frameworks
         module = CounterMetricFamily("glencleat_module_cpu_seconds", "CPU time inside the decision module")
-        module.add_metric([], core.module.module_s)
+        module.add_metric([], core.contract.policy_cpu_s)
         yield module
 
 
@@ -126,7 +126,7 @@
         return Response(200, generate_latest(self.registry), CONTENT_TYPE_LATEST)
 
     def _ready(self) -> Response:
-        why = self.core.unready()
+        why = self.core.find_unready_reason()
         if why is None:
             return Response(200, b"ready\n")
         return Response(503, f"{why}\n".encode(), headers={"retry-after": RETRY_AFTER})
--- a/glencleat/servers/rest_api.py
+++ b/glencleat/servers/rest_api.py
@@ -205,7 +205,7 @@
 
     def _openapi(self, asked: RestRequest) -> Response:
         if self.document is None:
-            self.document = s.encode(openapi.document(ROUTES, self.core.classes))
+            self.document = s.encode(openapi.document(ROUTES, self.core.classes_by_name))
         return Response(200, self.document, JSON)
 
     def _one(self, record: ResourceRecord, status: int = 200) -> Response:
@@ -368,7 +368,7 @@
         finally:
             if watcher.cut is not None:
                 core.log("watch cut off", why=watcher.cut)
-                core.figures.events["watch cut off"] += 1
+                core.counters.events["watch cut off"] += 1
             self.watchers.pop(watcher, None)
             plane.channels.leave(watcher)
 
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -64,7 +64,7 @@
         named = call.framework_id.value if call.framework_id is not None else told
         if told != named and told is not None:
             raise HttpError(400, "'framework_id' differs from 'subscribe.framework_info.id'")
-        if named is not None and named.partition(":")[0] in self.core.insiders and ":" in named:
+        if named is not None and named.partition(":")[0] in self.core.in_process_owners and ":" in named:
             raise HttpError(403, f"framework_id is {named[:80]!r}; expected none of the allocator's own")
         if named is not None:
             info.id = m.Value(named)
@@ -75,13 +75,15 @@
         stream_id = f"{self.core.random.getrandbits(128):032x}"
 
         def begin(link: RecordLink) -> Callable[[str], None]:
-            framework = self.core.owners.subscribe(info, stream_id, link)
-            return lambda why: self.core.owners.closed(framework, link, why)
+            framework = self.core.framework_sessions.subscribe(info, stream_id, link)
+            return lambda why: self.core.framework_sessions.closed(framework, link, why)
 
-        return Subscribe({"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
+        return Subscribe(
+            {"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_interval_ms
+        )
 
     def _call(self, framework: Framework, call: m.SchedulerCall) -> None:
-        owners, core = self.core.owners, self.core
+        owners, core = self.core.framework_sessions, self.core
         if call.type == "ACCEPT":
             owners.accept(framework, need(call.accept, "accept"))
         elif call.type == "ACKNOWLEDGE":
--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -99,7 +99,7 @@
 def held():
     """A cluster of which nothing is known yet, and an owner."""
     cluster = Cluster(0)
-    cluster.core.opening = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
+    cluster.core.startup_gate = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
     return cluster, Owner(cluster).subscribe()
 
 
@@ -113,16 +113,20 @@
     cluster, owner = held
     for number, left in enumerate((8_000.0, 3_000.0, 5_000.0, 4_000.0)):
         owner.launch(f"t{number}", left=left)
-    cluster.core.classes["unsafe"] = replace(cluster.core.classes["unsafe"], weight=9.0)
+    cluster.core.classes_by_name["unsafe"] = replace(cluster.core.classes_by_name["unsafe"], weight=9.0)
     owner.launch("u", cls="unsafe", left=8_000.0)
     opens(cluster, 2)
     cluster.timing.advance(20.0)
-    sent = lambda: {call.task_id for call in cluster.core.ledger.calls.values() if call.told}  # noqa: E731
+
+    def sent():
+        calls = cluster.core.call_table.active_calls.values()
+        return {call.task_id for call in calls if call.is_requested}
+
     assert sent() == {"u", "t1"}
     for agent, task in cluster.offered():
         agent.say(task.task_id.value, "TASK_STARTING")
     cluster.timing.advance(1.0)
-    assert sent() == {"u", "t0", "t1", "t2", "t3"} and cluster.core.early.over
+    assert sent() == {"u", "t0", "t1", "t2", "t3"} and cluster.core.admission_queue.is_finished
     cluster.check()
 
 
@@ -143,9 +147,9 @@
         ready().status == 503 and ready().headers["retry-after"] == "1" and b"what they run" in ready().body
     )
     opens(cluster, 1)
-    assert not cluster.offered() and cluster.core.early.over
+    assert not cluster.offered() and cluster.core.admission_queue.is_finished
     assert ready().status == 200
-    cluster.core.ending = True
+    cluster.core.is_shutting_down = True
     assert ready().body == b"shutting down\n"
     cluster.check()
 
@@ -153,17 +157,17 @@
 def test_a_task_whose_time_is_over_as_the_line_opens_is_not_sent(held):
     cluster, owner = held
     owner.launch("t1", left=1_000.0)
-    (call,) = cluster.core.ledger.calls.values()
-    cluster.timing.at += call.ask.left_ms  # its own timer is due in the same turn, and comes after
+    (call,) = cluster.core.call_table.active_calls.values()
+    cluster.timing.at += call.request.remaining_ms  # its own timer is due in the same turn, and comes after
     opens(cluster, 1)
-    assert not cluster.offered() and not call.told and owner.states("t1") == ["TASK_DROPPED"]
+    assert not cluster.offered() and not call.is_requested and owner.states("t1") == ["TASK_DROPPED"]
     cluster.check()
 
 
 def test_one_taken_back_from_the_line_is_not_sent(held):
     cluster, owner = held
     owner.launch("t1")
-    cluster.core.owners.kill(owner.framework, "t1")
+    cluster.core.framework_sessions.kill(owner.framework, "t1")
     opens(cluster, 1)
     assert not cluster.offered() and owner.states("t1") == ["TASK_KILLED"]
     cluster.check()
@@ -182,8 +186,8 @@
             answered.add(task.task_id.value)
             agent.say(task.task_id.value, "TASK_STARTING")
     dropped = [status for status in owner.statuses() if status.state == "TASK_DROPPED"]
-    assert cluster.core.early.refused == len(dropped) > 250
-    assert 0 < len(cluster.core.early.line) < 60
+    assert cluster.core.admission_queue.rejected_count == len(dropped) > 250
+    assert 0 < len(cluster.core.admission_queue.waiting_calls) < 60
     cluster.check()
 
 
@@ -191,7 +195,9 @@
 
 
 def asks(cluster, owner, *names):
-    cluster.core.owners.reconcile(owner.framework, [m.ReconcileTask(m.Value(name)) for name in names])
+    cluster.core.framework_sessions.reconcile(
+        owner.framework, [m.ReconcileTask(m.Value(name)) for name in names]
+    )
 
 
 def test_nothing_is_said_of_tasks_before_agents_have_told(held):
@@ -212,14 +218,14 @@
     assert (
         {s.state for s in told} == {"TASK_STARTING"}
         and len(told) >= 2
-        and cluster.core.owners.reconciling.waiting == 0
+        and cluster.core.framework_sessions.reconciling.waiting == 0
     )
 
 
 def test_a_crowd_that_reconciles_takes_turns_and_none_is_lost():
     cluster = Cluster(1)
     crowd = [Owner(cluster, f"o{i}").subscribe() for i in range(3)]
-    line = cluster.core.owners.reconciling
+    line = cluster.core.framework_sessions.reconciling
     for owner in crowd:
         asks(cluster, owner, *(f"t{i}" for i in range(500)))
         asks(cluster, owner, *(f"t{i}" for i in range(TURN, 500)))  # it waits: the same question
@@ -235,14 +241,14 @@
 def test_questions_are_bounded_and_go_with_their_owner(monkeypatch):
     monkeypatch.setattr(reconciliation, "MOST", 600)
     cluster = Cluster(1)
-    cluster.core.opening.done = False
+    cluster.core.startup_gate.is_open = False
     owner, other = Owner(cluster).subscribe(), Owner(cluster, "other").subscribe()
     asks(cluster, owner, *(f"t{i}" for i in range(700)))
-    assert cluster.core.owners.reconciling.waiting == 600
-    assert cluster.core.figures.events["reconcile turned away"] == 1
+    assert cluster.core.framework_sessions.reconciling.waiting == 600
+    assert cluster.core.counters.events["reconcile turned away"] == 1
     asks(cluster, other, "t1")
     owner.link.close("gone")
-    cluster.core.opening.done = True
+    cluster.core.startup_gate.is_open = True
     asks(cluster, other, "t2")
-    assert cluster.core.owners.reconciling.waiting == 0 and not owner.statuses()
-    assert not cluster.core.owners.reconciling.lines
+    assert cluster.core.framework_sessions.reconciling.waiting == 0 and not owner.statuses()
+    assert not cluster.core.framework_sessions.reconciling.lines
--- a/tests/allocator/test_decisions.py
+++ b/tests/allocator/test_decisions.py
@@ -202,9 +202,9 @@
 
 
 def test_admission_names_the_limit():
-    limits = admission.AdmissionLimits(open_most=10, open_each=5, placed_most=20)
+    limits = admission.AdmissionLimits(max_unanswered=10, max_unanswered_per_framework=5, max_active=20)
     free = admission.AdmissionLoad(0, 0, 0, False, False)
-    assert admission.refuses(free, limits) is None
+    assert admission.find_exceeded_limit(free, limits) is None
     for load, named in (
         (admission.AdmissionLoad(10, 0, 0, False, False), "at most 10"),
         (admission.AdmissionLoad(0, 5, 0, False, False), "at most 5"),
@@ -212,7 +212,7 @@
         (admission.AdmissionLoad(0, 0, 0, True, False), "unacknowledged"),
         (admission.AdmissionLoad(0, 0, 0, False, True), "shutting down"),
     ):
-        assert named in admission.refuses(load, limits)
+        assert named in admission.find_exceeded_limit(load, limits)
 
 
 def call(effect=api.Idempotency.NON_IDEMPOTENT, number=1):
@@ -231,11 +231,11 @@
 )
 def test_an_unsafe_task_starts_again_only_if_it_never_ran(step, ran, told):
     before = call()
-    before.given, before.over = FinalAnswer.FAILED, True
-    before.attempts.append(Attempt(before, 0, "h", "a", step=step, back=True, ran=ran))
-    assert admission.repeats(before) == told
-    before.effect = api.Idempotency.IDEMPOTENT
-    assert admission.repeats(before) is None
+    before.final_answer, before.is_closed = FinalAnswer.FAILED, True
+    before.attempts.append(Attempt(before, 0, "h", "a", step=step, is_concluded=True, has_run=ran))
+    assert admission.classify_repeat(before) == told
+    before.idempotency = api.Idempotency.IDEMPOTENT
+    assert admission.classify_repeat(before) is None
 
 
 # ---- ledger and recovery ----
@@ -245,24 +245,24 @@
     ledger = CallTable(remembered=2)
     for number in range(1, 5):
         one = call(number=number)
-        ledger.take(one)
-        ledger.bind(Attempt(one, 0, f"h{number}", f"a{number}"))
-        ledger.give(one, FinalAnswer.REFUSED)
-        ledger.close(one)
-    assert ledger.open == 0 and not ledger.calls
-    assert set(ledger.attempts) == {"a3", "a4"} and set(ledger.machines) == {"h3", "h4"}
-    assert ledger.task("f", "t1") is None and ledger.task("f", "t4") is not None
+        ledger.add_call(one)
+        ledger.add_attempt(Attempt(one, 0, f"h{number}", f"a{number}"))
+        ledger.record_answer(one, FinalAnswer.REJECTED)
+        ledger.close_call(one)
+    assert ledger.unanswered_count == 0 and not ledger.active_calls
+    assert set(ledger.attempts_by_id) == {"a3", "a4"} and set(ledger.attempts_by_machine) == {"h3", "h4"}
+    assert ledger.find_call("f", "t1") is None and ledger.find_call("f", "t4") is not None
     with pytest.raises(AssertionError, match="failed after refused"):
-        ledger.give(one, FinalAnswer.FAILED)
+        ledger.record_answer(one, FinalAnswer.FAILED)
 
 
 def test_the_opening_waits_for_all_or_for_its_grace():
-    assert not StartupGate(0.0, 100.0, 1_000.0).opens(50.0, ["a"], ["a"])
-    assert StartupGate(0.0, 100.0, 1_000.0).opens(100.0, ["a"], ["a", "b"])
-    assert not StartupGate(0.0, 100.0, 1_000.0).opens(100.0, [], [])
+    assert not StartupGate(0.0, 100.0, 1_000.0).try_open(50.0, ["a"], ["a"])
+    assert StartupGate(0.0, 100.0, 1_000.0).try_open(100.0, ["a"], ["a", "b"])
+    assert not StartupGate(0.0, 100.0, 1_000.0).try_open(100.0, [], [])
     opening = StartupGate(0.0, 100.0, 1_000.0)
-    assert not opening.opens(999.0, ["a", "b"], ["a"]) and not opening.opens(999.0, None, [])
-    assert opening.opens(1_000.0, None, []) and opening.opens(0.0, ["a"], [])
+    assert not opening.try_open(999.0, ["a", "b"], ["a"]) and not opening.try_open(999.0, None, [])
+    assert opening.try_open(1_000.0, None, []) and opening.try_open(0.0, ["a"], [])
 
 
 # ---- the list ----
--- a/tests/rest/test_rest_service.py
+++ b/tests/rest/test_rest_service.py
@@ -62,8 +62,8 @@
 
     def out(self, name="j.0"):
         """The agent and attempt that the task's last call has out."""
-        call = self.core.ledger.task("rest:t", name)
-        attempt = call.out()
+        call = self.core.call_table.find_call("rest:t", name)
+        attempt = call.active_attempt()
         return self.agents[attempt.machine], attempt.id
 
     def say(self, state, name="j.0", **more):
@@ -103,10 +103,10 @@
     first, _ = front.out()
     front.say("TASK_DROPPED", cause="cores")
     slot = front.plane.jobs["t", "j"].slots[0]
-    while slot.rounds < 2 or slot.call.out() is None:
+    while slot.rounds < 2 or slot.call.active_attempt() is None:
         front.run(500.0)  # the module holds it, or asks again; the deadline of its class ends the round
         assert front.task()["state"] == "TASK_STAGING" and "answer" not in front.task()
-        if slot.rounds < 2 and slot.call.out() is not None:
+        if slot.rounds < 2 and slot.call.active_attempt() is not None:
             front.say("TASK_DROPPED", cause="cores")
     front.say("TASK_STARTING")
     assert front.task()["answer"] == "served" and front.task()["attempts"] >= 1
@@ -225,7 +225,7 @@
     agent.say(attempt, "TASK_KILLED")
     front.run()
     assert front.ask("GET", "/v1/tenants/t/jobs/j")[0] == 404 and front.task()["status"] == 404
-    assert not front.core.ledger.calls and front.plane.waiting.total() == 0
+    assert not front.core.call_table.active_calls and front.plane.waiting.total() == 0
     front.cluster.check()
 
 
@@ -259,7 +259,7 @@
     front = Front(0)
     front.create(tasks=3)
     front.plane.end()
-    front.core.end()
+    front.core.begin_shutdown()
     front.run()
     assert front.job()["status"] == {"phase": "over", "refused": 3}
     assert front.task()["message"] == "the allocator is shutting down"
@@ -299,7 +299,7 @@
     assert task["answer"] == "failed" and "same key" in task["message"] and task["retry"] == "never"
     assert front.task("j.0", "tenant")["state"] == "TASK_STAGING", "another work of the tenant"
     ((agent, launch), _) = front.cluster.offered()
-    front.core.owners.kill(owner.framework, "a")
+    front.core.framework_sessions.kill(owner.framework, "a")
     agent.say(launch.task_id.value, "TASK_DROPPED", cause="cores")
     assert owner.states("a") == ["TASK_KILLED"], "now it is known not to have run"
     front.ask("DELETE", "/v1/tenants/tenant/jobs/twin")
@@ -423,8 +423,8 @@
 
 def test_before_the_opening_a_task_waits_for_it():
     front = Front(0)
-    front.core.opening = StartupGate(front.core.now(), 0.0, 60_000.0)
-    front.core.listed = None
+    front.core.startup_gate = StartupGate(front.core.now(), 0.0, 60_000.0)
+    front.core.listed_machines = None
     front.create()
     front.run(500.0)
     assert "opening" in causes(front) and front.plane.turns.queued == 1
@@ -740,7 +740,7 @@
         for job in self.front.plane.jobs.values():
             for slot in job.slots:
                 if slot.step is JobStep.ASKED:
-                    assert slot.call is not None and slot.call.given is None
+                    assert slot.call is not None and slot.call.final_answer is None
                 if slot.step is JobStep.PLACED:
                     assert slot.given is not None
 
--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -292,18 +292,18 @@
 @pytest.mark.parametrize(
     ("effect", "given", "answer", "now", "cancelled", "step"),
     [
-        (S, FinalAnswer.SERVED, DROPPED, 0.0, False, JobStep.PLACED),
-        (S, FinalAnswer.SERVED, DROPPED, 0.0, True, JobStep.PLACED),
-        (S, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
-        (U, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
-        (S, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
-        (K, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
-        (U, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.OVER),  # it may have run
-        (S, FinalAnswer.REFUSED, DROPPED, 19_500.0, False, JobStep.OVER),  # no time for another round
-        (S, FinalAnswer.REFUSED, DROPPED, 0.0, True, JobStep.OVER),
+        (S, FinalAnswer.PLACED, DROPPED, 0.0, False, JobStep.PLACED),
+        (S, FinalAnswer.PLACED, DROPPED, 0.0, True, JobStep.PLACED),
+        (S, FinalAnswer.REJECTED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REJECTED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (S, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (K, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.OVER),  # it may have run
+        (S, FinalAnswer.REJECTED, DROPPED, 19_500.0, False, JobStep.OVER),  # no time for another round
+        (S, FinalAnswer.REJECTED, DROPPED, 0.0, True, JobStep.OVER),
         (
             S,
-            FinalAnswer.REFUSED,
+            FinalAnswer.REJECTED,
             StatusAnswer(status_mapping.ERROR, RetryAdvice.NEVER),
             0.0,
             False,
@@ -324,9 +324,9 @@
     slot = job(wait=60_000.0).slots[0]
     pauses = []
     for slot.rounds in range(1, 9):
-        pauses.append(jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 0.0, Random(1)).pause_ms)
+        pauses.append(jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 0.0, Random(1)).pause_ms)
     assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.PAUSE_MOST_MS
-    near = jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 58_900.0, Random(1))
+    near = jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 58_900.0, Random(1))
     assert near.step is JobStep.PAUSED and near.pause_ms <= 600.0
     assert (
         jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0)
--- a/tests/servers/test_rest_api.py
+++ b/tests/servers/test_rest_api.py
@@ -262,7 +262,7 @@
         ]
         assert states[-1] == "TASK_FINISHED"
     assert sum(e.kind == "started" for e in day.recorder.entries) == 12
-    assert day.broken() == [] and day.core.figures.mismatch() == {}
+    assert day.broken() == [] and day.core.counters.find_mismatches() == {}
 
 
 def test_a_task_placed_and_over_between_two_looks_was_answered(world):
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -94,7 +94,7 @@
         told = m.SubscribeExecutor(list(tasks), [m.UpdateCall(status) for status in updates])
         call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=told)
         self.link = link = Link(m.ExecutorEvent)
-        agents = self.cluster.core.agents
+        agents = self.cluster.core.agent_sessions
         name = agents.subscribe(call, link)
         link.ended = lambda why: agents.closed(name, link, why)
         return self
@@ -116,10 +116,10 @@
         self.tell(self.status(task, state, reason, cause))
 
     def tell(self, status):
-        self.cluster.core.agents.update(self.id, status)
+        self.cluster.core.agent_sessions.update(self.id, status)
 
     def beat(self):
-        self.cluster.core.agents.heartbeat(self.id)
+        self.cluster.core.agent_sessions.heartbeat(self.id)
 
 
 class Owner:
@@ -130,7 +130,7 @@
     def subscribe(self):
         info = m.FrameworkInfo("u", self.name, m.Value(self.name), "tenant", failover_timeout=self.failover_s)
         self.link = link = Link(m.SchedulerEvent)
-        owners = self.cluster.core.owners
+        owners = self.cluster.core.framework_sessions
         self.framework = framework = owners.subscribe(info, f"stream-{self.name}", link)
         link.ended = lambda why: owners.closed(framework, link, why)
         return self
@@ -141,7 +141,7 @@
         info = m.TaskInfo(task, m.Value(task), resources=m.resources(cores, memory), labels=told)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
-        self.cluster.core.owners.accept(self.framework, m.Accept([offer], [operation]))
+        self.cluster.core.framework_sessions.accept(self.framework, m.Accept([offer], [operation]))
 
     def statuses(self, task=None):
         found = [event.update.status for event in self.link.of("UPDATE")]
@@ -151,7 +151,7 @@
         return [status.state for status in self.statuses(task)]
 
     def reconcile(self, task):
-        self.cluster.core.owners.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
+        self.cluster.core.framework_sessions.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
         return self.statuses(task)[-1]
 
 
@@ -171,17 +171,17 @@
             max_attempts=4,
             drain_grace_ms=1000.0,
         )
-        options = Options(**({"heartbeat_ms": 1000.0, "return_ms": 4000.0} | options))
+        options = Options(**({"heartbeat_interval_ms": 1000.0, "agent_return_timeout_ms": 4000.0} | options))
         module = module or Scheduler(settings, seed=1)
         self.core = Core(settings, module, options, self.timing, seed)
         names = [f"h{i}" for i in range(machines)]
         self.agents = {name: Agent(self, name).subscribe() for name in names}
         self.list(names)
-        self.timing.advance(self.core.options.grace_ms if not machines else 0.0)
+        self.timing.advance(self.core.options.startup_grace_ms if not machines else 0.0)
 
     def list(self, names, kind=api.ListUpdateKind.SNAPSHOT, phase=api.MachinePhase.SERVING):
         told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
-        self.core.list_told(api.MachineListUpdated(kind, told))
+        self.core.update_machine_list(api.MachineListUpdated(kind, told))
 
     def offered(self):
         """The agent and task of every LAUNCH so far, in the order of their calls."""
@@ -192,5 +192,7 @@
 
     def check(self):
         """What must hold at any instant."""
-        assert self.core.figures.mismatch() == {}
-        assert self.core.ledger.open == sum(c.given is None for c in self.core.ledger.calls.values())
+        assert self.core.counters.find_mismatches() == {}
+        assert self.core.call_table.unanswered_count == sum(
+            c.final_answer is None for c in self.core.call_table.active_calls.values()
+        )
--- a/tests/support/daemon_world.py
+++ b/tests/support/daemon_world.py
@@ -67,7 +67,7 @@
             host.start(cold=False)
         self.directory.start()
         self.core = self.daemon.core
-        self.until(lambda: self.core.opening.done or not self.hosts)
+        self.until(lambda: self.core.startup_gate.is_open or not self.hosts)
 
     @staticmethod
     def parse(text):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -51,9 +51,9 @@
     for i in range(30):
         assert day.states(owner, f"t{i}") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
     day.until(lambda: not day.core.frameworks.known[owner.framework].unacked)
-    assert not day.core.ledger.calls and not day.core.module.calls
+    assert not day.core.call_table.active_calls and not day.core.contract.calls
     assert all(not s.unacked for h in day.hosts for s in h.sessions.values())
-    assert day.broken() == [] and day.core.figures.mismatch() == {}
+    assert day.broken() == [] and day.core.counters.find_mismatches() == {}
 
 
 def test_metrics_add_up_over_http(world):
@@ -112,16 +112,16 @@
     owner = day.owner()
     stuck, other = day.hosts
     other.stop("not yet")
-    day.until(lambda: day.core.listed == {stuck.name})
+    day.until(lambda: day.core.listed_machines == {stuck.name})
     (session,) = stuck.sessions.values()
     session.pause()
-    link = day.core.members.session(stuck.name)
+    link = day.core.membership.session(stuck.name)
     link.stream.limit = 1 << 30
     while not link.stream.out:
         link.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
     owner.ask(day.job("t1", "store-compact", "unsafe"))
-    day.until(lambda: any(a.machine == stuck.name for a in day.core.ledger.attempts.values()))
-    for member in day.core.members.members.values():
+    day.until(lambda: any(a.machine == stuck.name for a in day.core.call_table.attempts_by_id.values()))
+    for member in day.core.membership.members.values():
         member.heard_at = day.loop.now() + 60_000.0  # only the time-out may end it
     other.start(cold=False)
     day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"), 6_000.0)
@@ -150,7 +150,7 @@
     for i in range(40):
         slow.ask(day.job(f"s{i}", life=60_000.0))
     framework = day.core.frameworks.known[slow.framework]
-    day.until(lambda: day.core.figures.given["pull-front", "served"] == 40)
+    day.until(lambda: day.core.counters.answered["pull-front", "served"] == 40)
     stream = framework.session.stream
     stream.limit = 10  # as if its socket had been full for long
     stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
@@ -181,9 +181,9 @@
     day.directory.mend()
     day.until(lambda: day.directory.watchers)
     day.directory.shrink()
-    day.until(lambda: day.core.listed == set())
+    day.until(lambda: day.core.listed_machines == set())
     owner.ask(day.job("t2"))
-    day.until(lambda: day.core.ledger.open == 1)
+    day.until(lambda: day.core.call_table.unanswered_count == 1)
     day.directory.regrow()
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t2"))
     assert day.broken() == []
@@ -193,8 +193,8 @@
     """The module's steps grow to 4 s: after a long outage allocators came back up to 5 s late."""
     day = world()
     day.directory.fail()
-    day.until(lambda: day.core.module.module.reask_ms >= 1_000.0)
-    day.core.module.module.reask_at = day.loop.now() + 60_000.0
+    day.until(lambda: day.core.contract.policy.reask_ms >= 1_000.0)
+    day.core.contract.policy.reask_at = day.loop.now() + 60_000.0
     day.directory.mend()
     day.until(lambda: day.daemon.directory.up_at is not None, 1_000.0)
     tries, whole = day.daemon.directory.tries, []
@@ -217,7 +217,7 @@
     day.loop.running = True
     day.daemon.stop()
     day.until(lambda: not day.loop.running, 10_000.0)
-    assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.ledger.open
+    assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.call_table.unanswered_count
 
 
 @pytest.mark.parametrize(
@@ -509,13 +509,13 @@
                 link.ended = told.begin(link)
         cluster.timing.advance(100.0)
         cluster.check()
-    assert cluster.core.figures.mismatch() == {}
+    assert cluster.core.counters.find_mismatches() == {}
 
 
 def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
     day = world(hosts=1)
     with pytest.raises(NotSubscribedError):
-        day.core.agents.heartbeat("stranger.r")
+        day.core.agent_sessions.heartbeat("stranger.r")
 
 
 # ---- an unmodified client library ----
--- a/tests/test_endpoint_snapshot.py
+++ b/tests/test_endpoint_snapshot.py
@@ -170,7 +170,7 @@
     day.close()
     (tmp_path / "again").mkdir()
     again = World(tmp_path / "again", conf=f"keep-list {file}\n", down=True)
-    assert again.core.listed == {host.name for host in again.hosts} - {drained.name}
+    assert again.core.listed_machines == {host.name for host in again.hosts} - {drained.name}
     owner = again.owner()
     for number in range(6):
         owner.ask(again.job(f"t{number}"))
@@ -179,5 +179,5 @@
     assert not again.directory.watchers and again.broken() == []
     again.directory.mend()
     again.until(lambda: again.daemon.directory.up_at is not None)
-    again.until(lambda: drained.name in again.core.listed)  # the directory's first word replaces it
+    again.until(lambda: drained.name in again.core.listed_machines)  # the directory's first word replaces it
     again.close()
