--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -1,8 +1,9 @@
-"""The table of calls: from it the state of every task, open or lately answered, can be told at any instant.
+"""The table of calls: the state of every task that is open or was answered lately.
 
-Pure state with bounded memory. A call is one placing of an owner's task; each Bind of the module makes one
-attempt of it. Answered calls stay as long as an agent may still say something about them, or an owner may
-ask; the oldest of these go first when there are more than `remembered`."""
+Pure state with bounded memory. A call is one request of an owner to place a task; each Bind of the policy
+makes one attempt of it. Closed calls are kept while an agent may still report about them or an owner may
+ask; beyond `max_closed_calls` the oldest of these are forgotten.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +15,16 @@
 from glencleat import interface as api
 from glencleat.allocator.delivery_status import merge
 from glencleat.allocator.pending_reasons import PendingReasons
+from glencleat.allocator.runtime_ports import SessionStreamPort, TimerPort
 from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus
 from glencleat.mesos.messages import TaskInfo
 
-MAX_UPDATE_UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
+# Remembered of an attempt's updates; older ones are stale by their step anyhow.
+MAX_UPDATE_UUIDS = 8
 
 
 class FinalAnswer(Enum):
-    """The one final answer of a call."""
+    """The one final answer of a call; the values are labels of metrics."""
 
     PLACED = "served"
     REJECTED = "refused"
@@ -30,39 +33,40 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRequest:
-    """What a TaskInfo asks for, checked (`asks.read`)."""
+    """What a TaskInfo requests, checked by `task_requests.read`."""
 
     task_class: str
     service: str
     key: str
     cores: float
-    memory: float
-    remaining_ms: float
+    memory: float  # in the unit of the machine list
+    remaining_ms: float  # until its owner gives up, counted from when it was accepted
     expected_run_ms: float | None = None
     is_retry: bool = False
-    has_explicit_key: bool = False  # the owner gave the key: it names the work, whatever the task id or front
+    has_explicit_key: bool = False  # the owner gave the key: it names the work, whatever the task id or API
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One LAUNCH to one agent, from the Bind to the last word about it."""
+    """One LAUNCH to one agent, from the Bind to the last report about it."""
 
     call: Call
-    number: int
+    number: int  # counted from 0 within the call
     machine: str
     id: str  # the task's id towards the agent; unique over allocators and their restarts
     sent_at_ms: float = 0.0
-    session: object = None  # the agent's session that the LAUNCH went to
+    session: SessionStreamPort | None = None  # the agent's session that the LAUNCH went to
     begin_offset: int = 0  # the LAUNCH's place in that session's stream
     end_offset: int = 0
     step: AttemptStep = AttemptStep.OUT
-    is_concluded: bool = False  # the module has had its Returned
-    was_placed: bool = False  # its yes came while the module still waited for it, or it was adopted
+    is_concluded: bool = False  # the policy has been told AttemptEnded
+    was_placed: bool = False  # accepted while the policy still waited for it, or adopted
     has_run: bool | None = None  # None: not known
-    timer: object = None
+    timer: TimerPort | None = None
     update_uuids: list[str] = field(default_factory=list)
 
     def execution_status(self) -> ExecutionStatus:
+        """Return what is known of whether the task ran."""
         if self.has_run is False:
             return ExecutionStatus.NEVER_RAN
         if self.step is AttemptStep.OVER:
@@ -70,7 +74,7 @@
         return ExecutionStatus.UNSURE if self.step is AttemptStep.OUT else ExecutionStatus.RUNS
 
     def has_seen_update(self, uuid: str | None) -> bool:
-        """Whether an update with this uuid was handled before; remembers it."""
+        """Return whether an update with this uuid was handled before, and remember it."""
         if uuid is None:
             return False
         if uuid in self.update_uuids:
@@ -82,8 +86,10 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
+    """One owner's request to place a task, until nothing more can be heard of it."""
+
     number: int
-    framework: str
+    framework: str  # id of the framework, or of an owner within the process
     task_id: str
     info: TaskInfo
     request: TaskRequest
@@ -92,69 +98,88 @@
     accepted_at_ms: float
     attempts: list[Attempt] = field(default_factory=list)
     final_answer: FinalAnswer | None = None
-    is_adopted: bool = False
+    is_adopted: bool = False  # placed by a former incarnation
     is_abandoned: bool = False  # its owner killed it or is gone
-    is_closed: bool = False  # nothing more is expected of the module
-    is_requested: bool = False  # the module has been asked
+    is_closed: bool = False  # nothing more is expected of the policy
+    is_requested: bool = False  # the policy has been told PlacementRequested
     pending_reasons: PendingReasons = field(default_factory=PendingReasons)
 
     def last_attempt(self) -> Attempt | None:
+        """Return the latest attempt, if there was one."""
         return self.attempts[-1] if self.attempts else None
 
     def active_attempt(self) -> Attempt | None:
-        """The attempt that the module counts as out or placed."""
+        """Return the attempt that the policy counts as dispatched or placed."""
         last = self.last_attempt()
         return last if last is not None and not last.is_concluded else None
 
     def is_placed(self) -> bool:
-        out = self.active_attempt()
-        return out is not None and out.step in (AttemptStep.ACCEPTED, AttemptStep.RUNS)
+        """Return whether an agent has accepted the active attempt."""
+        active = self.active_attempt()
+        return active is not None and active.step in (AttemptStep.ACCEPTED, AttemptStep.RUNS)
 
     def execution_status(self) -> ExecutionStatus:
-        return merge([a.execution_status() for a in self.attempts])
+        """Return what is known of whether any attempt ran."""
+        return merge([attempt.execution_status() for attempt in self.attempts])
 
     def may_have_run(self) -> bool:
-        return any(a.has_run is not False for a in self.attempts)
+        """Return whether an attempt ran, or none is known not to have."""
+        return any(attempt.has_run is not False for attempt in self.attempts)
+
+
+class AnsweredTwiceError(AssertionError):
+    """A call was given a second final answer."""
+
+    def __init__(self, call_number: int, answer: FinalAnswer, earlier: FinalAnswer) -> None:
+        super().__init__(f"call {call_number}: {answer.value} after {earlier.value}")
+        self.call_number = call_number
+        self.answer = answer
+        self.earlier = earlier
 
 
 class CallTable:
     """Calls by number and by owner's task, attempts by their id and by machine."""
 
-    def __init__(self, remembered: int = 50_000) -> None:
-        self.max_closed_calls = remembered
-        self.active_calls: dict[int, Call] = {}  # those of which the module still expects something
+    def __init__(self, max_closed_calls: int = 50_000) -> None:
+        self.max_closed_calls = max_closed_calls
+        self.active_calls: dict[int, Call] = {}  # those of which the policy still expects something
         self.calls_by_framework: dict[str, dict[str, Call]] = {}  # framework -> task id -> its latest call
         self.attempts_by_id: dict[str, Attempt] = {}
         self.attempts_by_machine: dict[str, dict[str, Attempt]] = {}
         self.closed_calls: OrderedDict[int, Call] = OrderedDict()
-        self.calls_by_key: dict[tuple[str, str], Call] = {}  # tenant, key told -> unsafe call
-        self.unanswered_count = 0  # taken and without an answer
+        self.calls_by_key: dict[tuple[str, str], Call] = {}  # (tenant, explicit key) -> non-idempotent call
+        self.unanswered_count = 0
         self.on_forgotten: Callable[[Call], None] = lambda call: None
 
     def add_call(self, call: Call) -> None:
+        """Add a call; it becomes the latest one of its owner's task."""
         self.active_calls[call.number] = call
         self.calls_by_framework.setdefault(call.framework, {})[call.task_id] = call
-        if (
-            call.idempotency is api.Idempotency.NON_IDEMPOTENT
-            and call.tenant
-            and call.request.has_explicit_key
-        ):
+        is_non_idempotent = call.idempotency is api.Idempotency.NON_IDEMPOTENT
+        if is_non_idempotent and call.tenant and call.request.has_explicit_key:
             self.calls_by_key[call.tenant, call.request.key] = call
-        self.unanswered_count += call.final_answer is None
+        if call.final_answer is None:
+            self.unanswered_count += 1
 
     def add_attempt(self, attempt: Attempt) -> None:
+        """Add an attempt to its call and to its machine."""
         attempt.call.attempts.append(attempt)
         self.attempts_by_id[attempt.id] = attempt
         self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.id] = attempt
 
-    def record_answer(self, call: Call, given: FinalAnswer) -> None:
+    def record_answer(self, call: Call, final_answer: FinalAnswer) -> None:
+        """Record the final answer of a call.
+
+        Raises:
+            AnsweredTwiceError: the call has one already.
+        """
         if call.final_answer is not None:
-            raise AssertionError(f"call {call.number}: {given.value} after {call.final_answer.value}")
-        call.final_answer = given
+            raise AnsweredTwiceError(call.number, final_answer, call.final_answer)
+        call.final_answer = final_answer
         self.unanswered_count -= 1
 
     def close_call(self, call: Call) -> None:
-        """The module is done with the call; it is remembered for late words and RECONCILE."""
+        """Close a call that the policy is done with; it is kept for late reports and RECONCILE."""
         if call.is_closed:
             return
         call.is_closed = True
@@ -165,9 +190,11 @@
             self.forget_call(oldest)
 
     def forget_call(self, call: Call) -> None:
+        """Remove a call and its attempts from every index and call `on_forgotten`."""
         self.closed_calls.pop(call.number, None)
-        if self.calls_by_key.get((call.tenant or "", call.request.key)) is call:
-            del self.calls_by_key[call.tenant or "", call.request.key]
+        key = (call.tenant or "", call.request.key)
+        if self.calls_by_key.get(key) is call:
+            del self.calls_by_key[key]
         if self.find_call(call.framework, call.task_id) is call:
             del self.calls_by_framework[call.framework][call.task_id]
             if not self.calls_by_framework[call.framework]:
@@ -177,24 +204,26 @@
         self.on_forgotten(call)
 
     def forget_attempt(self, attempt: Attempt) -> None:
-        """Forgets an attempt of which no more can be heard."""
+        """Remove an attempt of which no more can be heard."""
         self.attempts_by_id.pop(attempt.id, None)
         self.settle_attempt(attempt)
 
     def settle_attempt(self, attempt: Attempt) -> None:
-        """The last word about an attempt came: it no longer counts at its machine."""
-        there = self.attempts_by_machine.get(attempt.machine)
-        if there is not None:
-            there.pop(attempt.id, None)
-            if not there:
+        """Stop counting an attempt at its machine: the last report about it came."""
+        attempts = self.attempts_by_machine.get(attempt.machine)
+        if attempts is not None:
+            attempts.pop(attempt.id, None)
+            if not attempts:
                 del self.attempts_by_machine[attempt.machine]
 
     def attempts_on(self, machine: str) -> list[Attempt]:
-        """Attempts at a machine of which more may be heard."""
+        """Return the attempts at a machine of which more may be heard."""
         return list(self.attempts_by_machine.get(machine, {}).values())
 
     def find_call(self, framework: str, task_id: str) -> Call | None:
+        """Return the latest call of an owner's task."""
         return self.calls_by_framework.get(framework, {}).get(task_id)
 
     def calls_of(self, framework: str) -> list[Call]:
+        """Return the latest calls of all tasks of an owner."""
         return list(self.calls_by_framework.get(framework, {}).values())
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -1,11 +1,13 @@
-"""The seam between the core and its subsystems, one way each. Pure types; it imports no half of the core.
+"""Domain events and the admission chain: the interfaces between the core and its subsystems. Pure types.
 
-Out: `Happened`, a typed list of what happened, to whoever subscribed (`Core.hear`). A subscriber is called in
-the middle of the core's work: it notes what it needs and returns; it never calls the core from there.
+Outwards, the core publishes `DomainEvent`s to every subscriber (`Core.subscribe`). A subscriber is called
+in the middle of the core's work: it notes what it needs and returns, and never calls the core from there.
 
-In: deciders, asked in their order before a task is told to the module (`Core.deciders`). The first that gives
-a Verdict turns the task away; the module is then never asked. And `Insider`, an owner that lives in this
-process, such as the REST front: its tasks pass through the same ledger, figures and answers."""
+Inwards, the admission checks (`Core.admission_checks`) are asked in their order before a task is passed to
+the policy. The first that returns an AdmissionDecision rejects the task, and the policy never hears of it. An
+`InProcessOwner` lives in this process, such as the REST API: its tasks pass through the same call table,
+counters and answers as those of frameworks.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallTaken:
-    """A task was taken (or, `call.adopted`, found to run already)."""
+    """A task was accepted for placing, or (`call.is_adopted`) found to run already."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSent:
-    """An attempt is out."""
+    """An attempt was made; its LAUNCH is about to be sent."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptConcluded:
-    """An attempt is back: it came to nothing, or the task that it placed has ended."""
+    """An attempt came to nothing, or the task that it placed has ended."""
 
     attempt: Attempt
     outcome: api.Outcome
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAnswered:
-    """The one final answer of a call."""
+    """A call got its one final answer."""
 
     call: Call
     final_answer: FinalAnswer
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStatusReported:
-    """What its owner is told of a task: its answer, and later that it runs, has ended or is out of sight."""
+    """A status for a task's owner: its answer, or later that it runs, has ended or is out of sight."""
 
     call: Call
     answer: StatusAnswer
@@ -60,19 +62,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallForgotten:
-    """The ledger no longer knows the call."""
+    """The call table no longer knows the call."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class MachineListChanged:
+    """The machine list changed, or could not be read."""
+
     update: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
 class AgentStateChanged:
-    """An agent subscribed, went away or was given up; `state` is members.State's value."""
+    """An agent subscribed, went away or was given up; `state` is a value of `agent_membership.AgentState`."""
 
     agent_id: str
     state: str
@@ -80,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOpened:
-    """Asks are told to the module from here on."""
+    """Calls are passed to the policy from here on."""
 
 
 DomainEvent = (
@@ -99,9 +103,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A task that is about to be taken."""
+    """A task that is about to be accepted."""
 
-    owner_id: str  # framework id, or an insider's
+    owner_id: str  # a framework's, or an in-process owner's
     tenant: str | None
     task_id: str
     idempotency: api.Idempotency
@@ -110,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """The task is not taken; `answer` is what its owner is told, `text` why."""
+    """The task is rejected: `answer` is what its owner is told, `text` why."""
 
     answer: StatusAnswer
     text: str
@@ -120,9 +124,13 @@
 
 
 class InProcessOwner(Protocol):
-    """Owners within the process whose ids begin with its prefix and a colon."""
+    """Owners within the process; their ids are the prefix, a colon and a name."""
 
-    prefix: str
+    @property
+    def prefix(self) -> str:
+        """The prefix of the owners' ids; frameworks can't subscribe under it."""
+        ...
 
     def is_wanted(self, call: Call) -> bool:
-        """Whether somebody still stands behind the task."""
+        """Return whether somebody still wants the call's task."""
+        ...
--- a/glencleat/allocator/event_dispatcher.py
+++ b/glencleat/allocator/event_dispatcher.py
@@ -1,6 +1,4 @@
-"""Events to the module and its actions back, in the order of `interface.py`, contract 8.
-
-Imports the interface and the contract's types. The core and the live path's exchange each have one."""
+"""Passes events to the policy and carries out its actions, in the order of `interface.py`, contract 8."""
 
 from __future__ import annotations
 
@@ -12,17 +10,19 @@
 
 
 class EventDispatcher:
-    """Tells a module what happened; all its actions are carried out before the next event is told."""
+    """Passes events to a policy; all actions are carried out before the next event is passed."""
 
     def __init__(
-        self, module: PolicyPort, now: Callable[[], float], act: Callable[[api.Action], None]
+        self, policy: PolicyPort, now: Callable[[], float], carry_out: Callable[[api.Action], None]
     ) -> None:
-        self.policy, self.now, self.carry_out = module, now, act
+        self.policy = policy
+        self.now = now
+        self.carry_out = carry_out
         self.pending: deque[api.Event] = deque()
         self.is_dispatching = False
 
     def dispatch(self, *events: api.Event) -> None:
-        """In order: what actions cause at once is told after them."""
+        """Pass events in order; events that an action causes at once follow after them."""
         self.pending.extend(events)
         if self.is_dispatching:
             return
--- a/glencleat/allocator/ports.py
+++ b/glencleat/allocator/ports.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from itertools import count
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status
@@ -22,6 +22,7 @@
 )
 from glencleat.allocator.frameworks import Framework, Frameworks
 from glencleat.allocator.options import Options
+from glencleat.allocator.runtime_ports import TimingPort
 from glencleat.allocator.startup_gate import StartupGate
 from glencleat.allocator.status_mapping import StatusAnswer
 from glencleat.mesos import messages as m
@@ -33,13 +34,6 @@
     def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None: ...
 
 
-class TimingPort(Protocol):
-    clock: Any
-
-    def now(self) -> float: ...
-    def call_in(self, in_ms: float, call: Callable[[], None]) -> Any: ...
-
-
 class CorePort(Protocol):
     timing: TimingPort
     startup_gate: StartupGate
--- a/tests/allocator/test_decisions.py
+++ b/tests/allocator/test_decisions.py
@@ -242,7 +242,7 @@
 
 
 def test_the_ledger_forgets_the_oldest_answered_calls_and_all_of_them():
-    ledger = CallTable(remembered=2)
+    ledger = CallTable(max_closed_calls=2)
     for number in range(1, 5):
         one = call(number=number)
         ledger.add_call(one)
