--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -314,7 +314,7 @@
             if attempt.is_concluded or attempt.step is AttemptStep.OUT:
                 continue
             call = attempt.call
-            self.core.conclude_attempt(attempt, api.Outcome.LOST, over=True)
+            self.core.conclude_attempt(attempt, api.Outcome.LOST, is_call_closed=True)
             safe = call.idempotency is api.Idempotency.IDEMPOTENT
             retry = status_mapping.RetryAdvice.HARMLESS if safe else status_mapping.RetryAdvice.RECONCILE
             answer = status_mapping.StatusAnswer(
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -1,15 +1,15 @@
-"""The core: events in, the module's actions out, and the state of every task in between.
+"""The core: takes events in, carries out the policy's actions and keeps the state of every task in between.
 
-Fronts call `owners` and `agents` (owner_side, agent_side) with parsed calls; the core keeps ledger, members
-and frameworks, tells the module, carries out what it answers. Clock and timers come from the kernel's Loop
-(or anything with its `now`, `call_in` and `clock.wall`)."""
+The API servers call `framework_sessions` and `agent_sessions` with parsed calls. The core keeps the call
+table, the membership of agents and the frameworks, passes events to the policy and carries out its actions.
+Clock and timers come from a TimingPort, such as the event loop.
+"""
 
 from __future__ import annotations
 
 import base64
 import itertools
 import uuid
-from collections import deque
 from collections.abc import Callable
 from random import Random
 from typing import Any
@@ -20,6 +20,7 @@
 from glencleat.allocator.admission_queue import AdmissionQueue
 from glencleat.allocator.agent_membership import AgentMembership, AgentState
 from glencleat.allocator.agent_sessions import AgentSessions
+from glencleat.allocator.attempts import AttemptManager
 from glencleat.allocator.call_table import Attempt, Call, CallTable, FinalAnswer
 from glencleat.allocator.contract import Contract, PolicyPort
 from glencleat.allocator.counters import TaskCounters
@@ -28,8 +29,6 @@
     AdmissionDecision,
     AdmissionRequest,
     AgentStateChanged,
-    AttemptConcluded,
-    AttemptSent,
     CallAnswered,
     CallForgotten,
     DomainEvent,
@@ -42,27 +41,53 @@
 from glencleat.allocator.framework_sessions import FrameworkSessions
 from glencleat.allocator.frameworks import Framework, Frameworks
 from glencleat.allocator.options import Options
+from glencleat.allocator.probes import ProbeTracker
 from glencleat.allocator.runtime_ports import TimingPort
 from glencleat.allocator.startup_gate import StartupGate
-from glencleat.allocator.status_mapping import AttemptStep, StatusAnswer
+from glencleat.allocator.status_mapping import StatusAnswer
 from glencleat.mesos import messages as m
 
+# Placing waits this many warm-up windows after the start: what the former incarnation offered to machines
+# that were warming up then no longer counts.
+WARM_UP_WINDOWS_WAITED = 1.25
+
 
 class Core:
+    """One allocator without its sockets; implements `ports.CorePort`."""
+
     def __init__(
         self,
         settings: api.Settings,
-        module: PolicyPort,
+        policy: PolicyPort,
         options: Options,
         timing: TimingPort,
         seed: int,
         log: Callable[..., None] = lambda event, **more: None,
     ) -> None:
-        self.settings, self.options, self.timing, self.log = settings, options, timing, log
-        self.classes_by_name = {c.name: c for c in settings.classes}
-        self.contract = Contract(module)
+        self.settings = settings
+        self.options = options
+        self.timing = timing
+        self.log = log
         self.random = Random(seed)
+        self.incarnation = f"{self.random.getrandbits(40):010x}"
+        self.last_now_ms = timing.now()
+        self.is_shutting_down = False
+        self.on_watch_requested: Callable[[], None] = lambda: None  # set by the directory's client
+        self.on_idle: Callable[[], None] = lambda: None  # the last call was answered while shutting down
+        self.contract = Contract(policy)
+        self.dispatcher = EventDispatcher(self.contract, self.now, self._carry_out)
+        self.subscribers: list[EventSubscriber] = []
+        self.in_process_owners: dict[str, InProcessOwner] = {}  # by the prefix of their ids
+        self._build_state()
+        self._build_parts()
+        timing.call_in(options.sweep_interval_ms, self._sweep)
+
+    def _build_state(self) -> None:
+        options = self.options
+        self.classes_by_name = {task_class.name: task_class for task_class in self.settings.classes}
+        self.call_numbers = itertools.count(1)
         self.call_table = CallTable(options.max_closed_calls)
+        self.call_table.on_forgotten = lambda call: self.publish(CallForgotten(call))
         self.counters = TaskCounters(self.call_table)
         self.membership = AgentMembership(
             options.heartbeat_interval_ms,
@@ -73,65 +98,66 @@
         self.frameworks = Frameworks(
             options.max_frameworks, options.max_unacknowledged_updates, retry_ms=options.update_retry_ms
         )
-        self.incarnation = f"{self.random.getrandbits(40):010x}"
-        self.call_numbers, self.probe_numbers = itertools.count(1), itertools.count(1)
-        self.probes: dict[str, deque[tuple[int, Any]]] = {}  # machine -> probe number and its timer
-        self.dispatcher = EventDispatcher(self.contract, self.now, self._act)
-        self.is_shutting_down = False
-        self.on_watch_requested: Callable[[], None] = lambda: None  # set by the directory's client
-        self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered while ending
-        self.last_now_ms = timing.now()
-        least = 1.25 * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
-        self.startup_gate = StartupGate(self.last_now_ms, least, options.startup_grace_ms)
-        self.listed_machines: set[str] | None = None  # machines that the list tells as serving
-        self.subscribers: list[EventSubscriber] = []
-        self.admission_queue = AdmissionQueue(self)  # tasks that came before the opening, or soon after it
+        self.listed_machines: set[str] | None = None  # those that the machine list says are serving
+
+    def _build_parts(self) -> None:
+        window_ms = self.settings.warm_up_window_ms if self.settings.warm_up_offers else 0.0
+        min_wait_ms = WARM_UP_WINDOWS_WAITED * window_ms
+        self.startup_gate = StartupGate(self.last_now_ms, min_wait_ms, self.options.startup_grace_ms)
+        self.admission_queue = AdmissionQueue(self)
         self.admission_checks: list[AdmissionCheck] = [DuplicateFilter(self.call_table).check]
-        self.in_process_owners: dict[str, InProcessOwner] = {}
-        self.call_table.on_forgotten = lambda call: self.publish(CallForgotten(call))
-        self.framework_sessions = self.told = FrameworkSessions(self)
+        self.attempts = AttemptManager(self)
+        self.probes = ProbeTracker(self)
+        self.framework_sessions = FrameworkSessions(self)
         self.agent_sessions = AgentSessions(self)
-        timing.call_in(options.sweep_interval_ms, self._sweep)
 
-    # ---- the seam ----
+    # ---- domain events and the admission chain ----
 
-    def subscribe(self, hearer: EventSubscriber) -> None:
-        """Subscribes to what happens; see seam.py for what a hearer may do."""
-        self.subscribers.append(hearer)
+    def subscribe(self, subscriber: EventSubscriber) -> None:
+        """Call `subscriber` with each domain event; see `domain_events` for what it may do."""
+        self.subscribers.append(subscriber)
 
-    def publish(self, what: DomainEvent) -> None:
-        for hearer in self.subscribers:
-            hearer(what)
+    def publish(self, event: DomainEvent) -> None:
+        """Pass a domain event to all subscribers."""
+        for subscriber in self.subscribers:
+            subscriber(event)
 
-    def decide_admission(self, asking: AdmissionRequest) -> AdmissionDecision | None:
-        """The first verdict of the chain; None: the task is taken."""
-        for decider in self.admission_checks:
-            verdict = decider(asking)
-            if verdict is not None:
-                return verdict
+    def decide_admission(self, request: AdmissionRequest) -> AdmissionDecision | None:
+        """Return the first decision of the admission chain; None admits the task."""
+        for check in self.admission_checks:
+            decision = check(request)
+            if decision is not None:
+                return decision
         return None
 
-    def register_owner(self, insider: InProcessOwner) -> None:
-        """Makes an owner within the process known; frameworks can't subscribe under its prefix."""
-        self.in_process_owners[insider.prefix] = insider
+    def register_owner(self, owner: InProcessOwner) -> None:
+        """Make an owner within the process known; frameworks can't subscribe under its prefix."""
+        self.in_process_owners[owner.prefix] = owner
 
     def is_owner_known(self, call: Call) -> bool:
-        """Whether a task's owner is known here."""
-        insider = self.in_process_owners.get(call.framework.partition(":")[0])
-        return insider.is_wanted(call) if insider is not None else self.find_framework(call) is not None
+        """Return whether the owner of a call's task is known and still wants it."""
+        owner = self.in_process_owners.get(call.framework.partition(":")[0])
+        if owner is not None:
+            return owner.is_wanted(call)
+        return self.find_framework(call) is not None
+
+    def find_framework(self, call: Call) -> Framework | None:
+        """Return the framework that owns a call, if it is known."""
+        return self.frameworks.known.get(call.framework)
 
-    # ---- to the module and back ----
+    # ---- to the policy and back ----
 
     def now(self) -> float:
+        """Return monotonic milliseconds; never less than the last time."""
         self.last_now_ms = max(self.last_now_ms, self.timing.now())
         return self.last_now_ms
 
     def dispatch(self, event: api.Event) -> None:
-        """Tells the module, in order: what its actions cause at once is told after them."""
+        """Pass an event to the policy; events that its actions cause at once follow after them."""
         self.dispatcher.dispatch(event)
 
     def update_machine_list(self, event: api.MachineListUpdated) -> None:
-        """News of the machine list."""
+        """Take in a snapshot or a delta of the machine list, or that it could not be read."""
         if event.kind is not api.ListUpdateKind.FAILED:
             serving = {
                 machine.name for machine in event.machines if machine.phase is api.MachinePhase.SERVING
@@ -146,252 +172,138 @@
         self.open_if_ready()
 
     def request_placement(self, call: Call) -> None:
-        """A task to be placed: told to the module, or in its turn when this allocator has just started."""
+        """Pass a call to the policy, or queue it when this allocator has just started."""
         if not self.admission_queue.is_finished:
             self.admission_queue.enqueue(call)
             return
-        left = call.request.remaining_ms - (self.now() - call.accepted_at_ms)
-        if left <= 0.0:
-            self.answer_call(call, FinalAnswer.REJECTED, status_mapping.refusal(False))
+        remaining_ms = call.request.remaining_ms - (self.now() - call.accepted_at_ms)
+        if remaining_ms <= 0.0:
+            self.answer_call(call, FinalAnswer.REJECTED, status_mapping.refusal(may_have_run=False))
         else:
-            self.dispatch_request(call, left)
+            self.dispatch_request(call, remaining_ms)
 
-    def dispatch_request(self, call: Call, left_ms: float, machine: str | None = None) -> None:
-        """The call becomes the module's: to be placed, or with `machine` one that runs there already."""
-        ask = call.request
+    def dispatch_request(self, call: Call, remaining_ms: float, machine: str | None = None) -> None:
+        """Pass a call to the policy: to be placed, or with `machine` one whose task runs there already."""
+        request = call.request
         call.is_requested = True
         self.dispatch(
             api.PlacementRequested(
-                call.number,
-                ask.task_class,
-                ask.service,
-                ask.cores,
-                ask.memory,
-                left_ms,
-                call.tenant,
-                ask.expected_run_ms,
-                machine,
-                ask.is_retry,
+                call_id=call.number,
+                task_class=request.task_class,
+                service=request.service,
+                cores=request.cores,
+                memory=request.memory,
+                remaining_ms=remaining_ms,
+                tenant=call.tenant,
+                expected_run_ms=request.expected_run_ms,
+                machine=machine,
+                is_retry=request.is_retry,
             )
         )
 
     def open_if_ready(self) -> None:
+        """Open the startup gate when the agents of all listed machines are there, or the wait is over."""
         if self.admission_queue.slow_start is not None:
             return
-        here = (x.id for x in self.membership.members.values() if x.state is AgentState.SUBSCRIBED)
-        before = self.startup_gate.is_open
-        if not self.startup_gate.try_open(self.now(), self.listed_machines, here):
+        subscribed = (
+            member.id for member in self.membership.members.values() if member.state is AgentState.SUBSCRIBED
+        )
+        was_open = self.startup_gate.is_open
+        if not self.startup_gate.try_open(self.now(), self.listed_machines, subscribed):
             return
-        if not before:
+        if not was_open:
             self.publish(PlacementOpened())
         if self.listed_machines:
             self.admission_queue.begin_dispatching()
 
     def find_unready_reason(self) -> str | None:
-        """Why owners do better elsewhere just now, or None. What they ask here is held meanwhile."""
+        """Return why owners do better to ask elsewhere now, or None; their calls are queued meanwhile."""
         if self.is_shutting_down:
             return "shutting down"
         if self.admission_queue.slow_start is None:
-            return (
-                "machines have yet to tell what they run"
-                if self.listed_machines
-                else "no machine is listed yet"
-            )
+            if self.listed_machines:
+                return "machines have yet to tell what they run"
+            return "no machine is listed yet"
         return None
 
-    def _act(self, action: api.Action) -> None:
+    def _carry_out(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
-            self._bind(action)
+            self.attempts.launch(action)
         elif isinstance(action, api.Reject):
             call = self.call_table.active_calls[action.call_id]
             self.answer_call(call, FinalAnswer.REJECTED, status_mapping.refusal(call.may_have_run()))
         elif isinstance(action, api.Fail):
-            self.answer_call(
-                self.call_table.active_calls[action.call_id], FinalAnswer.FAILED, status_mapping.failure()
-            )
+            call = self.call_table.active_calls[action.call_id]
+            self.answer_call(call, FinalAnswer.FAILED, status_mapping.failure())
         elif isinstance(action, api.SetTimer):
             token = action.token
             self.timing.call_in(action.delay_ms, lambda: self.dispatch(api.TimerFired(token)))
         elif isinstance(action, api.Probe):
-            self._probe(action.machine)
+            self.probes.send_probe(action.machine)
         elif isinstance(action, api.WatchMachineList):
             self.on_watch_requested()
         elif isinstance(action, api.LogMessage):
             self.log("module", text=action.text)
         elif isinstance(action, api.Migrate):
-            self._move(action.call_id)
-
-    # ---- attempts ----
-
-    def _bind(self, action: api.Bind) -> None:
-        call, now = self.call_table.active_calls[action.call_id], self.now()
-        number = len(call.attempts)
-        name = f"{self.options.name}-{self.incarnation}-{call.number}.{number}"
-        attempt = Attempt(call, number, action.machine, name, now)
-        self.call_table.add_attempt(attempt)
-        self.publish(AttemptSent(attempt))
-        link: Any = self.membership.session(action.machine)
-        if link is None:
-            self.fail_attempt(attempt, api.Outcome.UNREACHABLE, may_have_run=False)
-            return
-        attempt.session = link
-        attempt.begin_offset = attempt.end_offset = (
-            1 << 62
-        )  # nothing is handed over until the link has told where it lies
-        place = link.send(self._launch(attempt, action.timeout_ms))
-        if attempt.is_concluded:
-            return  # the link failed while it took the record, and its end settled the attempt
-        attempt.begin_offset, attempt.end_offset = place
-        attempt.timer = self.timing.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
-
-    def _launch(self, attempt: Attempt, timeout_ms: float) -> bytes:
-        call = attempt.call
-        cls = self.classes_by_name[call.request.task_class]
-        labels = {
-            "class": call.request.task_class,
-            "service": call.request.service,
-            "key": call.request.key,
-            "framework": call.framework,
-            "task": call.task_id,
-            "tenant": call.tenant,
-            "attempt": str(attempt.number),
-            "answer_within_ms": f"{timeout_ms:.0f}",
-            "priority": str(cls.priority),
-            "effect": cls.idempotency.value,
-            "life_ms": None
-            if call.request.expected_run_ms is None
-            else f"{call.request.expected_run_ms:.0f}",
-        }
-        info = m.TaskInfo(
-            name=call.info.name,
-            task_id=m.Value(attempt.id),
-            agent_id=m.Value(attempt.machine),
-            resources=m.resources(call.request.cores, call.request.memory),
-            labels=m.Labels([m.Label(k, v) for k, v in labels.items() if v is not None]),
-            data=call.info.data,
-        )
-        return m.encode(m.ExecutorEvent("LAUNCH", launch=m.LaunchEvent(info)))
+            self._migrate(self.call_table.active_calls[action.call_id])
 
-    def get_delivery_status(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
-        session: Any = attempt.session
-        if session is None:
-            return delivery_status.DeliveryStatus.NOTHING
-        return delivery_status.handed(session.written(), attempt.begin_offset, attempt.end_offset)
+    def _migrate(self, call: Call) -> None:
+        """Stop the task where it is; the policy places it elsewhere when it has ended."""
+        active = call.active_attempt()
+        if active is not None:
+            self.kill_attempt(active)
 
-    def _timed_out(self, attempt: Attempt) -> None:
-        if attempt.is_concluded:
-            return
-        verdict = delivery_status.on_timeout(attempt.step, self.get_delivery_status(attempt))
-        if verdict.do is delivery_status.DeliveryAction.CUT:
-            session: Any = attempt.session
-            session.close("the agent does not read")  # ends as a lost session, which settles the attempt
-        if verdict.do is not delivery_status.DeliveryAction.IGNORE and not attempt.is_concluded:
-            self.fail_attempt(attempt, verdict.outcome, verdict.may_have_run)
+    # ---- attempts and probes, for the sessions of agents and frameworks ----
+
+    def get_delivery_status(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
+        """Return how much of the attempt's LAUNCH was handed to the socket."""
+        return self.attempts.get_delivery_status(attempt)
 
     def fail_attempt(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
-        """The attempt is back without a yes; what the agent may still say of it is late from here on."""
-        if not may_have_run:
-            attempt.has_run = False
-            self.call_table.settle_attempt(attempt)
-        self.conclude_attempt(attempt, outcome, over=attempt.call.is_abandoned)
+        """Conclude an attempt that was not accepted."""
+        self.attempts.fail(attempt, outcome, may_have_run)
 
     def conclude_attempt(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
-        over: bool,
-        why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
+        is_call_closed: bool,
+        reason: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
         report: api.LoadReport | None = None,
     ) -> None:
-        """Tells the module that an attempt is back, once."""
-        call = attempt.call
-        attempt.is_concluded = True
-        self.cancel_timer(attempt)
-        self.counters.attempts[outcome.value] += 1
-        spent = max(0.0, self.now() - attempt.sent_at_ms)
-        if call.final_answer is None:
-            call.pending_reasons.note(outcome, why, attempt.machine, self.now())
-        if over and call.final_answer is not None:
-            self.call_table.close_call(call)
-        self.publish(AttemptConcluded(attempt, outcome, why))
-        self.dispatch(
-            api.AttemptEnded(call.number, attempt.number, attempt.machine, outcome, spent, over, why, report)
-        )
-        if call.final_answer is None and call.is_abandoned:
-            self._withdrawn(call)
-
-    def _withdrawn(self, call: Call) -> None:
-        """The owner killed the task while an attempt was out, and the attempt is back."""
-        if call.may_have_run():
-            self.answer_call(call, FinalAnswer.FAILED, status_mapping.failure())
-        else:
-            self.answer_call(
-                call,
-                FinalAnswer.REJECTED,
-                StatusAnswer(status_mapping.KILLED, status_mapping.RetryAdvice.HARMLESS),
-            )
+        """Tell the policy that an attempt has ended, once; see `AttemptManager.conclude`."""
+        self.attempts.conclude(attempt, outcome, is_call_closed, reason, report)
 
     def cancel_timer(self, attempt: Attempt) -> None:
-        timer: Any = attempt.timer
-        if timer is not None:
-            timer.cancel()
-            attempt.timer = None
-
-    def _move(self, number: int) -> None:
-        out = self.call_table.active_calls[number].active_attempt()
-        if out is not None:
-            self.kill_attempt(out)
+        """Drop the attempt's time-out."""
+        self.attempts.cancel_timer(attempt)
 
     def kill_attempt(self, attempt: Attempt) -> None:
-        """Asks the agent to stop the task; follows its LAUNCH on the same stream, so it can't overtake it."""
-        link: Any = self.membership.session(attempt.machine)
-        if link is not None and attempt.step is not AttemptStep.OVER:
-            self.counters.events["kill"] += 1
-            link.send(m.encode(m.ExecutorEvent("KILL", kill=m.KillEvent(m.Value(attempt.id)))))
-
-    # ---- probes ----
-
-    def _probe(self, machine: str) -> None:
-        link: Any = self.membership.session(machine)
-        if link is None:
-            self.dispatch(api.ProbeEnded(machine, api.Outcome.UNREACHABLE))
-            return
-        number = next(self.probe_numbers)
-        timeout = self.options.probe_timeout_ms
-        timer = self.timing.call_in(timeout, lambda: self.conclude_probe(machine, number, None))
-        self.probes.setdefault(machine, deque()).append((number, timer))
-        payload = m.pack(m.Payload("probe", probe=number))
-        link.send(m.encode(m.ExecutorEvent("MESSAGE", message=m.Message(payload))))
+        """Ask the agent to stop the attempt's task."""
+        self.attempts.kill(attempt)
 
     def conclude_probe(self, machine: str, number: int, report: api.LoadReport | None) -> None:
-        waiting = self.probes.get(machine, deque())
-        for item in waiting:
-            if item[0] == number:
-                waiting.remove(item)
-                item[1].cancel()
-                if not waiting:
-                    del self.probes[machine]
-                outcome = api.Outcome.TIMED_OUT if report is None else api.Outcome.COMPLETED
-                self.dispatch(api.ProbeEnded(machine, outcome, report))
-                return
+        """Take in an agent's answer to a probe."""
+        self.probes.conclude_probe(machine, number, report)
 
     # ---- answers ----
 
-    def answer_call(self, call: Call, given: FinalAnswer, answer: StatusAnswer) -> None:
-        """The one final answer of a call, to figures, ledger and owner."""
-        self.call_table.record_answer(call, given)
-        self.counters.count_answered(call.request.task_class, given)
+    def answer_call(self, call: Call, final_answer: FinalAnswer, answer: StatusAnswer) -> None:
+        """Give a call its one final answer: to the call table, the counters and the owner.
+
+        Raises:
+            AnsweredTwiceError: the call has one already.
+        """
+        self.call_table.record_answer(call, final_answer)
+        self.counters.count_answered(call.request.task_class, final_answer)
         framework = self.find_framework(call)
         if framework is not None:
             framework.open -= 1
-        if given is not FinalAnswer.PLACED:
+        is_placed = final_answer is FinalAnswer.PLACED
+        if not is_placed:
             self.call_table.close_call(call)
-        self.publish(CallAnswered(call, given))
-        text = (
-            None
-            if given is FinalAnswer.PLACED
-            else call.pending_reasons.text(len(self.listed_machines or ()))
-        )
+        self.publish(CallAnswered(call, final_answer))
+        text = None if is_placed else call.pending_reasons.text(len(self.listed_machines or ()))
         self.framework_sessions.status(call, answer, text)
         if self.is_shutting_down and not self.call_table.unanswered_count:
             self.on_idle()
@@ -404,7 +316,15 @@
         message: str | None = None,
         acked: bool = True,
     ) -> m.TaskStatus:
-        """A status for an owner; with a uuid if it is to be acknowledged."""
+        """Build a status for an owner.
+
+        Args:
+            task_id: The owner's id of the task.
+            answer: State, reason and advice on repeating it.
+            machine: Where the task is; None for what the allocator says by itself.
+            message: Text for people.
+            acked: Whether the owner is to acknowledge it, which takes a uuid.
+        """
         token = uuid.UUID(int=self.random.getrandbits(128), version=4).bytes
         return m.TaskStatus(
             task_id=m.Value(task_id),
@@ -421,7 +341,7 @@
     # ---- time ----
 
     def _sweep(self) -> None:
-        """Looks for silent and lost agents, owners that stay away, updates and offers that are due."""
+        """Look for silent and lost agents, owners that stay away, and updates and offers that are due."""
         self.timing.call_in(self.options.sweep_interval_ms, self._sweep)
         self.open_if_ready()
         now = self.now()
@@ -437,30 +357,38 @@
             self.agent_sessions.lost(member.id)
         self.framework_sessions.sweep(now)
 
-    # ---- the end ----
+    # ---- graceful shutdown ----
 
     def begin_shutdown(self) -> None:
-        """SIGTERM: no new tasks from here on; `on_idle` follows when all that is held has its answer."""
+        """Admit no further tasks; `on_idle` is called when every call has its answer."""
         self.is_shutting_down = True
         if not self.call_table.unanswered_count:
             self.on_idle()
 
     def finish_shutdown(self) -> None:
-        """The end's time is up: what has no answer yet gets the one that is true now."""
-        for call in [c for c in self.call_table.active_calls.values() if c.final_answer is None]:
+        """Answer every open call at once with what is true now: the time for the shutdown is up."""
+        open_calls = [call for call in self.call_table.active_calls.values() if call.final_answer is None]
+        for call in open_calls:
             call.is_abandoned = True
             if call.is_requested:
                 self.dispatch(api.CallAbandoned(call.number))
-            out = call.active_attempt()
-            if out is not None and self.get_delivery_status(out) is not delivery_status.DeliveryStatus.WHOLE:
-                session: Any = out.session
-                session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
-            elif out is not None:
-                self.kill_attempt(out)
+            self._stop_active_attempt(call)
             if call.final_answer is None:
-                may = call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT
-                answer = status_mapping.failure() if may else status_mapping.refusal(call.may_have_run())
-                self.answer_call(call, FinalAnswer.FAILED if may else FinalAnswer.REJECTED, answer)
+                self._answer_at_shutdown(call)
 
-    def find_framework(self, call: Call) -> Framework | None:
-        return self.frameworks.known.get(call.framework)
+    def _stop_active_attempt(self, call: Call) -> None:
+        active = call.active_attempt()
+        if active is None:
+            return
+        if self.get_delivery_status(active) is delivery_status.DeliveryStatus.WHOLE:
+            self.kill_attempt(active)
+        else:
+            session: Any = active.session
+            session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
+
+    def _answer_at_shutdown(self, call: Call) -> None:
+        may_have_run = call.may_have_run()
+        if may_have_run and call.idempotency is not api.Idempotency.IDEMPOTENT:
+            self.answer_call(call, FinalAnswer.FAILED, status_mapping.failure())
+        else:
+            self.answer_call(call, FinalAnswer.REJECTED, status_mapping.refusal(may_have_run))
--- a/glencleat/allocator/ports.py
+++ b/glencleat/allocator/ports.py
@@ -1,6 +1,7 @@
-"""What the two halves of the core (owner_side, agent_side) need of it, as a protocol: they don't import it.
+"""Ports of the core: what the sessions of frameworks and agents and the admission queue need of it.
 
-The core implements it; tests may stand in for it."""
+They don't import the core, which implements CorePort; tests may stand in for it.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +30,16 @@
 
 
 class TaskStatusPort(Protocol):
-    """What the agents' half tells the owners'."""
+    """Tells owners about their tasks."""
 
-    def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None: ...
+    def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
+        """Send a status of a call's task to its owner, if that is still known."""
+        ...
 
 
 class CorePort(Protocol):
+    """The core's state and operations; the methods are documented at `core.Core`."""
+
     timing: TimingPort
     startup_gate: StartupGate
     settings: api.Settings
@@ -45,38 +50,92 @@
     counters: TaskCounters
     membership: AgentMembership
     frameworks: Frameworks
-    incarnation: str
+    incarnation: str  # of this run of the allocator; part of its attempts' ids
     call_numbers: count[int]
     is_shutting_down: bool
-    listed_machines: set[str] | None
+    listed_machines: set[str] | None  # None before the first machine list
     log: Callable[..., None]
 
     @property
-    def framework_sessions(self) -> TaskStatusPort: ...
-    def now(self) -> float: ...
-    def subscribe(self, hearer: EventSubscriber) -> None: ...
-    def dispatch(self, event: api.Event) -> None: ...
-    def publish(self, what: DomainEvent) -> None: ...
-    def decide_admission(self, asking: AdmissionRequest) -> AdmissionDecision | None: ...
-    def is_owner_known(self, call: Call) -> bool: ...
-    def find_framework(self, call: Call) -> Framework | None: ...
-    def request_placement(self, call: Call) -> None: ...
-    def dispatch_request(self, call: Call, left_ms: float, machine: str | None = None) -> None: ...
-    def answer_call(self, call: Call, given: FinalAnswer, answer: StatusAnswer) -> None: ...
-    def kill_attempt(self, attempt: Attempt) -> None: ...
-    def fail_attempt(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None: ...
-    def get_delivery_status(self, attempt: Attempt) -> delivery_status.DeliveryStatus: ...
-    def cancel_timer(self, attempt: Attempt) -> None: ...
-    def conclude_probe(self, machine: str, number: int, report: api.LoadReport | None) -> None: ...
-    def open_if_ready(self) -> None: ...
+    def framework_sessions(self) -> TaskStatusPort:
+        """Where owners are told about their tasks."""
+        ...
+
+    def now(self) -> float:
+        """Return monotonic milliseconds."""
+        ...
+
+    def subscribe(self, subscriber: EventSubscriber) -> None:
+        """Call a subscriber with each domain event."""
+        ...
+
+    def dispatch(self, event: api.Event) -> None:
+        """Pass an event to the policy."""
+        ...
+
+    def publish(self, event: DomainEvent) -> None:
+        """Pass a domain event to all subscribers."""
+        ...
+
+    def decide_admission(self, request: AdmissionRequest) -> AdmissionDecision | None:
+        """Return the first decision of the admission chain; None admits the task."""
+        ...
+
+    def is_owner_known(self, call: Call) -> bool:
+        """Return whether a call's owner is known and still wants its task."""
+        ...
+
+    def find_framework(self, call: Call) -> Framework | None:
+        """Return the framework that owns a call, if it is known."""
+        ...
+
+    def request_placement(self, call: Call) -> None:
+        """Pass a call to the policy, or queue it."""
+        ...
+
+    def dispatch_request(self, call: Call, remaining_ms: float, machine: str | None = None) -> None:
+        """Pass a call to the policy now."""
+        ...
+
+    def answer_call(self, call: Call, final_answer: FinalAnswer, answer: StatusAnswer) -> None:
+        """Give a call its one final answer."""
+        ...
+
+    def kill_attempt(self, attempt: Attempt) -> None:
+        """Ask the agent to stop the attempt's task."""
+        ...
+
+    def fail_attempt(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
+        """Conclude an attempt that was not accepted."""
+        ...
+
+    def get_delivery_status(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
+        """Return how much of the attempt's LAUNCH was sent."""
+        ...
+
+    def cancel_timer(self, attempt: Attempt) -> None:
+        """Drop the attempt's time-out."""
+        ...
+
+    def conclude_probe(self, machine: str, number: int, report: api.LoadReport | None) -> None:
+        """Take in an agent's answer to a probe."""
+        ...
+
+    def open_if_ready(self) -> None:
+        """Open the startup gate if nothing is waited for any more."""
+        ...
+
     def conclude_attempt(
         self,
         attempt: Attempt,
         outcome: api.Outcome,
-        over: bool,
-        why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
+        is_call_closed: bool,
+        reason: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
         report: api.LoadReport | None = None,
-    ) -> None: ...
+    ) -> None:
+        """Tell the policy that an attempt has ended, once."""
+        ...
+
     def build_status(
         self,
         task_id: str,
@@ -84,4 +143,6 @@
         machine: str | None,
         message: str | None = None,
         acked: bool = True,
-    ) -> m.TaskStatus: ...
+    ) -> m.TaskStatus:
+        """Build a status for an owner."""
+        ...
--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -672,7 +672,7 @@
     core.dispatch(api.TimerFired(0))
     assert core.contract.pending_probes
     cluster.timing.advance(600.0)
-    assert not core.contract.pending_probes and not core.probes
+    assert not core.contract.pending_probes and not core.probes.pending_by_machine
 
 
 def test_a_late_yes_that_was_stopped_is_not_adopted_by_its_next_status():
