--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -1,12 +1,14 @@
-"""Decides whether a task is told to the module at all. Pure.
+"""Decides whether a task is passed to the policy at all. Pure.
 
-The bounds are on what a peer could otherwise pile up here; a refusal by them is at once and harmless, as
+The limits bound what a peer could otherwise pile up here. A rejection by them is immediate and harmless, as
 nothing was sent. A second start of a task that must not start twice is caught here too, when its owner asks
-again although it may have run."""
+again although it may have run.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 from glencleat import interface as api
 from glencleat.allocator import status_mapping
@@ -17,22 +19,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    max_unanswered: int = 100_000  # tasks without an answer, in all
-    max_unanswered_per_framework: int = 20_000  # of one framework
-    max_active: int = 500_000  # calls that the module knows
+    """Upper bounds on the calls that the allocator holds."""
+
+    max_unanswered: int = 100_000  # calls without an answer, in all
+    max_unanswered_per_framework: int = 20_000
+    max_active: int = 500_000  # calls of which the policy still expects something
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLoad:
+    """What the allocator holds at the moment of a request."""
+
     unanswered: int
     framework_unanswered: int  # of the framework that asks
     active: int
-    is_framework_behind: bool  # the framework does not acknowledge its updates
-    is_shutting_down: bool  # SIGTERM came
+    is_framework_behind: bool  # it does not acknowledge its updates
+    is_shutting_down: bool
 
 
 def find_exceeded_limit(load: AdmissionLoad, limits: AdmissionLimits) -> str | None:
-    """Why a new task can't be taken now, or None."""
+    """Return why a new task can't be admitted now, or None."""
     if load.is_shutting_down:
         return "the allocator is shutting down"
     if load.is_framework_behind:
@@ -47,51 +53,51 @@
     return None
 
 
-def classify_repeat(before: Call | None) -> str | None:
-    """What a LAUNCH of a task that was here before is: the same ask again ("same"), a second start that must
-    not be ("never"), or a new placing (None)."""
+class RepeatKind(StrEnum):
+    """What a LAUNCH of a task that was asked for before is."""
+
+    SAME_REQUEST = "same"  # the first is open or placed: a client lost its connection and sends it again
+    UNSAFE_RESTART = "never"  # a second start of a non-idempotent task that may have run
+
+
+def classify_repeat(before: Call | None) -> RepeatKind | None:
+    """Classify a LAUNCH by the latest call of its task; None is a new call."""
     if before is None:
         return None
     if before.final_answer is None or not before.is_closed:
-        return "same"  # a client that lost its connection in mid-call and sends it again
-    if (
-        before.idempotency is api.Idempotency.NON_IDEMPOTENT
-        and before.execution_status() is not ExecutionStatus.NEVER_RAN
-    ):
-        return "never"
-    return None
+        return RepeatKind.SAME_REQUEST
+    if before.idempotency is not api.Idempotency.NON_IDEMPOTENT:
+        return None
+    if before.execution_status() is ExecutionStatus.NEVER_RAN:
+        return None
+    return RepeatKind.UNSAFE_RESTART
 
 
 class DuplicateFilter:
-    """The same work asked for by two tasks: of two fronts, or of a framework under a new id.
+    """Rejects the same work asked for by two tasks: of two APIs, or of a framework under a new id.
 
-    A key that the owner gave names the work within its tenant. For a class that must not start twice, a
-    second task of that key is not taken while the first is open or may have run; machines drop repeats of
-    the others by themselves, or bear them."""
+    A key that the owner gave names the work within its tenant. Of a non-idempotent class, a second task of
+    that key is not admitted while the first is open or may have run. Machines drop repeats of the other
+    classes by themselves, or a repeat does no harm.
+    """
 
-    def __init__(self, ledger: CallTable) -> None:
-        self.ledger = ledger
+    def __init__(self, call_table: CallTable) -> None:
+        self.call_table = call_table
 
-    def check(self, asking: AdmissionRequest) -> AdmissionDecision | None:
-        if (
-            asking.idempotency is not api.Idempotency.NON_IDEMPOTENT
-            or not asking.tenant
-            or not asking.request.has_explicit_key
-        ):
+    def check(self, request: AdmissionRequest) -> AdmissionDecision | None:
+        """Return a rejection if the request duplicates another task's work, or None."""
+        if request.idempotency is not api.Idempotency.NON_IDEMPOTENT:
+            return None
+        if not request.tenant or not request.request.has_explicit_key:
             return None
-        before = self.ledger.calls_by_key.get((asking.tenant, asking.request.key))
-        if before is None or (before.framework, before.task_id) == (asking.owner_id, asking.task_id):
+        before = self.call_table.calls_by_key.get((request.tenant, request.request.key))
+        if before is None or (before.framework, before.task_id) == (request.owner_id, request.task_id):
             return None
-        if (
-            before.final_answer is not None
-            and before.is_closed
-            and before.execution_status() is ExecutionStatus.NEVER_RAN
-        ):
+        is_answered = before.final_answer is not None and before.is_closed
+        if is_answered and before.execution_status() is ExecutionStatus.NEVER_RAN:
             return None
         text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
-        return AdmissionDecision(
-            status_mapping.StatusAnswer(
-                status_mapping.ERROR, status_mapping.RetryAdvice.NEVER, status_mapping.TASK_INVALID
-            ),
-            text,
+        answer = status_mapping.StatusAnswer(
+            status_mapping.ERROR, status_mapping.RetryAdvice.NEVER, status_mapping.TASK_INVALID
         )
+        return AdmissionDecision(answer, text)
