--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -1,9 +1,10 @@
-"""The contract of the module's interface, checked at run time in both directions.
+"""The contract of the policy's interface, checked at run time in both directions.
 
-Between core and module: `Contract.handle` has the module's own signature. An embedder's mistake (a wrong
-attempt number, an answer told twice) is silently ignored by the module, which then thinks an attempt is out
-for ever and soon sends four offers a machine and no more. Here it raises ContractError at the event that is
-wrong."""
+Stands between core and policy: `Contract.handle` has the policy's own signature. An embedder's mistake (a
+wrong attempt number, an answer told twice) is silently ignored by the policy, which then takes an attempt to
+be active for ever and soon sends four offers a machine and no more. Here it raises ContractError at the event
+that is wrong.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +16,30 @@
 
 
 class ContractError(AssertionError):
-    """A caller or the module broke the contract of `glencleat/interface.py`; the text says how."""
+    """A caller or the policy broke the contract of `glencleat/interface.py`; the text says how.
+
+    Attributes:
+        call_id: The call that the event or action is about, if any.
+        machine: The machine that it is about, if it is not about a call.
+    """
+
+    def __init__(self, fault: str, *, call_id: int | None = None, machine: str | None = None) -> None:
+        subject = ""
+        if call_id is not None:
+            subject = f"call {call_id}: "
+        elif machine is not None:
+            subject = f"machine {machine}: "
+        super().__init__(subject + fault)
+        self.call_id = call_id
+        self.machine = machine
 
 
 class PolicyPort(Protocol):
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
+    """Takes events and answers with actions, as `interface.py` describes."""
+
+    def handle(self, now_ms: float, event: api.Event, /) -> list[api.Action]:
+        """Take an event at a monotonic time and return the actions to carry out, in order."""
+        ...
 
 
 @dataclass(slots=True)
@@ -27,137 +47,158 @@
     """What the contract remembers of one call."""
 
     attempt_count: int = 0
-    machine: str = ""
-    is_attempt_active: bool = False  # the last attempt has had no Returned
+    machine: str = ""  # of the last attempt
+    is_attempt_active: bool = False  # the last attempt has had no AttemptEnded
     is_accepted: bool = False
-    is_closed: bool = False  # answered, left or ended: nothing more may be bound
+    is_closed: bool = False  # answered, abandoned or ended: nothing more may be bound
 
 
 class Contract:
-    """Wraps a module; forgets a call once it is over and its last attempt is back."""
+    """Wraps a policy; forgets a call once it is closed and its last attempt has ended."""
 
-    def __init__(self, module: PolicyPort) -> None:
-        self.policy = module
+    def __init__(self, policy: PolicyPort) -> None:
+        self.policy = policy
         self.now = float("-inf")
         self.calls: dict[int, TrackedCall] = {}
         self.pending_timers = 0
-        self.policy_cpu_s, self.event_count = (
-            0.0,
-            0,
-        )  # CPU time that the module itself took, and for how many events
-        self.pending_probes: dict[str, int] = {}
+        self.pending_probes: dict[str, int] = {}  # machine -> probes that have not ended
+        self.policy_cpu_s = 0.0  # CPU time that the policy itself took
+        self.event_count = 0
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Check an event, pass it to the policy, and check and return its actions.
+
+        Raises:
+            ContractError: the event or an action breaks the contract, or the clock went back.
+        """
         if now_ms < self.now:
             raise ContractError(f"the clock went back from {self.now} to {now_ms}")
         self.now = now_ms
-        self._event(event)
-        began = time.thread_time()
+        self._check_event(event)
+        started_s = time.thread_time()
         actions = self.policy.handle(now_ms, event)
-        self.policy_cpu_s += time.thread_time() - began
+        self.policy_cpu_s += time.thread_time() - started_s
         self.event_count += 1
         if isinstance(event, api.AttemptEnded | api.CallAbandoned):
-            self._forget(event.call_id)
+            self._forget_if_over(event.call_id)
         for action in actions:
-            self._action(action)
+            self._check_action(action)
         return actions
 
-    # ---- what we tell ----
+    # ---- events ----
 
-    def _event(self, event: api.Event) -> None:
+    def _check_event(self, event: api.Event) -> None:
         if isinstance(event, api.PlacementRequested):
-            self._asked(event)
+            self._check_request(event)
         elif isinstance(event, api.AttemptAccepted):
-            known = self._attempt(event, "Accepted")
-            if known.is_accepted:
-                raise ContractError(f"call {event.call_id}: Accepted told twice")
-            known.is_accepted = True
+            self._check_acceptance(event)
         elif isinstance(event, api.AttemptEnded):
-            known = self._attempt(event, "Returned")
-            known.is_attempt_active = False
-            if known.is_accepted and not event.is_call_closed:
-                raise ContractError(f"call {event.call_id}: Returned after Accepted must be over")
-            known.is_closed |= event.is_call_closed
+            self._check_end(event)
         elif isinstance(event, api.CallAbandoned):
-            self._known(event.call_id, "Left").is_closed = True
+            self._find_call(event).is_closed = True
         elif isinstance(event, api.TimerFired):
-            self._count("pending_timers", "TimerDue without a SetTimer")
+            self._check_timer()
         elif isinstance(event, api.ProbeEnded):
-            if self.pending_probes.get(event.machine, 0) < 1:
-                raise ContractError(f"machine {event.machine}: Probed without a Probe")
-            self.pending_probes[event.machine] -= 1
-            if not self.pending_probes[event.machine]:
-                del self.pending_probes[event.machine]
+            self._check_probe(event.machine)
 
-    def _asked(self, event: api.PlacementRequested) -> None:
+    def _check_request(self, event: api.PlacementRequested) -> None:
         if event.call_id in self.calls:
-            raise ContractError(f"call {event.call_id}: Asked twice; expected a number not in use")
-        if event.machine is None and not event.remaining_ms > 0.0:
-            raise ContractError(
-                f"call {event.call_id}: left_ms is {event.remaining_ms}; expected a time above 0"
-            )
-        adopted = event.machine is not None
-        self.calls[event.call_id] = TrackedCall(int(adopted), event.machine or "", adopted, adopted)
-
-    def _known(self, call: int, name: str) -> TrackedCall:
-        if call not in self.calls:
-            raise ContractError(f"call {call}: {name} of a call never asked or over")
-        return self.calls[call]
-
-    def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> TrackedCall:
-        known = self._known(event.call_id, name)
-        if event.attempt != known.attempt_count - 1:
-            told = f"{name} of attempt {event.attempt}"
             raise ContractError(
-                f"call {event.call_id}: {told}; attempts count from 0, out is {known.attempt_count - 1}"
+                "PlacementRequested twice; expected a number not in use", call_id=event.call_id
             )
-        if event.machine != known.machine:
-            raise ContractError(f"call {event.call_id}: {name} by {event.machine}, bound to {known.machine}")
-        if not known.is_attempt_active:
+        is_adopted = event.machine is not None
+        if not is_adopted and not event.remaining_ms > 0.0:
             raise ContractError(
-                f"call {event.call_id}: {name} of attempt {event.attempt}, which is back already"
+                f"remaining_ms is {event.remaining_ms}; expected a time above 0", call_id=event.call_id
             )
-        if event.elapsed_ms < 0.0:
-            raise ContractError(f"call {event.call_id}: spent_ms is {event.elapsed_ms}")
-        return known
-
-    def _count(self, name: str, fault: str) -> None:
-        left = getattr(self, name) - 1
-        if left < 0:
-            raise ContractError(fault)
-        setattr(self, name, left)
-
-    # ---- what it answers ----
-
-    def _action(self, action: api.Action) -> None:
+        self.calls[event.call_id] = TrackedCall(
+            attempt_count=int(is_adopted),
+            machine=event.machine or "",
+            is_attempt_active=is_adopted,
+            is_accepted=is_adopted,
+        )
+
+    def _check_acceptance(self, event: api.AttemptAccepted) -> None:
+        call = self._find_active_attempt(event)
+        if call.is_accepted:
+            raise ContractError("AttemptAccepted twice", call_id=event.call_id)
+        call.is_accepted = True
+
+    def _check_end(self, event: api.AttemptEnded) -> None:
+        call = self._find_active_attempt(event)
+        call.is_attempt_active = False
+        if call.is_accepted and not event.is_call_closed:
+            raise ContractError("AttemptEnded after AttemptAccepted must close it", call_id=event.call_id)
+        if event.is_call_closed:
+            call.is_closed = True
+
+    def _check_timer(self) -> None:
+        if self.pending_timers < 1:
+            raise ContractError("TimerFired without a SetTimer")
+        self.pending_timers -= 1
+
+    def _check_probe(self, machine: str) -> None:
+        if self.pending_probes.get(machine, 0) < 1:
+            raise ContractError("ProbeEnded without a Probe", machine=machine)
+        self.pending_probes[machine] -= 1
+        if not self.pending_probes[machine]:
+            del self.pending_probes[machine]
+
+    def _find_call(self, event: api.AttemptAccepted | api.AttemptEnded | api.CallAbandoned) -> TrackedCall:
+        call = self.calls.get(event.call_id)
+        if call is None:
+            name = type(event).__name__
+            raise ContractError(f"{name} of a call never requested or closed", call_id=event.call_id)
+        return call
+
+    def _find_active_attempt(self, event: api.AttemptAccepted | api.AttemptEnded) -> TrackedCall:
+        """Return the call of an event about its last attempt, which must be active."""
+        call = self._find_call(event)
+        fault = None
+        name = type(event).__name__
+        last = call.attempt_count - 1
+        if event.attempt != last:
+            fault = f"{name} of attempt {event.attempt}; attempts count from 0, the last is {last}"
+        elif event.machine != call.machine:
+            fault = f"{name} by {event.machine}, bound to {call.machine}"
+        elif not call.is_attempt_active:
+            fault = f"{name} of attempt {event.attempt}, which has ended already"
+        elif event.elapsed_ms < 0.0:
+            fault = f"elapsed_ms is {event.elapsed_ms}"
+        if fault is not None:
+            raise ContractError(fault, call_id=event.call_id)
+        return call
+
+    # ---- actions ----
+
+    def _check_action(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
-            known = self._open(action.call_id, "Bind")
-            if known.is_attempt_active:
-                raise ContractError(
-                    f"call {action.call_id}: Bind while attempt {known.attempt_count - 1} is out"
-                )
-            known.attempt_count, known.machine = known.attempt_count + 1, action.machine
-            known.is_attempt_active, known.is_accepted = True, False
+            call = self._find_open_call(action)
+            call.attempt_count += 1
+            call.machine = action.machine
+            call.is_attempt_active = True
+            call.is_accepted = False
         elif isinstance(action, api.Reject | api.Fail):
-            known = self._open(action.call_id, type(action).__name__)
-            if known.is_attempt_active:
-                raise ContractError(
-                    f"call {action.call_id}: answered while attempt {known.attempt_count - 1} is out"
-                )
-            known.is_closed = True
-            self._forget(action.call_id)
+            call = self._find_open_call(action)
+            call.is_closed = True
+            self._forget_if_over(action.call_id)
         elif isinstance(action, api.SetTimer):
             self.pending_timers += 1
         elif isinstance(action, api.Probe):
             self.pending_probes[action.machine] = self.pending_probes.get(action.machine, 0) + 1
 
-    def _open(self, call: int, name: str) -> TrackedCall:
-        known = self.calls.get(call)
-        if known is None or known.is_closed:
-            raise ContractError(f"call {call}: {name} after its answer")
-        return known
-
-    def _forget(self, call: int) -> None:
-        known = self.calls.get(call)
-        if known is not None and known.is_closed and not known.is_attempt_active:
-            del self.calls[call]
+    def _find_open_call(self, action: api.Bind | api.Reject | api.Fail) -> TrackedCall:
+        """Return the call of an action, which must be open and without an active attempt."""
+        call = self.calls.get(action.call_id)
+        name = type(action).__name__
+        if call is None or call.is_closed:
+            raise ContractError(f"{name} after its answer", call_id=action.call_id)
+        if call.is_attempt_active:
+            last = call.attempt_count - 1
+            raise ContractError(f"{name} while attempt {last} is active", call_id=action.call_id)
+        return call
+
+    def _forget_if_over(self, call_id: int) -> None:
+        call = self.calls.get(call_id)
+        if call is not None and call.is_closed and not call.is_attempt_active:
+            del self.calls[call_id]
--- a/tests/allocator/test_decisions.py
+++ b/tests/allocator/test_decisions.py
@@ -343,11 +343,11 @@
         (api.AttemptEnded(1, 1, "h", BACK, 1.0, False), "count from 0"),
         (api.AttemptAccepted(1, 1, "h", 1.0), "count from 0"),
         (api.AttemptEnded(1, 0, "g", BACK, 1.0, False), "bound to h"),
-        (api.AttemptAccepted(1, 0, "h", -1.0), "spent_ms"),
-        (api.AttemptEnded(9, 0, "h", BACK, 1.0, False), "never asked"),
-        (api.CallAbandoned(9), "never asked"),
-        (ASKED, "Asked twice"),
-        (api.PlacementRequested(2, "c", "s", 1.0, 1.0), "left_ms"),
+        (api.AttemptAccepted(1, 0, "h", -1.0), "elapsed_ms"),
+        (api.AttemptEnded(9, 0, "h", BACK, 1.0, False), "never requested"),
+        (api.CallAbandoned(9), "never requested"),
+        (ASKED, "PlacementRequested twice"),
+        (api.PlacementRequested(2, "c", "s", 1.0, 1.0), "remaining_ms"),
         (api.TimerFired(0), "without a SetTimer"),
         (api.ProbeEnded("h", BACK), "without a Probe"),
     ],
@@ -363,9 +363,9 @@
     module, checked = contract()
     tell(checked, module, ASKED, api.Bind(1, "h"), now=5.0)
     tell(checked, module, api.AttemptAccepted(1, 0, "h", 1.0), now=5.0)
-    with pytest.raises(ContractError, match="twice"):
+    with pytest.raises(ContractError, match="AttemptAccepted twice"):
         tell(checked, module, api.AttemptAccepted(1, 0, "h", 1.0), now=5.0)
-    with pytest.raises(ContractError, match="must be over"):
+    with pytest.raises(ContractError, match="must close it"):
         tell(checked, module, api.AttemptEnded(1, 0, "h", BACK, 1.0, False), now=5.0)
     with pytest.raises(ContractError, match="went back"):
         tell(checked, module, api.CallAbandoned(1), now=4.0)
@@ -374,8 +374,8 @@
 @pytest.mark.parametrize(
     ("actions", "named"),
     [
-        ([api.Bind(1, "h"), api.Bind(1, "g")], "while attempt 0 is out"),
-        ([api.Bind(1, "h"), api.Reject(1)], "while attempt 0 is out"),
+        ([api.Bind(1, "h"), api.Bind(1, "g")], "while attempt 0 is active"),
+        ([api.Bind(1, "h"), api.Reject(1)], "while attempt 0 is active"),
         ([api.Reject(1), api.Fail(1)], "after its answer"),
         ([api.Fail(1), api.Bind(1, "h")], "after its answer"),
         ([api.Bind(7, "h")], "after its answer"),
