--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -1,5 +1,7 @@
 """A core on a clock of its own, with links that show what was sent: no sockets, no real time."""
 
+import pytest
+
 from glencleat import Scheduler
 from glencleat import interface as api
 from glencleat.allocator.core import Core
@@ -183,6 +185,12 @@
         told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
         self.core.update_machine_list(api.MachineListUpdated(kind, told))
 
+    def beat(self, all_but=None):
+        """A heartbeat of every agent, or of all but one."""
+        for agent in self.agents.values():
+            if agent is not all_but:
+                agent.beat()
+
     def offered(self):
         """The agent and task of every LAUNCH so far, in the order of their calls."""
         found = [(agent, task) for agent in self.agents.values() for task in agent.launches()]
@@ -196,3 +204,32 @@
         assert self.core.call_table.unanswered_count == sum(
             c.final_answer is None for c in self.core.call_table.active_calls.values()
         )
+
+
+def launch_one_task(cls="safe", machines=2, **options):
+    """A cluster, an owner, and a task whose first LAUNCH is out."""
+    cluster = Cluster(machines, **options)
+    owner = Owner(cluster).subscribe()
+    owner.launch("t1", cls)
+    ((agent, task),) = cluster.offered()
+    return cluster, owner, agent, task.task_id.value
+
+
+def run_until_session_cut(cluster, agent):
+    """No heartbeat of this agent's for as long as it takes, while the others beat."""
+    for _ in range(8):
+        cluster.timing.advance(500.0)
+        for other in cluster.agents.values():
+            if other is not agent and other.link.why is None:
+                other.beat()
+        if agent.link.why is not None:
+            return
+    pytest.fail("the session was not cut")
+
+
+def launch_until_time_out(cls):
+    cluster, owner, agent, attempt = launch_one_task(cls)
+    for _ in range(7):
+        cluster.timing.advance(500.0)
+        cluster.beat()
+    return cluster, owner, agent, attempt
