--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -1,31 +1,25 @@
-"""The line of an allocator that has just started: who goes when, who is told at once, what hosts see of it."""
+"""The admission queue after a start: order, time limits, hopeless calls, and the load that machines see."""
 
 import heapq
 from dataclasses import replace
 
-import pytest
-
-from glencleat.allocator import reconciliation
-from glencleat.allocator.reconciliation import TURN
-from glencleat.allocator.startup_gate import StartupGate
 from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
-from glencleat.mesos import messages as m
 from glencleat.mesos.http import Request
 from glencleat.servers.metrics import MetricsApi
-from tests.support.core_world import Agent, Cluster, Owner
+from tests.support.core_world import Agent
 
-ALLOCATORS, HOSTS, HELD = 300, 40, 30
-TAKES_MS, LINE, TIMEOUT_MS = (
-    8.0,
-    32,
-    500.0,
-)  # of a host: time for one set-up, how many wait, what is waited for
+ALLOCATORS = 300
+HOSTS = 40
+HELD = 30  # calls of each allocator
+SETUP_MS = 8.0  # a host's time for one task
+HOST_QUEUE_LENGTH = 32
+TIMEOUT_MS = 500.0
 
 
-def opened_at_once(first):
-    """All become ready in one instant, each with HELD asks: set-ups that ran into time-outs, the last placed.
+def simulate_simultaneous_start(first):
+    """All become ready in one instant, each with HELD calls.
 
-    `first` None is no slow start. Hosts in turn; what comes too late is tried again at once."""
+    Returns how many attempts timed out and when the last was placed. `first` None is no slow start. Hosts in turn; what comes too late is tried again at once."""
     starts = [SlowStart(first if first is not None else HELD) for _ in range(ALLOCATORS)]
     waiting = [HELD] * ALLOCATORS
     free_at, events, order, lost, last = [0.0] * HOSTS, [], 0, 0, 0.0
@@ -36,11 +30,11 @@
             waiting[i] -= 1
             starts[i].sent()
             host, order = (i + order) % HOSTS, order + 1
-            queue = (free_at[host] - now) / TAKES_MS
-            done = max(now, free_at[host]) + TAKES_MS
-            if queue < LINE:
+            queue = (free_at[host] - now) / SETUP_MS
+            done = max(now, free_at[host]) + SETUP_MS
+            if queue < HOST_QUEUE_LENGTH:
                 free_at[host] = done
-            placed = queue < LINE and done - now <= TIMEOUT_MS
+            placed = queue < HOST_QUEUE_LENGTH and done - now <= TIMEOUT_MS
             heapq.heappush(events, (done if placed else now + TIMEOUT_MS, order, i, placed))
 
     for i in range(ALLOCATORS):
@@ -55,15 +49,15 @@
     return lost, last
 
 
-def test_hundreds_that_open_at_once_spare_the_hosts():
+def test_slow_start_spares_hosts_when_hundreds_open_at_once():
     """By model: with all at once four in five of the first set-ups run into their time-out."""
-    before, took = opened_at_once(None)
-    after, eased = opened_at_once(HOSTS / ALLOCATORS)
+    before, took = simulate_simultaneous_start(None)
+    after, eased = simulate_simultaneous_start(HOSTS / ALLOCATORS)
     assert before > 10_000 and after < 0.1 * before
     assert eased < 1.5 * took  # and it costs no time to speak of
 
 
-def test_the_window_follows_what_is_placed():
+def test_window_doubles_when_placed_and_halves_once_when_not():
     start = SlowStart(0.1)
     assert start.room() == 1  # never none: nobody would ever learn
     start.begin(0.0)
@@ -84,7 +78,7 @@
     assert start.window == WINDOW_MOST
 
 
-def test_a_rate_counts_once_it_no_longer_grows():
+def test_rate_counts_once_it_no_longer_grows():
     start = SlowStart(4.0)
     start.begin(0.0)
     for slot, count in enumerate((10, 40, 160, 170)):  # in 250 ms each; the last one no longer grows
@@ -95,27 +89,19 @@
     assert start.wait_ms(start.room()) == 0.0
 
 
-@pytest.fixture
-def held():
-    """A cluster of which nothing is known yet, and an owner."""
-    cluster = Cluster(0)
-    cluster.core.startup_gate = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
-    return cluster, Owner(cluster).subscribe()
-
-
-def opens(cluster, count):
+def subscribe_agents(cluster, count):
     names = [f"h{i}" for i in range(count)]
     cluster.list(names)
     cluster.agents = {name: Agent(cluster, name).subscribe() for name in names}
 
 
-def test_the_line_goes_by_worth_and_time_left_in_a_window_that_grows(held):
-    cluster, owner = held
+def test_queue_goes_by_weight_and_time_left_in_a_growing_window(starting_cluster):
+    cluster, owner = starting_cluster
     for number, left in enumerate((8_000.0, 3_000.0, 5_000.0, 4_000.0)):
         owner.launch(f"t{number}", left=left)
     cluster.core.classes_by_name["unsafe"] = replace(cluster.core.classes_by_name["unsafe"], weight=9.0)
     owner.launch("u", cls="unsafe", left=8_000.0)
-    opens(cluster, 2)
+    subscribe_agents(cluster, 2)
     cluster.timing.advance(20.0)
 
     def sent():
@@ -130,8 +116,8 @@
     cluster.check()
 
 
-def test_a_task_in_the_line_is_refused_when_its_time_is_over(held):
-    cluster, owner = held
+def test_queued_task_is_rejected_when_its_time_is_over(starting_cluster):
+    cluster, owner = starting_cluster
     api = MetricsApi(cluster.core)
     ready = lambda: api.handle(Request("GET", "/ready", {}, b""))  # noqa: E731
     owner.launch("t1", left=1_000.0)
@@ -146,7 +132,7 @@
     assert (
         ready().status == 503 and ready().headers["retry-after"] == "1" and b"what they run" in ready().body
     )
-    opens(cluster, 1)
+    subscribe_agents(cluster, 1)
     assert not cluster.offered() and cluster.core.admission_queue.is_finished
     assert ready().status == 200
     cluster.core.is_shutting_down = True
@@ -154,31 +140,31 @@
     cluster.check()
 
 
-def test_a_task_whose_time_is_over_as_the_line_opens_is_not_sent(held):
-    cluster, owner = held
+def test_task_whose_time_is_over_as_the_queue_opens_is_not_sent(starting_cluster):
+    cluster, owner = starting_cluster
     owner.launch("t1", left=1_000.0)
     (call,) = cluster.core.call_table.active_calls.values()
     cluster.timing.at += call.request.remaining_ms  # its own timer is due in the same turn, and comes after
-    opens(cluster, 1)
+    subscribe_agents(cluster, 1)
     assert not cluster.offered() and not call.is_requested and owner.states("t1") == ["TASK_DROPPED"]
     cluster.check()
 
 
-def test_one_taken_back_from_the_line_is_not_sent(held):
-    cluster, owner = held
+def test_task_killed_in_the_queue_is_not_sent(starting_cluster):
+    cluster, owner = starting_cluster
     owner.launch("t1")
     cluster.core.framework_sessions.kill(owner.framework, "t1")
-    opens(cluster, 1)
+    subscribe_agents(cluster, 1)
     assert not cluster.offered() and owner.states("t1") == ["TASK_KILLED"]
     cluster.check()
 
 
-def test_what_has_no_turn_in_time_is_told_at_once(held):
+def test_task_without_a_turn_in_time_is_rejected_at_once(starting_cluster):
     """Hosts that answer one set-up in 100 ms: of hundreds with 3 s each most are known to come too late."""
-    cluster, owner = held
+    cluster, owner = starting_cluster
     for number in range(400):
         owner.launch(f"t{number}", cores=0.01, memory=1.0, left=3_000.0)
-    opens(cluster, 2)
+    subscribe_agents(cluster, 2)
     answered = set()
     for _ in range(15):
         cluster.timing.advance(100.0)
@@ -189,66 +175,3 @@
     assert cluster.core.admission_queue.rejected_count == len(dropped) > 250
     assert 0 < len(cluster.core.admission_queue.waiting_calls) < 60
     cluster.check()
-
-
-# ---- RECONCILE ----
-
-
-def asks(cluster, owner, *names):
-    cluster.core.framework_sessions.reconcile(
-        owner.framework, [m.ReconcileTask(m.Value(name)) for name in names]
-    )
-
-
-def test_nothing_is_said_of_tasks_before_agents_have_told(held):
-    """'Unknown' of a task that runs has its owner ask again and again, or start it anew."""
-    cluster, owner = held
-    cluster.list(["h0"])
-    asks(cluster, owner, "old")
-    asks(cluster, owner)
-    cluster.timing.advance(100.0)
-    assert owner.statuses() == []
-    labels = [m.Label(*pair) for pair in (("class", "safe"), ("framework", "owner"), ("task", "old"))]
-    old = m.TaskInfo(
-        "old", m.Value("a0-before-1.0"), resources=m.resources(1.0, 100.0), labels=m.Labels(labels)
-    )
-    cluster.agents = {"h0": Agent(cluster, "h0").subscribe(tasks=[old])}
-    cluster.timing.advance(1.0)
-    told = [s for s in owner.statuses("old") if s.reason == "REASON_RECONCILIATION"]
-    assert (
-        {s.state for s in told} == {"TASK_STARTING"}
-        and len(told) >= 2
-        and cluster.core.framework_sessions.reconciling.waiting == 0
-    )
-
-
-def test_a_crowd_that_reconciles_takes_turns_and_none_is_lost():
-    cluster = Cluster(1)
-    crowd = [Owner(cluster, f"o{i}").subscribe() for i in range(3)]
-    line = cluster.core.framework_sessions.reconciling
-    for owner in crowd:
-        asks(cluster, owner, *(f"t{i}" for i in range(500)))
-        asks(cluster, owner, *(f"t{i}" for i in range(TURN, 500)))  # it waits: the same question
-    assert line.waiting == 1_500 - TURN
-    assert len(crowd[0].statuses()) == TURN  # it was alone in the first turn
-    before = [len(owner.statuses()) for owner in crowd]
-    cluster.timing.advance(0.0)
-    assert all(len(owner.statuses()) > said for owner, said in zip(crowd, before, strict=True))
-    cluster.timing.advance(1.0)
-    assert [len(owner.statuses()) for owner in crowd] == [500] * 3 and not line.lines and line.waiting == 0
-
-
-def test_questions_are_bounded_and_go_with_their_owner(monkeypatch):
-    monkeypatch.setattr(reconciliation, "MOST", 600)
-    cluster = Cluster(1)
-    cluster.core.startup_gate.is_open = False
-    owner, other = Owner(cluster).subscribe(), Owner(cluster, "other").subscribe()
-    asks(cluster, owner, *(f"t{i}" for i in range(700)))
-    assert cluster.core.framework_sessions.reconciling.waiting == 600
-    assert cluster.core.counters.events["reconcile turned away"] == 1
-    asks(cluster, other, "t1")
-    owner.link.close("gone")
-    cluster.core.startup_gate.is_open = True
-    asks(cluster, other, "t2")
-    assert cluster.core.framework_sessions.reconciling.waiting == 0 and not owner.statuses()
-    assert not cluster.core.framework_sessions.reconciling.lines
