--- a/glencleat/allocator/__init__.py
+++ b/glencleat/allocator/__init__.py
@@ -1,6 +1,7 @@
-"""The allocator's core: tells the module what happened and does what it says.
+"""The allocator's core: passes events to the policy and carries out its actions.
 
-It imports the module's interface and the message schemas, never sockets: the fronts call it with parsed calls
-and hand it links to write to; clock and timers are arguments. Decisions that are not the module's stand in
-`late` (attempts whose fate is unsure), `members` (agents), `frameworks` (owners) and `admission`; none of
-them does I/O or reads a clock."""
+It imports the policy's interface and the message schemas, never sockets: the API servers call it with parsed
+calls and hand it streams to write to; clock and timers are arguments. Decisions that are not the policy's are
+made in `delivery_status` (attempts in doubt), `agent_membership`, `frameworks` and `admission`; none of them
+does I/O or reads a clock.
+"""
