--- a/glencleat/allocator/attempts.py
+++ b/glencleat/allocator/attempts.py
@@ -138,10 +138,7 @@
         self.cancel_timer(attempt)
         core.counters.attempts[outcome.value] += 1
         elapsed_ms = max(0.0, core.now() - attempt.sent_at_ms)
-        if call.final_answer is None:
-            call.pending_reasons.note(outcome, reason, attempt.machine, core.now())
-        elif is_call_closed:
-            core.call_table.close_call(call)
+        self._update_call(attempt, outcome, reason, is_call_closed=is_call_closed)
         core.publish(AttemptConcluded(attempt, outcome, reason))
         core.dispatch(
             api.AttemptEnded(
@@ -158,6 +155,16 @@
         if call.final_answer is None and call.is_abandoned:
             self._answer_abandoned(call)
 
+    def _update_call(
+        self, attempt: Attempt, outcome: api.Outcome, reason: api.OutcomeReason, *, is_call_closed: bool
+    ) -> None:
+        """Note why a call is still pending, or close one whose answer was given."""
+        call = attempt.call
+        if call.final_answer is None:
+            call.pending_reasons.note(outcome, reason, attempt.machine, self.core.now())
+        elif is_call_closed:
+            self.core.call_table.close_call(call)
+
     def _answer_abandoned(self, call: Call) -> None:
         """Answer a call whose owner killed the task while an attempt was out that has ended now."""
         if call.may_have_run():
