--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -233,7 +233,11 @@
         attempt.has_run = False
         self.core.call_table.settle_attempt(attempt)
         self.core.conclude_attempt(
-            attempt, meaning.outcome, over=attempt.call.is_abandoned, why=meaning.reason, report=report
+            attempt,
+            meaning.outcome,
+            is_call_closed=attempt.call.is_abandoned,
+            reason=meaning.reason,
+            report=report,
         )
 
     def _record_accepted(self, attempt: Attempt) -> None:
@@ -260,7 +264,9 @@
         """The end of a placed task."""
         attempt.step = AttemptStep.ENDED
         self.core.call_table.settle_attempt(attempt)
-        self.core.conclude_attempt(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
+        self.core.conclude_attempt(
+            attempt, meaning.outcome, is_call_closed=True, reason=meaning.reason, report=report
+        )
         self.core.framework_sessions.status(
             attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason)
         )
@@ -309,7 +315,7 @@
             if attempt.is_concluded or attempt.step is AttemptStep.DISPATCHED:
                 continue
             call = attempt.call
-            self.core.conclude_attempt(attempt, api.Outcome.LOST, over=True)
+            self.core.conclude_attempt(attempt, api.Outcome.LOST, is_call_closed=True)
             is_idempotent = call.idempotency is api.Idempotency.IDEMPOTENT
             retry_advice = RetryAdvice.HARMLESS if is_idempotent else RetryAdvice.RECONCILE
             answer = StatusAnswer(TaskState.UNREACHABLE, retry_advice, StatusReason.AGENT_REMOVED)
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -1,5 +1,7 @@
 """A core on a clock of its own, with sessions that record what was sent: no sockets, no real time."""
 
+import pytest
+
 from glencleat import Scheduler
 from glencleat import interface as api
 from glencleat.allocator.core import Core
@@ -111,7 +113,7 @@
         call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=told)
         link = Link(m.ExecutorEvent)
         self.link = link
-        agents = self.cluster.core.agents
+        agents = self.cluster.core.agent_sessions
         name = agents.subscribe(call, link)
         link.ended = lambda why: agents.close_session(name, link, why)
         return self
@@ -133,10 +135,10 @@
         self.tell(self.status(task, state, reason, cause))
 
     def tell(self, status):
-        self.cluster.core.agents.handle_update(self.id, status)
+        self.cluster.core.agent_sessions.handle_update(self.id, status)
 
     def beat(self):
-        self.cluster.core.agents.record_heartbeat(self.id)
+        self.cluster.core.agent_sessions.record_heartbeat(self.id)
 
 
 class Owner:
@@ -153,7 +155,7 @@
         info = m.FrameworkInfo("u", self.name, m.Value(self.name), "tenant", failover_timeout=self.failover_s)
         link = Link(m.SchedulerEvent)
         self.link = link
-        owners = self.cluster.core.owners
+        owners = self.cluster.core.framework_sessions
         framework = owners.subscribe(info, f"stream-{self.name}", link)
         self.framework = framework
         link.ended = lambda why: owners.close_session(framework, link, why)
@@ -165,7 +167,7 @@
         info = m.TaskInfo(task, m.Value(task), resources=m.build_resources(cores, memory), labels=told)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
-        self.cluster.core.owners.accept(self.framework, m.Accept([offer], [operation]))
+        self.cluster.core.framework_sessions.accept(self.framework, m.Accept([offer], [operation]))
 
     def statuses(self, task=None):
         found = [event.update.status for event in self.link.of("UPDATE")]
@@ -175,7 +177,7 @@
         return [status.state for status in self.statuses(task)]
 
     def reconcile(self, task):
-        self.cluster.core.owners.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
+        self.cluster.core.framework_sessions.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
         return self.statuses(task)[-1]
 
 
@@ -195,7 +197,7 @@
             max_attempts=4,
             drain_grace_ms=1000.0,
         )
-        options = Options(**({"heartbeat_ms": 1000.0, "return_ms": 4000.0} | options))
+        options = Options(**({"heartbeat_interval_ms": 1000.0, "agent_return_timeout_ms": 4000.0} | options))
         module = module or Scheduler(settings, seed=1)
         self.core = Core(settings, module, options, self.timing, seed)
         names = [f"h{i}" for i in range(machines)]
@@ -207,6 +209,12 @@
         told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
         self.core.update_machine_list(api.MachineListUpdated(kind, told))
 
+    def beat(self, all_but=None):
+        """A heartbeat of every agent, or of all but one."""
+        for agent in self.agents.values():
+            if agent is not all_but:
+                agent.beat()
+
     def offered(self):
         """The agent and task of every LAUNCH so far, in the order of their calls."""
         found = [(agent, task) for agent in self.agents.values() for task in agent.launches()]
@@ -220,3 +228,32 @@
         assert self.core.call_table.unanswered_count == sum(
             c.final_answer is None for c in self.core.call_table.active_calls.values()
         )
+
+
+def launch_one_task(cls="safe", machines=2, **options):
+    """A cluster, an owner, and a task whose first LAUNCH is out."""
+    cluster = Cluster(machines, **options)
+    owner = Owner(cluster).subscribe()
+    owner.launch("t1", cls)
+    ((agent, task),) = cluster.offered()
+    return cluster, owner, agent, task.task_id.value
+
+
+def run_until_session_cut(cluster, agent):
+    """No heartbeat of this agent's for as long as it takes, while the others beat."""
+    for _ in range(8):
+        cluster.timing.advance(500.0)
+        for other in cluster.agents.values():
+            if other is not agent and other.link.why is None:
+                other.beat()
+        if agent.link.why is not None:
+            return
+    pytest.fail("the session was not cut")
+
+
+def launch_until_time_out(cls):
+    cluster, owner, agent, attempt = launch_one_task(cls)
+    for _ in range(7):
+        cluster.timing.advance(500.0)
+        cluster.beat()
+    return cluster, owner, agent, attempt
