--- a/tests/allocator/test_admission_queue.py
+++ b/tests/allocator/test_admission_queue.py
@@ -3,7 +3,7 @@
 import heapq
 from dataclasses import replace
 
-from glencleat.flow_control.slow_start import LAST_MS, WINDOW_MOST, SlowStart
+from glencleat.flow_control.slow_start import ANSWER_MARGIN_MS, WINDOW_MOST, SlowStart
 from glencleat.mesos.http import Request
 from glencleat.servers.metrics import MetricsApi
 from tests.support.core_world import Agent
@@ -122,7 +122,7 @@
     ready = lambda: api.handle(Request("GET", "/ready", {}, b""))  # noqa: E731
     owner.launch("t1", left=1_000.0)
     assert (ready().status, ready().body) == (503, b"no machine is listed yet\n")
-    cluster.timing.advance(1_000.0 - 50.0 - LAST_MS - 5.0)
+    cluster.timing.advance(1_000.0 - 50.0 - ANSWER_MARGIN_MS - 5.0)
     assert owner.states("t1") == []
     cluster.timing.advance(
         10.0
--- a/tests/allocator/test_agent_absence.py
+++ b/tests/allocator/test_agent_absence.py
@@ -41,7 +41,7 @@
     cluster.timing.advance(5_000.0)
     assert len(cluster.offered()) == 1
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_LOST" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_LOST" and m.find_label(status.labels, "retry") == "reconcile"
     assert owner.reconcile("t1").state == "TASK_UNREACHABLE"
     cluster.check()
 
@@ -62,7 +62,7 @@
         cluster.timing.advance(500.0)
         cluster.beat(all_but=agent)
     status = owner.statuses("t1")[-1]
-    assert status.state == "TASK_UNREACHABLE" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_UNREACHABLE" and m.find_label(status.labels, "retry") == "reconcile"
     assert owner.reconcile("t1").state in ("TASK_RUNNING", "TASK_STARTING", "TASK_UNREACHABLE")
     agent.subscribe(tasks=agent.launches())
     assert owner.statuses("t1")[-1].state in ("TASK_STARTING", "TASK_RUNNING")
@@ -108,7 +108,7 @@
     agent.subscribe()
     assert cluster.offered() == [] and owner.states("t1") == ["TASK_LOST"]
     assert owner.reconcile("t1").state == "TASK_GONE"
-    assert m.label(owner.statuses("t1")[-1].labels, "retry") == "never"
+    assert m.find_label(owner.statuses("t1")[-1].labels, "retry") == "never"
     cluster.check()
 
 
@@ -118,7 +118,7 @@
     first = agent.link
     twin = Agent(cluster, agent.name, agent.run).subscribe()
     assert first.why == "another connection subscribed under this id" and first.of("ERROR")
-    assert cluster.core.membership.session(agent.name) is twin.link
+    assert cluster.core.membership.session_of(agent.name) is twin.link
     assert not twin.launches() and owner.states("t1") == ["TASK_LOST"]
     other_run = Agent(cluster, agent.name, "r9").subscribe()
     with pytest.raises(NotSubscribedError):
@@ -144,7 +144,7 @@
     owner.launch("t1")  # so late that the sweep comes before its time-out
     ((first, _),) = cluster.offered()
     (second,) = (agent for agent in cluster.agents.values() if agent is not first)
-    cluster.core.membership.members[second.name] = cluster.core.membership.members.pop(
+    cluster.core.membership.members_by_agent[second.name] = cluster.core.membership.members_by_agent.pop(
         second.name
     )  # swept last
     second.link.fails = True
--- a/tests/allocator/test_call_table.py
+++ b/tests/allocator/test_call_table.py
@@ -7,7 +7,7 @@
 
 
 def test_the_ledger_forgets_the_oldest_answered_calls_and_all_of_them():
-    ledger = CallTable(remembered=2)
+    ledger = CallTable(max_closed_calls=2)
     for number in range(1, 5):
         one = make_call(number=number)
         ledger.add_call(one)
--- a/tests/allocator/test_framework_departure.py
+++ b/tests/allocator/test_framework_departure.py
@@ -43,7 +43,7 @@
         cluster.timing.advance(500.0)
         cluster.beat()
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_LOST" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_LOST" and m.find_label(status.labels, "retry") == "reconcile"
     cluster.check()
 
 
@@ -86,7 +86,7 @@
     for _ in range(4):
         agent.beat()
         cluster.timing.advance(1_000.0)
-    assert "owner" not in cluster.core.frameworks.known
+    assert "owner" not in cluster.core.frameworks.frameworks_by_id
     assert task.task_id.value in agent.kills()
     late = agent.launches()[1].task_id.value  # of t2, given up long since
     agent.say(late, "TASK_STARTING")
@@ -126,7 +126,7 @@
     cluster.core.framework_sessions.decline(owner.framework, m.Decline([offer], m.Filters(4.0)))
     assert later(3_000.0) == 2
     assert later(2_000.0) == 3
-    owner.framework.suppressed = True
+    owner.framework.is_suppressed = True
     owner.launch("t2")
     assert later(3_000.0) == 3
     cluster.core.frameworks.revive(owner.framework, cluster.timing.now())
--- a/tests/allocator/test_late_updates.py
+++ b/tests/allocator/test_late_updates.py
@@ -54,11 +54,11 @@
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 1
     status = owner.statuses("t1")[-1]
-    assert status.state == "TASK_UNREACHABLE" and m.label(status.labels, "retry") == "reconcile"
+    assert status.state == "TASK_UNREACHABLE" and m.find_label(status.labels, "retry") == "reconcile"
     agent.say(cluster.offered()[0][1].task_id.value, "TASK_FINISHED")
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 1
-    assert m.label(owner.statuses("t1")[-1].labels, "retry") == "never"
+    assert m.find_label(owner.statuses("t1")[-1].labels, "retry") == "never"
     cluster.check()
 
 
--- a/tests/allocator/test_placement.py
+++ b/tests/allocator/test_placement.py
@@ -31,7 +31,7 @@
     told = {label.key: label.value for label in task.labels.labels}
     assert told["class"] == "keyed" and told["effect"] == "keyed" and told["key"] == "t1"
     assert told["framework"] == "owner" and told["task"] == "t1" and told["tenant"] == "tenant"
-    assert m.scalar(task.resources, "cpus") == 1.0 and float(told["answer_within_ms"]) > 0
+    assert m.sum_scalar(task.build_resources, "cpus") == 1.0 and float(told["answer_within_ms"]) > 0
 
 
 def test_rejected_attempt_is_retried_elsewhere():
@@ -135,7 +135,7 @@
     )
     core.contract.pending_timers = 5
     core.dispatch(api.TimerFired(0))
-    payload = m.unpack(agent.link.of("MESSAGE")[-1].message.data)
+    payload = m.decode_payload(agent.link.of("MESSAGE")[-1].message.data)
     core.agent_sessions.message(agent.id, m.Payload("report", probe=payload.probe, cores_free=3.0))
     core.agent_sessions.message(agent.id, m.Payload("report", probe=payload.probe))
     assert not core.contract.pending_probes
--- a/tests/allocator/test_reconciliation.py
+++ b/tests/allocator/test_reconciliation.py
@@ -1,7 +1,7 @@
 """RECONCILE of frameworks: held until agents have told, answered in turns, bounded."""
 
 from glencleat.allocator import reconciliation
-from glencleat.allocator.reconciliation import TURN
+from glencleat.allocator.reconciliation import ANSWERS_PER_TURN
 from glencleat.mesos import messages as m
 from tests.support.core_world import Agent, Cluster, Owner
 
@@ -40,9 +40,11 @@
     line = cluster.core.framework_sessions.reconciling
     for owner in crowd:
         reconcile(cluster, owner, *(f"t{i}" for i in range(500)))
-        reconcile(cluster, owner, *(f"t{i}" for i in range(TURN, 500)))  # it waits: the same question
-    assert line.waiting == 1_500 - TURN
-    assert len(crowd[0].statuses()) == TURN  # it was alone in the first turn
+        reconcile(
+            cluster, owner, *(f"t{i}" for i in range(ANSWERS_PER_TURN, 500))
+        )  # it waits: the same question
+    assert line.waiting == 1_500 - ANSWERS_PER_TURN
+    assert len(crowd[0].statuses()) == ANSWERS_PER_TURN  # it was alone in the first turn
     before = [len(owner.statuses()) for owner in crowd]
     cluster.timing.advance(0.0)
     assert all(len(owner.statuses()) > said for owner, said in zip(crowd, before, strict=True))
--- a/tests/allocator/test_startup_and_shutdown.py
+++ b/tests/allocator/test_startup_and_shutdown.py
@@ -27,7 +27,7 @@
     owner.launch("t1", left=3_000.0)
     cluster.timing.advance(2_990.0)
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_DROPPED" and m.label(status.labels, "retry") == "harmless"
+    assert status.state == "TASK_DROPPED" and m.find_label(status.labels, "retry") == "harmless"
 
 
 def test_calls_wait_for_the_agents_of_a_restarted_allocator():
@@ -41,7 +41,7 @@
     old = m.TaskInfo(
         "old",
         m.Value("a0-before-1.0"),
-        resources=m.resources(1.0, 100.0),
+        resources=m.build_resources(1.0, 100.0),
         labels=m.Labels(
             [
                 m.Label("class", "safe"),
@@ -68,7 +68,7 @@
         m.TaskInfo(
             "old",
             m.Value(f"a0-before-1.{i}"),
-            resources=m.resources(1.0, 100.0),
+            resources=m.build_resources(1.0, 100.0),
             labels=m.Labels(
                 [
                     m.Label("class", "keyed"),
--- a/tests/allocator/test_task_requests.py
+++ b/tests/allocator/test_task_requests.py
@@ -13,7 +13,7 @@
     info = m.TaskInfo(
         "name",
         m.Value(task_id),
-        resources=m.resources(cores, memory),
+        resources=m.build_resources(cores, memory),
         labels=m.Labels([m.Label(key, value) for key, value in labels.items()]),
     )
     return read_task_request(info, CLASSES, default_class=default_class, answer_margin_ms=50.0)
@@ -37,13 +37,13 @@
     [
         ({"task_id": ""}, "task_id"),
         ({"task_id": "t" * 257}, "task_id"),
-        ({"class": "odd"}, "label class"),
-        ({"time_left_ms": "50"}, "label time_left_ms"),
-        ({"time_left_ms": "soon"}, "label time_left_ms"),
-        ({"life_ms": "-1"}, "label life_ms"),
-        ({"life_ms": "inf"}, "label life_ms"),
-        ({"service": "s" * 257}, "label service"),
-        ({"key": "k" * 257}, "label key"),
+        ({"class": "odd"}, "find_label class"),
+        ({"time_left_ms": "50"}, "find_label time_left_ms"),
+        ({"time_left_ms": "soon"}, "find_label time_left_ms"),
+        ({"life_ms": "-1"}, "find_label life_ms"),
+        ({"life_ms": "inf"}, "find_label life_ms"),
+        ({"service": "s" * 257}, "find_label service"),
+        ({"key": "k" * 257}, "find_label key"),
         ({"cores": -1.0}, "resource cpus"),
         ({"memory": float("nan")}, "resource mem"),
     ],
--- a/tests/platform_server/test_attempt_delivery.py
+++ b/tests/platform_server/test_attempt_delivery.py
@@ -35,7 +35,7 @@
 def test_links_at_the_share_are_shared(world):
     peer, owner = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
-    world.until(lambda: world.owners.owners)
+    world.until(lambda: world.owners.connections)
     world.descriptors.room = 3
     for task in range(1, 5):
         world.ask(owner, task)
@@ -54,7 +54,7 @@
 def test_want_of_descriptors_is_not_the_hosts_fault(world, monkeypatch):
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
-    world.until(lambda: world.owners.owners)
+    world.until(lambda: world.owners.connections)
 
     def none_left(*_):
         raise OSError(errno.EMFILE, "too many open files")
--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -32,12 +32,12 @@
     bad = world.client()
     bad.send(setup(1, cls="nope") + b"\xee" * 100_000)
     assert world.says(bad) in (m.encode_with_cause(m.RELEASE, 1, m.INVALID_CONTENTS), b"")
-    world.until(lambda: not world.owners.owners)
+    world.until(lambda: not world.owners.connections)
 
 
 @pytest.mark.parametrize("data", [b"", setup(1)[:20]], ids=["silent", "half a message"])
 def test_who_says_nothing_whole_is_closed_in_time(world, monkeypatch, data):
-    monkeypatch.setattr(client_connections, "SPEAK_MS", 60.0)
+    monkeypatch.setattr(client_connections, "MESSAGE_TIMEOUT_MS", 60.0)
     bad = world.client()
     bad.send(data)
     assert world.says(bad) == b"" and client_connections.MESSAGE_TIMEOUT_MS < 3_000.0
@@ -48,14 +48,17 @@
     for i in range(client_connections.MAX_INVALID_SETUPS + 1):
         bad.send(setup(i + 1, cls="nope"))
     world.until(
-        lambda: world.exchange.bad > client_connections.MAX_INVALID_SETUPS and not world.owners.owners
+        lambda: (
+            world.exchange.invalid_setups > client_connections.MAX_INVALID_SETUPS
+            and not world.owners.connections
+        )
     )
     assert world.module.events == []
 
 
 def test_hundreds_at_once_take_turns_with_others(world):
     flood, good = world.client(), world.client()
-    world.until(lambda: len(world.owners.owners) == 2)
+    world.until(lambda: len(world.owners.connections) == 2)
     flood.send(b"".join(m.encode(m.PROGRESS, i) for i in range(1, 500)))
     good.send(m.encode(m.PROBE, 9))
     seen = []
@@ -71,7 +74,7 @@
 def test_one_that_sends_long_messages_faster_than_we_read_takes_turns_too(world):
     """Each read brings less than one of them, so that their number bounds nothing."""
     flood, good = world.client(), world.client()
-    world.until(lambda: len(world.owners.owners) == 2)
+    world.until(lambda: len(world.owners.connections) == 2)
     data = b"".join(m.encode(m.PROGRESS, i, {m.NAME: b"x" * 16_000}) for i in range(1, 100))
     while data:
         try:
@@ -93,13 +96,15 @@
     world.descriptors.room = 3
     world.descriptors.rights = {Side.CLIENTS: 3, Side.HOSTS: 0}
     lasting = world.client()
-    world.until(lambda: len(world.owners.owners) == 1)
-    world.owners.proves(next(iter(world.owners.owners)))  # the longest unused, yet one that tasks came by
+    world.until(lambda: len(world.owners.connections) == 1)
+    world.owners.proves(
+        next(iter(world.owners.connections))
+    )  # the longest unused, yet one that tasks came by
     quiet, busy = world.client(), world.client()
     world.ask(busy, 1, host="h9", timeout=3000.0)
     world.module.next.append([])
-    world.until(lambda: len(world.owners.owners) == 3)
-    busy_owner = next(o for o in world.owners.owners if o.open)
+    world.until(lambda: len(world.owners.connections) == 3)
+    busy_owner = next(o for o in world.owners.connections if o.open)
     late = world.client()
     late.send(m.encode(m.PROBE, 9))
     assert world.says(late) == m.encode_with_cause(m.PROBE_RESULT, 9, 1)
@@ -121,11 +126,11 @@
     rude.send(setup(9))
     assert world.says(rude) == m.encode_with_cause(m.RELEASE, 9, m.TEMPORARY_FAILURE)
     owner.close()
-    world.until(lambda: len(world.owners.owners) == 2)
+    world.until(lambda: len(world.owners.connections) == 2)
     peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING))
     assert world.says(other) == m.encode_with_cause(m.RELEASE, 1, m.NORMAL_CLEARING)
     other.close()
-    world.until(lambda: len(world.owners.owners) == 1)
+    world.until(lambda: len(world.owners.connections) == 1)
     peer.streams[0].send(m.encode_with_cause(m.RELEASE, 2, m.NORMAL_CLEARING))
     world.back(2)
     later, world.calls = world.client(), 4
--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -45,7 +45,7 @@
     """On hearing that one came to nothing, the exchange may withdraw another: it is known not to have run."""
     peers, owner = [Peer(world.loop) for _ in range(2)], world.client()
     world.list(*((f"h{i}", peer.address) for i, peer in enumerate(peers)))
-    world.until(lambda: world.owners.owners)
+    world.until(lambda: world.owners.connections)
     world.descriptors.room = 1
     for task in (1, 2):
         world.ask(owner, task, host=f"h{task - 1}")
@@ -86,7 +86,9 @@
     """A host that is slow to take connections is not helped by eight that knock."""
     held, began = cut_off(monkeypatch), []
     world.list(("h1", ("127.0.0.1", 9)))
-    monkeypatch.setattr(world.hosts.connection_limiter, "began", lambda address, now: began.append(address))
+    monkeypatch.setattr(
+        world.hosts.connection_limiter, "record_start", lambda address, now: began.append(address)
+    )
     monkeypatch.setattr(world.hosts.connection_limiter, "shared", lambda address: len(began) >= 2)
     monkeypatch.setattr(world.hosts.connection_limiter, "ended", lambda address: None)
     owner = world.client()
@@ -98,7 +100,7 @@
 
 def test_more_than_may_come_up_at_once_wait_in_line(world, monkeypatch):
     """Where many hosts vanish each connect hangs for its time-out; the line goes on as they end."""
-    monkeypatch.setattr(connection_limiter, "LEAST_COMING", 2)
+    monkeypatch.setattr(connection_limiter, "MIN_CONNECTING", 2)
     peers, owner = [Peer(world.loop, stands) for _ in range(6)], world.client()
     world.list(*((f"h{i}", peer.address) for i, peer in enumerate(peers)))
     real, most = host_connection.connect, []
@@ -124,7 +126,7 @@
     monkeypatch.setattr(pending_queue, "MAX_QUEUED_ATTEMPTS", 1)
     peer, owner = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
-    world.until(lambda: world.owners.owners)
+    world.until(lambda: world.owners.connections)
     world.descriptors.room = 1
     world.ask(owner, 1)
     world.ask(owner, 2)
--- a/tests/platform_server/test_host_failures.py
+++ b/tests/platform_server/test_host_failures.py
@@ -9,7 +9,7 @@
     host_maintenance,
 )
 from tests.support.exchange_world import setup
-from tests.support.socket_world import Peer, cut_off, kinds, settled, standing, stands
+from tests.support.socket_world import Peer, cut_off, kinds, settled, running_by_host, stands
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
     monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     monkeypatch.setattr(host_maintenance, "TICK_MS", 20.0)
     world.hosts.connect_ms = 10.0
-    (peer,), _ = standing(world, 1)
+    (peer,), _ = running_by_host(world, 1)
     told = lambda: [  # noqa: E731
         (e.machine, e.is_reachable) for e in world.module.events if isinstance(e, api.ReachabilityChanged)
     ]
@@ -45,16 +45,16 @@
     monkeypatch.setattr(host_maintenance, "TICK_MS", 5.0)
     for name, ms in (("QUIET_MS", 20.0), ("UNREACHABLE_MS", 900.0)):
         monkeypatch.setattr(failure_detector, name, ms)
-    (peer,), _ = standing(world, 1)
+    (peer,), _ = running_by_host(world, 1)
     cut, host = cut_off(monkeypatch), world.hosts.hosts_by_name["h0"]
     heard = host.last_heard_at_ms
     world.until(lambda: host.failing_since_ms < world.loop.now() - 200.0)
-    assert "h0" in world.exchange.standing
+    assert "h0" in world.exchange.running_by_host
     if heals:
         cut[0] = False
         world.until(lambda: host.last_heard_at_ms > heard)
         world.until(lambda: world.loop.now() > heard + 1_300.0)
-        assert "h0" in world.exchange.standing
+        assert "h0" in world.exchange.running_by_host
     else:
         assert world.back() == [api.Outcome.LOST]
         assert (
@@ -66,7 +66,7 @@
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     answer = world.says(owner)
     peer.die()
     assert world.back() == [api.Outcome.LOST] and any("refused" in text for text in world.logs)
@@ -81,7 +81,7 @@
     world.until(lambda: len(peer.got) == 2)
     for stream, message in list(peer.got):
         stands(stream, message)
-    world.until(lambda: len(world.exchange.standing.get("h1", ())) == 2)
+    world.until(lambda: len(world.exchange.running_by_host.get("h1", ())) == 2)
     world.list(("h1", peer.address), phase=api.MachinePhase.DRAINING)
     peer.die()
     assert world.back(2, ms=0.6 * failure_detector.DRAINING_REFUSAL_PROOF_MS) == [api.Outcome.LOST] * 2
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("idle", [False, True])
 def test_the_only_link_of_a_draining_host_that_breaks_tells_its_end(world, idle):
     """Its release is due 1 s after the end; nothing else will ever be heard, as it takes no new connection."""
-    (peer,), _ = standing(world, 1)
+    (peer,), _ = running_by_host(world, 1)
     world.list(("h0", peer.address), phase=api.MachinePhase.DRAINING)
     if idle:  # the host may have closed it for that, and its tasks run on
         world.hosts.idle_ms = 10.0
@@ -123,7 +123,7 @@
     peer, owner = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     speak()
     peer.listener.close()
     world.list(
@@ -133,8 +133,8 @@
     if says == "nothing, back":  # it was only missing for a moment: refusals say what they said before
         world.list(("h1", peer.address), phase=api.MachinePhase.DRAINING)
     began = world.loop.now()
-    world.until(lambda: "h1" not in world.exchange.standing or world.loop.now() > began + 1_500.0)
-    assert ("h1" not in world.exchange.standing) is over
+    world.until(lambda: "h1" not in world.exchange.running_by_host or world.loop.now() > began + 1_500.0)
+    assert ("h1" not in world.exchange.running_by_host) is over
     if over:
         assert world.back() == [api.Outcome.LOST]
     assert m.PROBE not in kinds(peer)
@@ -150,33 +150,33 @@
         owner.send(setup(1, extras="cores:1;memory:1;service:s;at:h9", wait=None))
     else:
         world.ask(owner, 1)
-    world.until(lambda: name in world.exchange.standing)
+    world.until(lambda: name in world.exchange.running_by_host)
     if how == "replaced":
         world.list(("h2", peer.address))
     elif how == "restarted":
         world.list(("h1", peer.address, world.loop.clock.wall() - 30_000.0))
-        assert name in world.exchange.standing  # a start long ago ends nothing
+        assert name in world.exchange.running_by_host  # a start long ago ends nothing
         settled(world)  # the task stands for some time
         world.list(("h1", peer.address, world.loop.clock.wall() + 1.0))
-    assert world.back() == [api.Outcome.LOST] and not world.exchange.standing
+    assert world.back() == [api.Outcome.LOST] and not world.exchange.running_by_host
 
 
-@pytest.mark.parametrize("ahead_ms", [-600_000.0, 600_000.0])
+@pytest.mark.parametrize("wall_clock_offset_ms", [-600_000.0, 600_000.0])
 def test_a_start_told_by_a_clock_that_differs_by_minutes_ends_what_stood_and_nothing_later(world, ahead_ms):
     """By one that is behind every word of the list ended all tasks there, by one ahead none ever."""
-    world.channel.ahead_ms += ahead_ms
+    world.channel.wall_clock_offset_ms += ahead_ms
     peer, owner = Peer(world.loop, stands), world.client()
     started = world.loop.clock.wall()
     world.list(("h1", peer.address, started - 5_000.0))
     world.ask(owner, 1)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.list(("h1", peer.address, started - 5_000.0))  # told again, as when its room changes
-    assert "h1" in world.exchange.standing
+    assert "h1" in world.exchange.running_by_host
     end = world.loop.now() + 5.0
     world.until(lambda: world.loop.now() > end)
     world.list(("h1", peer.address, started))
-    assert world.back() == [api.Outcome.LOST] and "h1" not in world.exchange.standing
+    assert world.back() == [api.Outcome.LOST] and "h1" not in world.exchange.running_by_host
     world.ask(owner, 2)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     world.list(("h1", peer.address, started))
-    assert "h1" in world.exchange.standing
+    assert "h1" in world.exchange.running_by_host
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -151,7 +151,7 @@
 def test_a_day_in_short(platform):
     """Ready, an answer, a reload, a broken file, a planned restart with a call open."""
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.hold.set()
     sock.send(setup(7))
@@ -165,12 +165,12 @@
     assert platform.asked[1].wait(20.0) and platform.resumed[1][0] == b"resume 1\n"
 
     platform.hold.clear()
-    sock.send(setup(8) + m.encode(m.TEST, 2, {m.CAUSE: b"\0"}))
+    sock.send(setup(8) + m.encode(m.PROBE, 2, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.process.send_signal(signal.SIGTERM)
     platform.line("stopping, 1 calls open")
     for token in range(3, 13):  # rounds of its loop go by
-        sock.send(m.encode(m.TEST, token, {m.CAUSE: b"\0"}))
+        sock.send(m.encode(m.PROBE, token, {m.CAUSE: b"\0"}))
         assert reader.next().cause == 0
     late, late_reader = platform.owner()
     late.send(setup(9))
@@ -211,7 +211,7 @@
     """It was taken: after a standstill the end's timer is due in the very turn that reads it."""
     sock, reader = platform.owner()
     platform.hold.set()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(setup(8))
@@ -244,7 +244,7 @@
     """Several times as many on one connection as have their turn at once."""
     platform.hold.set()
     sock, reader = platform.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
         sock.send(b"".join(setup(number) for number in range(1, 101)))
@@ -265,7 +265,7 @@
 def test_a_process_that_is_not_ready_ends_on_sigterm(tmp_path):
     made = Platform(tmp_path, known=False)
     sock, reader = made.owner()
-    sock.send(m.encode(m.TEST, 1, {m.CAUSE: b"\0"}))
+    sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 0
     made.process.send_signal(signal.SIGTERM)
     assert "Traceback" not in made.process.stderr.read() and made.process.wait(20.0) == 0
@@ -350,7 +350,7 @@
         if is_done():
             return
         loop.call_in(0.0, lambda: None)
-        loop.round()
+        loop.run_once()
     raise AssertionError(f"not done in {rounds} rounds")
 
 
@@ -369,7 +369,7 @@
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
         clock.at += MESSAGE_TIMEOUT_MS - ADMISSION_WINDOW_MS
-        process.loop.round()
+        process.loop.run_once()
         assert process.loop.running
         sock.send(setup(7)[30:])
         sock.setblocking(False)
--- a/tests/platform_server/test_watch_recovery.py
+++ b/tests/platform_server/test_watch_recovery.py
@@ -10,7 +10,7 @@
 
 @pytest.mark.parametrize("trouble", ["breaks", "silent", "noise"])
 def test_the_feed_asks_again_from_where_it_was(world, monkeypatch, trouble):
-    monkeypatch.setattr(watch_client, "SILENT_MS", 120.0)
+    monkeypatch.setattr(watch_client, "SILENCE_TIMEOUT_MS", 120.0)
     second = {"noise": b"{{\n"}.get(trouble, list_event(2)[:30])
     tower, told = Tower(world.loop, lambda n: list_event(1) + second if n == 1 else list_event(2)), []
     watch_client.WatchClient(
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -218,7 +218,7 @@
         self.join_ports()
         self.exchange = Exchange(SETTINGS, Module(self), self, 250.0)
         self.hosts.exchange = self.exchange
-        for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
+        for name in ("record_delivery_failure", "reached", "host_lost", "host_says", "held_back"):
             self._spy(name)
         self.owner = Owner()
         self.peers = {}
@@ -231,11 +231,11 @@
         """The ports that the exchange asks of the pool and the loop."""
         self.now = self.loop.now
         self.call_in = self.loop.call_in
-        self.offer = self.hosts.offer_attempt
-        self.cancel = self.hosts.cancel_attempt
-        self.unread = self.hosts.has_unread_bytes
-        self.cut = self.hosts.release_task
-        self.test = self.hosts.request_load_report
+        self.send_attempt = self.hosts.offer_attempt
+        self.cancel_attempt = self.hosts.cancel_attempt
+        self.has_unread_data = self.hosts.has_unread_bytes
+        self.release_task = self.hosts.release_task
+        self.send_probe = self.hosts.request_load_report
 
     def note(self, *what):
         self.counts[what[0]] += 1
--- a/tests/support/reference_scheduler.py
+++ b/tests/support/reference_scheduler.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from glencleat import interface as api
-from glencleat.index.rendezvous import hashed, mixed
+from glencleat.index.rendezvous import hash_name, mixed
 from glencleat.policy import profiles
 from glencleat.policy.cluster_state import MachineState
 from glencleat.policy.machine_list import MachineListTracker
@@ -30,7 +30,7 @@
 
     def order(self, service):
         if service not in self.orders:
-            seed = hashed(service)
+            seed = hash_name(service)
             self.orders[service] = sorted(self.machines, key=lambda m: (mixed(seed ^ m.hash), m.name))
         return self.orders[service]
 
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -89,14 +89,14 @@
         self.now = self.loop.now
         self.call_in = self.loop.call_in
         self.log = self.logs.append
-        self.to_owner = self.owners.to_owner
-        self.proves = self.owners.proves
-        self.waits = self.owners.waits
-        self.offer = self.hosts.offer_attempt
-        self.unread = self.hosts.has_unread_bytes
-        self.cancel = self.hosts.cancel_attempt
-        self.cut = self.hosts.release_task
-        self.test = self.hosts.request_load_report
+        self.send_to_client = self.owners.to_owner
+        self.mark_client_proven = self.owners.proves
+        self.is_client_waiting = self.owners.waits
+        self.send_attempt = self.hosts.offer_attempt
+        self.has_unread_data = self.hosts.has_unread_bytes
+        self.cancel_attempt = self.hosts.cancel_attempt
+        self.release_task = self.hosts.release_task
+        self.send_probe = self.hosts.request_load_report
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
@@ -173,7 +173,7 @@
     peer, sock, other = Peer(world.loop, stands), world.client(), world.client()
     world.list(("h1", peer.address))
     world.ask(other, 9)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.running_by_host)
     return peer, sock
 
 
@@ -201,7 +201,7 @@
     for i, peer in enumerate(peers):
         world.list((f"h{i}", peer.address))
         world.ask(owner, i + 1, host=f"h{i}")
-    world.until(lambda: len(world.exchange.standing) == count)
+    world.until(lambda: len(world.exchange.running_by_host) == count)
     return peers, owner
 
 
