--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -12,7 +12,7 @@
 from collections import deque
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Any
 
 from glencleat import interface as api
 from glencleat.allocator import delivery_status, status_mapping
@@ -48,18 +48,6 @@
 from glencleat.mesos import messages as m
 
 
-class SessionStream(Protocol):
-    """A session's stream of records, as a front gives it."""
-
-    def send(self, record: bytes) -> tuple[int, int]:
-        """Queues a record; its place in the stream. Closes itself, and does not raise, when that fails."""
-
-    def written(self) -> int:
-        """How far the stream has been handed to the socket."""
-
-    def close(self, why: str) -> None: ...
-
-
 class Core:
     def __init__(
         self,
