--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -40,10 +40,10 @@
 
 class GracefulShutdown:
     """
-    >>> draining, nothing = Draining(), Seen(False, False, False)
-    >>> draining.begin(0.0), draining.begin(5.0)
+    >>> shutdown, nothing = GracefulShutdown(), ShutdownObservation(False, False, False)
+    >>> shutdown.begin(0.0), shutdown.begin(5.0)
     (True, False)
-    >>> [draining.look(at, nothing).value for at in (0.0, 700.0, 710.0)]
+    >>> [shutdown.look(at, nothing).value for at in (0.0, 700.0, 710.0)]
     ['draining', 'closing', 'closed']
     """
 
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -15,8 +15,9 @@
 
 from glencleat.event_loop import Loop
 from glencleat.platform_protocol import messages as m
+from glencleat.platform_server.client_connections import SPEAK_MS
 from glencleat.platform_server.graceful_shutdown import WINDOW_MS
-from glencleat.platform_server.process import READY_MS, PlatformProcess, load
+from glencleat.platform_server.process import LOOK_MS, READY_MS, PlatformProcess, load
 from tests.support.exchange_world import setup
 
 SETTINGS = {
@@ -246,21 +247,6 @@
     assert platform.process.wait(20.0) == 0
 
 
-def test_half_a_message_is_waited_for_and_what_came_too_late_is_refused(platform):
-    platform.hold.set()
-    sock, reader = platform.owner()
-    sock.send(setup(7)[:30])
-    platform.process.send_signal(signal.SIGTERM)
-    platform.line("stopping, 0 calls open")
-    with pytest.raises(ConnectionRefusedError):
-        while True:  # until the window is over and nobody is let in
-            socket.create_connection(platform.address).close()
-    sock.send(setup(7)[30:])
-    told = reader.next()
-    assert (told.kind, told.task, told.cause) == (m.RELEASE, 7, m.FULL)
-    assert platform.process.wait(20.0) == 0
-
-
 def test_signals_in_any_order_end_in_order(platform):
     """A reload while it ends, and another SIGTERM: one end, without a traceback."""
     platform.path.write_text("{")
@@ -321,3 +307,69 @@
     assert not process.owners.ready()
     loop.clock.at += 1.0
     assert process.owners.ready() and READY_MS < 9_000.0  # nine in ten within 10 s
+
+
+class VirtualClock(Clock):
+    """Monotonic time stands still between steps; wall time is the system's, which stamps what arrives."""
+
+    def wall(self):
+        return time.time() * 1e3
+
+
+@pytest.fixture
+def stepped_process(tmp_path):
+    """A process with host h1 known, in this one, whose time passes only by `loop.clock.at`."""
+    entry = {"instanceId": "h1", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "std", "cell": 0,
+             "lifecycle": "SERVING", "weight": 1, "startedAtMs": 0, "free": [16.0, 32.0]}  # fmt: skip
+    event = {"cursor": 1, "nodes": {"generation": 1, "reset": True, "instances": [entry]}}
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({
+        "name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "limits": {"sockets": 256}, "channel": "127.0.0.1:9",
+        "known": {"cursor": 1, "cmds": [event]}, "settings": SETTINGS,
+    }))  # fmt: skip
+    process = PlatformProcess(load(str(path)), Loop(VirtualClock()), lambda text: None, "")
+    process.loop.running = True
+    yield process
+    process.owners.close()
+    for client in list(process.owners.owners):
+        client.stream.close()
+
+
+def run_rounds_until(loop, is_done, rounds=2_000):
+    for _ in range(rounds):
+        if is_done():
+            return
+        loop.call_in(0.0, lambda: None)
+        loop.round()
+    raise AssertionError(f"not done in {rounds} rounds")
+
+
+def test_half_a_message_is_waited_for_and_what_came_too_late_is_refused(stepped_process):
+    """The rest comes at the last instant that its time allows, well after the window."""
+    process, clock = stepped_process, stepped_process.loop.clock
+    address = process.owners.listen(("127.0.0.1", 0))
+    with socket.create_connection(address) as sock:
+        sock.send(setup(7)[:30])
+        run_rounds_until(process.loop, lambda: any(client.begun for client in process.owners.owners))
+        process.stop()
+        clock.at += WINDOW_MS
+        run_rounds_until(process.loop, lambda: process.owners.listener is None)
+        with pytest.raises(ConnectionRefusedError):
+            socket.create_connection(address)
+        clock.at += SPEAK_MS - WINDOW_MS
+        process.loop.round()
+        assert process.loop.running
+        sock.send(setup(7)[30:])
+        sock.setblocking(False)
+        decoder, messages = m.MessageDecoder(), []
+
+        def has_answer():
+            with contextlib.suppress(BlockingIOError):
+                decoder.feed(sock.recv(4096))
+                messages.extend(decoder.messages())
+            return messages
+
+        run_rounds_until(process.loop, has_answer)
+        assert [(told.kind, told.task, told.cause) for told in messages] == [(m.RELEASE, 7, m.FULL)]
+        clock.at += LOOK_MS
+        run_rounds_until(process.loop, lambda: not process.loop.running)
