--- a/glencleat/emulators/proxy_faults.py
+++ b/glencleat/emulators/proxy_faults.py
@@ -59,7 +59,7 @@
     """The states of one wire over time: a calm one, and faults; where they overlap cuts add up, else the last
     holds.
 
-    >>> weather = Weather(State(), [Fault(5.0, 10.0, {"cut": frozenset({Way.BACK})})])
+    >>> weather = Weather(ProxyState(), [ProxyFault(5.0, 10.0, {"cut": frozenset({Way.BACK})})])
     >>> weather.at(4.0).cut, weather.open_at(Way.BACK, 6.0), weather.open_at(Way.THERE, 6.0)
     (frozenset(), 15.0, 6.0)
     """
--- a/glencleat/flow_control/backoff.py
+++ b/glencleat/flow_control/backoff.py
@@ -39,7 +39,7 @@
 class Backoff:
     """One party that is asked.
 
-    >>> asking = Asking(LIST, Random(1))
+    >>> asking = Backoff(LIST, Random(1))
     >>> waits = [asking.again() for _ in range(5)]
     >>> 0.0 <= waits[0] <= 600.0 and all(1000.0 <= wait <= 2000.0 for wait in waits[2:])
     True
--- a/glencleat/flow_control/connection_limiter.py
+++ b/glencleat/flow_control/connection_limiter.py
@@ -32,7 +32,7 @@
 class ConnectionLimiter:
     """What is coming up.
 
-    >>> connecting = Connecting()
+    >>> connecting = ConnectionLimiter()
     >>> for _ in range(4): connecting.began(("127.0.0.1", 1), 0.0)
     >>> connecting.shared(("127.0.0.1", 1)), connecting.may(0.0, hosts=10), connecting.coming
     (True, True, 4)
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -19,7 +19,7 @@
 class DirtySet(Generic[K]):
     """`order` gives a key's place: no two have the same, and none changes while turns are taken.
 
-    >>> turns = Turns[str](order=len)
+    >>> turns = DirtySet[str](order=len)
     >>> turns.mark("ccc"); turns.put("a", 5.0); turns.put("bb", 9.0)
     >>> for key in turns.take(5.0):
     ...     print(key)
--- a/glencleat/index/due_queue.py
+++ b/glencleat/index/due_queue.py
@@ -19,7 +19,7 @@
 
 class DueQueue(Generic[K]):
     """
-    >>> index = DueIndex[str]()
+    >>> index = DueQueue[str]()
     >>> index.put("a", 5.0); index.put("b", 3.0); index.put("a", 9.0)
     >>> index.pop_due(5.0), index.pop_due(5.0), len(index), index.next_due()
     (['b'], [], 1, 9.0)
--- a/glencleat/mesos/recordio.py
+++ b/glencleat/mesos/recordio.py
@@ -2,7 +2,7 @@
 
 Source: Mesos documentation, "Scheduler HTTP API", section "RecordIO response format".
 
->>> Decoder().feed(encode(b"{}") + b"5\nab")
+>>> RecordDecoder().feed(encode(b"{}") + b"5\nab")
 [b'{}']
 """
 
--- a/glencleat/platform_protocol/ended_tasks.py
+++ b/glencleat/platform_protocol/ended_tasks.py
@@ -12,7 +12,7 @@
 
 class EndedTasks:
     """
-    >>> ends = Ends()
+    >>> ends = EndedTasks()
     >>> ends.heard(7, "h1", 16, told=False, now=0.0)
     >>> ends.claim(7, "h2", 1.0), ends.claim(7, "h1", 1.0), ends.claim(7, "h1", 1.0)
     (None, (16, False), (16, True))
--- a/glencleat/scale/message_counters.py
+++ b/glencleat/scale/message_counters.py
@@ -26,7 +26,7 @@
 def wire_size(message: m.PlatformMessage) -> int:
     """Bytes of a message on the wire.
 
-    >>> wire_size(m.Message(m.TESTED, 7, {m.CAUSE: b"x"}))
+    >>> wire_size(m.PlatformMessage(m.TESTED, 7, {m.CAUSE: b"x"}))
     15
     """
     return m.HEAD.size + sum(m.PARAMETER.size + len(raw) for raw in message.parameters.values())
@@ -35,7 +35,7 @@
 class MessageCounters:
     """Counts by allocator: `3 in release` are messages of allocator 3, `3 in release bytes` their bytes.
 
-    >>> tally = Tally()
+    >>> tally = MessageCounters()
     >>> tally.sent(0, m.encode(m.RELEASE_HEARD, 5))
     >>> tally.counts
     Counter({'0 out release heard bytes': 11, '0 out release heard': 1})
--- a/glencleat/scale/owners.py
+++ b/glencleat/scale/owners.py
@@ -25,7 +25,7 @@
 class AnswerCheck:
     """What became of each request to one allocator; everything that may not be is counted by name.
 
-    >>> ledger = Ledger()
+    >>> ledger = AnswerCheck()
     >>> ledger.asked(1, 0.0); ledger.answered(1, 5.0); ledger.answered(1, 6.0); ledger.released(1, 16)
     >>> dict(ledger.ends), ledger.waits
     ({'asked': 1, 'placed': 1, 'second answer': 1, 'ended': 1}, [5.0])
