--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -20,10 +20,10 @@
 from benchmarks.cold_start import until
 from glencleat.checker.chance_bounds import count_busiest_window
 from glencleat.emulators.allocator_processes import AllocatorProcesses
-from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.platform_peers import LiveHost, LiveOwner
-from glencleat.emulators.proxy import Passed, Proxy
-from glencleat.emulators.proxy_faults import ProxyState, Weather
+from glencleat.emulators.channel import ChannelService, make_list_entry
+from glencleat.emulators.platform_peers import PlatformHost, PlatformOwner
+from glencleat.emulators.proxy import Proxy, ProxyEvent
+from glencleat.emulators.proxy_faults import FaultSchedule, ProxyState
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import READ
 
@@ -36,29 +36,29 @@
 def serve_hosts(pipe: Connection, names: list[str]) -> None:
     """A process of hosts: tells their ports, and at the end what each heard at most."""
     loop = Loop()
-    hosts = [LiveHost(loop, name, LIFE_MS) for name in names]
+    hosts = [PlatformHost(loop, name, LIFE_MS) for name in names]
     pipe.send({host.name: host.port for host in hosts})
     over = [False]
     loop.poller.watch(pipe.fileno(), READ, lambda _: over.__setitem__(0, True))
     while not over[0]:
-        loop.round()
+        loop.run_once()
     warm = pipe.recv() + COLD_MS  # when they started, on the monotonic clock that processes share
     found = []
     for host in hosts:
-        cold = [at for at, _ in host.got if at < warm]
+        cold = [at for at, _ in host.received_setups if at < warm]
         found.append(
             (
-                len(host.got),
+                len(host.received_setups),
                 count_busiest_window(cold, WINDOW_MS),
-                len(host.taken),
-                count_busiest_window(host.taken, 1e3),
+                len(host.accept_times),
+                count_busiest_window(host.accept_times, 1e3),
             )
         )
     pipe.send(found)
 
 
 def play(folder: Path, count: int, size: int, rate: float, seconds: float) -> dict[str, float]:
-    loop, record = Loop(), list[Passed]()
+    loop, record = Loop(), list[ProxyEvent]()
     spawn = multiprocessing.get_context("spawn")
     names = [f"h{i}" for i in range(size)]
     pipes, children = [], []
@@ -71,20 +71,22 @@
     try:
         ports = {name: port for pipe in pipes for name, port in pipe.recv().items()}
         started, now = loop.now(), loop.clock.wall()
-        service = ChannelService(loop, [entry(name, ports[name], started_ms=int(now)) for name in names])
-        relay = Proxy(loop, "list", service.address, Weather(ProxyState()), 1, record.append)
-        with AllocatorProcesses(folder, count, seed=11, sockets=SOCKETS) as nodes:
+        service = ChannelService(
+            loop, [make_list_entry(name, ports[name], started_ms=int(now)) for name in names]
+        )
+        relay = Proxy(loop, "list", service.address, FaultSchedule(ProxyState()), 1, record.append)
+        with AllocatorProcesses(folder, count, seed=11, max_sockets=SOCKETS) as nodes:
             for i in range(count):
-                nodes.configure(i, relay.address, service.known(), rules=RULES, domain=DOMAIN)
+                nodes.configure(i, relay.address, service.take_snapshot(), rules=RULES, domain=DOMAIN)
             began = loop.now()
             for i in range(count):
                 nodes.start(i)
-            owners, ready = dict[int, LiveOwner](), dict[int, float]()
+            owners, ready = dict[int, PlatformOwner](), dict[int, float]()
 
             def all_up() -> bool:
-                for i in [i for i in range(count) if i not in ready and nodes.ready(i)]:
+                for i in [i for i in range(count) if i not in ready and nodes.listen_address(i)]:
                     ready[i] = loop.now() - began
-                    owners[i] = LiveOwner(loop, nodes.ready(i), rate, i + 1)
+                    owners[i] = PlatformOwner(loop, nodes.listen_address(i), rate, i + 1)
                 return len(ready) == count
 
             if not until(loop, all_up, 120_000.0):
@@ -92,11 +94,11 @@
             end = began + max(ready.values()) + 1e3 * seconds
             until(loop, lambda: loop.now() > end, 2e3 * seconds + 60_000.0)
             for owner in owners.values():
-                owner.going = False
-            until(loop, lambda: not any(owner.asked for owner in owners.values()), 10_000.0)
-            ends = sum((owner.ends for owner in owners.values()), Counter[str]())
-            unanswered = sum(len(owner.asked) for owner in owners.values())
-            waits = [wait for owner in owners.values() for _, wait in owner.waits]
+                owner.is_running = False
+            until(loop, lambda: not any(owner.requested_at_by_task for owner in owners.values()), 10_000.0)
+            ends = sum((owner.outcome_counts for owner in owners.values()), Counter[str]())
+            unanswered = sum(len(owner.requested_at_by_task) for owner in owners.values())
+            waits = [wait for owner in owners.values() for _, wait in owner.request_latencies]
             memory = max(nodes.resident_mb(i) for i in range(count))
         for pipe in pipes:
             pipe.send(started)
--- a/benchmarks/cold_hosts.py
+++ b/benchmarks/cold_hosts.py
@@ -17,8 +17,8 @@
 from benchmarks.cold_start import start_all, until
 from glencleat.checker.chance_bounds import count_busiest_window
 from glencleat.emulators.allocator_processes import AllocatorProcesses
-from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.platform_peers import LiveHost, LiveOwner
+from glencleat.emulators.channel import ChannelService, make_list_entry
+from glencleat.emulators.platform_peers import PlatformHost, PlatformOwner
 from glencleat.event_loop import Loop
 
 CALM_MS, AWAY_MS, AFTER_MS = 6_000.0, 4_000.0, 6_000.0
@@ -26,53 +26,57 @@
 OURS = 15_000  # descriptors for the connections of all allocators in this process
 
 
-def busiest_host(hosts: list[LiveHost], since: float, to: float, window: float) -> int:
+def busiest_host(hosts: list[PlatformHost], since: float, to: float, window: float) -> int:
     """Connections that one host took within `window` milliseconds, of the host and the time with most."""
-    return max(count_busiest_window([at for at in host.taken if since <= at < to], window) for host in hosts)
+    return max(
+        count_busiest_window([at for at in host.accept_times if since <= at < to], window) for host in hosts
+    )
 
 
 def play(folder: Path, count: int, tree: Path | None, rate: float, size: int) -> dict[str, float]:
     loop = Loop()
-    hosts = [LiveHost(loop, f"h{i}", LIFE_MS) for i in range(size)]
-    service = ChannelService(loop, [entry(host.name, host.port) for host in hosts])
-    with AllocatorProcesses(folder, count, seed=11, sockets=min(512, OURS // count), tree=tree) as nodes:
+    hosts = [PlatformHost(loop, f"h{i}", LIFE_MS) for i in range(size)]
+    service = ChannelService(loop, [make_list_entry(host.name, host.port) for host in hosts])
+    with AllocatorProcesses(
+        folder, count, seed=11, max_sockets=min(512, OURS // count), checkout=tree
+    ) as nodes:
         start_all(loop, nodes, service.address, service)
-        owners = [LiveOwner(loop, nodes.ready(i), rate, i + 1) for i in range(count)]
+        owners = [PlatformOwner(loop, nodes.listen_address(i), rate, i + 1) for i in range(count)]
         begun = loop.now()
         until(loop, lambda: loop.now() > begun + CALM_MS, 10.0 * CALM_MS)
         away = loop.now()
         for host in hosts:
-            host.go()
+            host.go_offline()
         until(loop, lambda: loop.now() > away + AWAY_MS, 10.0 * AWAY_MS)
         back = loop.now()
         for host in hosts:
-            host.back()
+            host.go_online()
         until(loop, lambda: loop.now() > back + AFTER_MS, 10.0 * AFTER_MS)
         end = loop.now()
         for owner in owners:
-            owner.going = False
-        until(loop, lambda: not any(owner.asked for owner in owners), 10_000.0)
-        lost = sum(len(owner.asked) for owner in owners)
+            owner.is_running = False
+        until(loop, lambda: not any(owner.requested_at_by_task for owner in owners), 10_000.0)
+        lost = sum(len(owner.requested_at_by_task) for owner in owners)
     waits = {False: [], True: []}
     for owner in owners:
-        for at, wait in owner.waits:
+        for at, wait in owner.request_latencies:
             waits[at >= away].append(wait)
     seconds = (back - away) / 1e3
     found = {
         "calm: busiest host, 1 s": busiest_host(hosts, begun, away, 1e3),
-        "away: a second, all hosts": sum(away <= at < back for h in hosts for at in h.taken) / seconds,
+        "away: a second, all hosts": sum(away <= at < back for h in hosts for at in h.accept_times) / seconds,
         "away: busiest host, 1 s": busiest_host(hosts, away, back, 1e3),
         "away: busiest host, 0.1 s": busiest_host(hosts, away, back, 100.0),
         "back: busiest host, 1 s": busiest_host(hosts, back, end, 1e3),
-        "asked": sum(owner.ends["asked"] for owner in owners),
-        "placed": sum(owner.ends["placed"] for owner in owners),
-        "turned away": sum(owner.ends["turned away"] for owner in owners),
+        "asked": sum(owner.outcome_counts["asked"] for owner in owners),
+        "placed": sum(owner.outcome_counts["placed"] for owner in owners),
+        "turned away": sum(owner.outcome_counts["turned away"] for owner in owners),
         "no answer": lost,
         "p99 calm, ms": float(np.percentile(waits[False], 99)) if waits[False] else float("nan"),
         "p99 from the reset on, ms": float(np.percentile(waits[True], 99)) if waits[True] else float("nan"),
     }
     for party in (*owners, *hosts):
-        party.end()
+        party.close()
     service.close()
     until(loop, lambda: not any(host.streams for host in hosts), 5_000.0)
     return found
--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from glencleat.flow_control.backoff import LIST, Backoff
+from glencleat.flow_control.backoff import MACHINE_LIST_BACKOFF, Backoff
 
 DOWN_MS, SLOT_MS, FIXED_MS, MOST_MS = 10_000.0, 100.0, 100.0, 120_000.0
 
@@ -47,7 +47,7 @@
 
 
 def asking(i: int) -> Callable[[], float]:
-    return Backoff(LIST, Random(i)).again
+    return Backoff(MACHINE_LIST_BACKOFF, Random(i)).next_delay_ms
 
 
 def fixed(i: int) -> Callable[[], float]:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -14,9 +14,9 @@
 
 from glencleat.checker.chance_bounds import count_busiest_window
 from glencleat.emulators.allocator_processes import AllocatorProcesses
-from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.proxy import Passed, Proxy
-from glencleat.emulators.proxy_faults import Door, ProxyFault, ProxyState, Weather
+from glencleat.emulators.channel import ChannelService, make_list_entry
+from glencleat.emulators.proxy import Proxy, ProxyEvent
+from glencleat.emulators.proxy_faults import AcceptMode, FaultSchedule, ProxyFault, ProxyState
 from glencleat.event_loop import Loop
 
 DOWN_MS, AFTER_MS, START_MS, BACK_MS = 10_000.0, 3_000.0, 240_000.0, 10_000.0
@@ -29,7 +29,7 @@
         if loop.now() > end:
             return False
         loop.call_in(50.0, lambda: None)
-        loop.round()
+        loop.run_once()
     return True
 
 
@@ -40,22 +40,22 @@
 
     Returns when all listen."""
     for i in range(nodes.count):
-        nodes.configure(i, place, service.known())
+        nodes.configure(i, place, service.take_snapshot())
     for i in range(nodes.count):
         nodes.start(i)
     started = loop.now()
-    if not until(loop, lambda: all(nodes.ready(i) for i in range(nodes.count)), START_MS):
+    if not until(loop, lambda: all(nodes.listen_address(i) for i in range(nodes.count)), START_MS):
         raise click.ClickException("not all became ready")
     return started
 
 
 def play(folder: Path, count: int, tree: Path | None) -> dict[str, float]:
-    loop, record = Loop(), list[Passed]()
-    service = ChannelService(loop, [entry(f"h{i}") for i in range(400)])
-    weather = Weather(ProxyState(), [ProxyFault(0.0, float("inf"), {"door": Door.CLOSES})])
+    loop, record = Loop(), list[ProxyEvent]()
+    service = ChannelService(loop, [make_list_entry(f"h{i}") for i in range(400)])
+    weather = FaultSchedule(ProxyState(), [ProxyFault(0.0, float("inf"), {"door": AcceptMode.REFUSE})])
     relay = Proxy(loop, "list", service.address, weather, 1, record.append)
-    with AllocatorProcesses(folder, count, seed=11, tree=tree) as nodes:
-        first = start_all(loop, nodes, relay.address, service) - relay.began
+    with AllocatorProcesses(folder, count, seed=11, checkout=tree) as nodes:
+        first = start_all(loop, nodes, relay.address, service) - relay.started_at
         ready = relay.now()
         until(loop, lambda: relay.now() > ready + DOWN_MS, 2.0 * DOWN_MS)
         well = relay.now()
--- a/benchmarks/due_index.py
+++ b/benchmarks/due_index.py
@@ -21,8 +21,8 @@
 
 from benchmarks.common import cpu_s, machine, rows_of, rss_mb
 from glencleat.emulators.allocator_processes import AllocatorProcesses
-from glencleat.emulators.channel import ChannelService, entry
-from glencleat.emulators.platform_peers import LiveHost
+from glencleat.emulators.channel import ChannelService, make_list_entry
+from glencleat.emulators.platform_peers import PlatformHost
 from glencleat.event_loop import Loop, Timer, TimerWheel, connect
 from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol import messages as m
@@ -88,8 +88,8 @@
 
     def pop_due(self, now: float) -> list[int]:
         for timer in self.wheel.pop_due(now):
-            if timer.call is not None:
-                timer.call()
+            if timer.callback is not None:
+                timer.callback()
         found, self.found = self.found, []
         for key in found:
             del self.timers[key]
@@ -134,25 +134,25 @@
 
     def __init__(self, folder: Path, tree: Path | None, hosts: int, live: int) -> None:
         self.loop = Loop()
-        self.hosts = [LiveHost(self.loop, f"h{i}", 1e9) for i in range(live)]
-        self.entries = [entry(host.name, host.port) for host in self.hosts]
+        self.hosts = [PlatformHost(self.loop, f"h{i}", 1e9) for i in range(live)]
+        self.entries = [make_list_entry(host.name, host.port) for host in self.hosts]
         free = (port for port in range(1_000, 65_536) if port not in {host.port for host in self.hosts})
-        self.entries += [entry(f"h{i}", next(free)) for i in range(live, hosts)]
+        self.entries += [make_list_entry(f"h{i}", next(free)) for i in range(live, hosts)]
         self.service = ChannelService(self.loop, self.entries)
-        self.nodes = AllocatorProcesses(folder, 1, seed=3, sockets=8_000, tree=tree)
-        self.nodes.configure(0, self.service.address, self.service.known())
+        self.nodes = AllocatorProcesses(folder, 1, seed=3, max_sockets=8_000, checkout=tree)
+        self.nodes.configure(0, self.service.address, self.service.take_snapshot())
         self.nodes.start(0)
-        self.until(lambda: self.nodes.ready(0) and self.service.streams)
-        self.pid = self.nodes.children[0].pid
+        self.until(lambda: self.nodes.listen_address(0) and self.service.streams)
+        self.pid = self.nodes.processes_by_number[0].pid
         self.wait(2.0)
 
     def until(self, done: Callable[[], object]) -> None:
         end = self.loop.now() + 60_000.0
         while not done():
             if self.loop.now() > end:
-                raise TimeoutError(self.nodes.log(0).read_text()[-500:])
+                raise TimeoutError(self.nodes.log_path(0).read_text()[-500:])
             self.loop.call_in(20.0, lambda: None)
-            self.loop.round()
+            self.loop.run_once()
 
     def wait(self, seconds: float) -> None:
         end = self.loop.now() + 1e3 * seconds
@@ -170,11 +170,11 @@
         line = msgspec.json.encode({"cursor": number, "nodes": nodes}) + b"\n"
         self.service.events.append(line)
         for stream in self.service.streams:
-            stream.put(line)
+            stream.try_send(line)
 
     def adopt(self, tasks: int) -> None:
         """So many stand, on the live hosts in turns."""
-        loop, at = self.loop, self.nodes.ready(0)
+        loop, at = self.loop, self.nodes.listen_address(0)
         assert at is not None
 
         def tell():
@@ -184,22 +184,22 @@
                 extras = f"cores:0.1;memory:0.1;service:s1;at:{host}"
                 told = {
                     m.CLASS: "safe",
-                    m.WAIT: "8000",
+                    m.TIMEOUT: "8000",
                     m.NAME: f"t{task}",
                     m.EXTRAS: extras,
                     m.DESCRIPTION: "d",
                 }
-                stream.put(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
+                stream.try_send(m.encode(m.SETUP, task, {code: text.encode() for code, text in told.items()}))
             while True:
                 yield from stream.read()
 
         loop.spawn(tell(), "owner")
 
     def close(self) -> None:
-        self.nodes.end(0)
+        self.nodes.kill(0)
         self.service.close()
         for host in self.hosts:
-            host.end()
+            host.close()
 
 
 def node(trees: dict[str, Path | None]) -> None:
@@ -213,14 +213,14 @@
                     before = cpu_s(rig.pid)
                     for i in range(EVENTS):
                         one = rig.entries[i % hosts]
-                        rig.service.tell([{**one, "lifecycle": "DRAINING" if i % 2 else "SERVING"}])
+                        rig.service.publish([{**one, "lifecycle": "DRAINING" if i % 2 else "SERVING"}])
                         rig.wait(0.03)
                     rig.wait(1.0)
                     event = (cpu_s(rig.pid) - before - idle * (0.03 * EVENTS + 1.0)) / EVENTS
                     rig.whole()
                     reset = rig.spent(2.0) - 2.0 * idle
                     many = rig.entries[: hosts // 7]
-                    rig.service.tell([{**one, "lifecycle": "DELETED"} for one in many])
+                    rig.service.publish([{**one, "lifecycle": "DELETED"} for one in many])
                     gone = rig.spent(2.0) - 2.0 * idle
                     rows.append([f"{hosts:,}", name, f"{100 * idle:.1f}%", f"{1e3 * event:.2f} ms",
                                  f"{reset:.2f} s", f"{len(many)}: {gone:.2f} s", f"{rss_mb(rig.pid):.0f} MB"])  # fmt: skip
@@ -249,9 +249,9 @@
                 try:
                     rig.adopt(tasks)
                     rig.wait(8.0)
-                    taken = sum(len(host.taken) for host in rig.hosts)
+                    taken = sum(len(host.accept_times) for host in rig.hosts)
                     spent = rig.spent(IDLE_S) / IDLE_S
-                    rate = (sum(len(host.taken) for host in rig.hosts) - taken) / IDLE_S
+                    rate = (sum(len(host.accept_times) for host in rig.hosts) - taken) / IDLE_S
                     rows.append(
                         [f"{hosts:,}", f"{tasks:,} on {live:,}", name, f"{rate:,.0f}", f"{100 * spent:.1f}%"]
                     )
--- a/benchmarks/order_index.py
+++ b/benchmarks/order_index.py
@@ -15,7 +15,7 @@
 
 from benchmarks.common import machine, rows_of
 from glencleat import interface as api
-from glencleat.index.rendezvous import RendezvousIndex, hashed
+from glencleat.index.rendezvous import RendezvousIndex, hash_text
 from glencleat.policy.scheduler import Scheduler
 
 SERVICES, TASKS, PEERS = 100, 2_050, 20
@@ -25,7 +25,7 @@
     __slots__ = ("hash", "name")
 
     def __init__(self, name):
-        self.name, self.hash = name, hashed(name)
+        self.name, self.hash = name, hash_text(name)
 
 
 def cpu_us(call, times):
@@ -43,9 +43,9 @@
     """An order of the items, and the number of one that is not there."""
     members = RendezvousIndex(10**7, 10)
     for item in items:
-        members.put(item, True)
-    number = members.slots.number(new)
-    return members.order("service"), number
+        members.set_present(item, True)
+    number = members.slots.assign_number(new)
+    return members.get_order("service"), number
 
 
 def structures(size):
@@ -62,10 +62,10 @@
             2,
         ),
     )
-    plain = sorted(items, key=order.key_of)
+    plain = sorted(items, key=order.item_sort_key)
 
     def by_bisect():
-        insort(plain, new, key=order.key_of)
+        insort(plain, new, key=order.item_sort_key)
         plain.remove(new)
 
     yield (
@@ -73,32 +73,32 @@
         (
             cpu_us(by_bisect, 50) / 2,
             cpu_us(lambda: [plain[i] for i in positions], 200),
-            cpu_us(lambda: sorted(items, key=order.key_of), 3),
+            cpu_us(lambda: sorted(items, key=order.item_sort_key), 3),
             8,
         ),
     )
-    tree = SortedKeyList(items, key=order.key_of)
+    tree = SortedKeyList(items, key=order.item_sort_key)
     yield (
         "sortedcontainers.SortedKeyList",
         (
             cpu_us(lambda: (tree.add(new), tree.remove(new)), 200) / 2,
             cpu_us(lambda: [tree[i] for i in positions], 200),
-            cpu_us(lambda: SortedKeyList(items, key=order.key_of), 3),
+            cpu_us(lambda: SortedKeyList(items, key=order.item_sort_key), 3),
             16 + sys.getsizeof((1, 2)) + sys.getsizeof(2**63),
         ),
     )
-    anew = cpu_us(lambda: sorted(items, key=order.key_of), 3)
+    anew = cpu_us(lambda: sorted(items, key=order.item_sort_key), 3)
     at = cpu_us(lambda: [plain[i] for i in positions], 200)
     yield "sorted anew at a change (as it was)", (anew, at, anew, 8)
-    first = cpu_us(lambda: heapq.nsmallest(32, items, key=order.key_of), 3)
+    first = cpu_us(lambda: heapq.nsmallest(32, items, key=order.item_sort_key), 3)
     yield "heap, the first 32 alone (has no other positions)", (first, float("nan"), first, 0)
 
 
 def constants(size):
-    """What a member in or out, a scan and a sort cost: their ratios are SCANNED and SORTED of the index."""
+    """What a member in or out, a scan and a sort cost: their ratios are SCANS_PER_INSERT and SORTS_PER_INSERT of the index."""
     order, number = kept([Item(f"h{i}") for i in range(size)], Item("new"))
     put = cpu_us(lambda: (order.insert(number), order.remove([number])), 200) / 2
-    keep = cpu_us(order.keep, 10)
+    keep = cpu_us(order.drop_absent, 10)
     sort = cpu_us(order.sort, 3)
     ratios = [f"{size * put / keep:.1f}", f"{size * put / sort:.1f}"]
     return [f"{size:,}", f"{put:.1f}", f"{keep:,.0f}", f"{sort:,.0f}", *ratios]
--- a/benchmarks/release_day.py
+++ b/benchmarks/release_day.py
@@ -14,7 +14,7 @@
 from benchmarks.common import cpu_s, rss_mb, table
 from glencleat.checker import invariants, report
 from glencleat.emulators.play import Play
-from glencleat.emulators.script import figures, load_campus, load_script
+from glencleat.emulators.script import load_script, load_shared_config, make_rule_parameters
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 SCRIPT = """
@@ -44,7 +44,7 @@
     def __init__(self, process) -> None:
         url = f"http://{process.metrics[0]}:{process.metrics[1]}/metrics"
         text = urllib.request.urlopen(url, timeout=10).read().decode()
-        pid = process.child.pid
+        pid = process.process.pid
         self.cpu, self.memory = cpu_s(pid), rss_mb(pid)
         self.module = metric(text, "glencleat_module_cpu_seconds_total")
         self.taken = metric(text, "glencleat_tasks_taken_total")
@@ -60,14 +60,14 @@
         campus_file = folder / "campus.conf"
         short = (EXAMPLES / "campus-short.conf").read_text()
         campus_file.write_text(short.replace("heartbeat every 500ms", "heartbeat every 15s"))
-        campus = load_campus(campus_file)
+        campus = load_shared_config(campus_file)
         day = Play(load_script(folder / "day.conf"), campus_file, campus, folder)
         day.on_ready = lambda: before.update({p.name: Figures(p) for p in day.processes})
         day.on_settled = lambda: after.update({p.name: Figures(p) for p in day.processes})
         day.run()
         return (
             day.recorder.entries,
-            invariants.check_invariants(day.recorder.entries, figures(campus)),
+            invariants.check_invariants(day.recorder.entries, make_rule_parameters(campus)),
             before,
             after,
         )
--- a/benchmarks/rest_front.py
+++ b/benchmarks/rest_front.py
@@ -41,7 +41,7 @@
 def hosts(folder: str, part: str, agents: str) -> None:
     from glencleat.checker.trace import TraceRecorder
     from glencleat.emulators import standalone
-    from glencleat.emulators.script import load_campus, load_script
+    from glencleat.emulators.script import load_script, load_shared_config
     from glencleat.event_loop import Loop
 
     class Forgetful(TraceRecorder):
@@ -49,12 +49,12 @@
             return None
 
     loop, script = Loop(), load_script(Path(folder) / "day.conf")
-    made = standalone.hosts(
-        loop, Forgetful(loop.now), script, load_campus(Path(folder) / "campus.conf"), Random(5)
+    made = standalone.make_hosts(
+        loop, Forgetful(loop.now), script, load_shared_config(Path(folder) / "campus.conf"), Random(5)
     )
     host, _, port = agents.rpartition(":")
     for each in made[int(part) :: PARTS]:
-        each.allocators = {"a0": (host, int(port))}
+        each.allocator_addresses = {"a0": (host, int(port))}
         each.start(cold=False)
     loop.run()
 
@@ -219,7 +219,7 @@
 def places(rig: Rig, rate: float, seconds: float, tag: str) -> list[float]:
     """Milliseconds from ACCEPT to the update that says placed, of tasks of ten Scheduler API owners."""
     from glencleat.checker.trace import TraceRecorder
-    from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
+    from glencleat.emulators.owners import EmulatedOwner, OwnerJob, TaskTemplate
     from glencleat.event_loop import Loop
 
     loop = Loop()
@@ -228,10 +228,10 @@
     made = [
         EmulatedOwner(loop, recorder, f"{tag}-{i}", "firm", "a0", (host, int(port)), i) for i in range(10)
     ]
-    want = Want("pull-front", "safe", 8_000.0, ((0.5, 128.0),), (500.0, 1_000.0))
+    want = TaskTemplate("pull-front", "safe", 8_000.0, ((0.5, 128.0),), (500.0, 1_000.0))
 
     def asking():
-        while any(owner.offer is None for owner in made):
+        while any(owner.offer_id is None for owner in made):
             yield from loop.sleep(20.0)
         begun, number = loop.now(), 0
         while loop.now() < begun + 1_000.0 * seconds:
@@ -239,12 +239,12 @@
             yield from loop.sleep(max(0.0, due - loop.now()))
             number += 1
             service, life = f"pull-front-{number % 40}", random.uniform(500.0, 1_000.0)
-            made[number % 10].ask(OwnerJob(f"t{number}", want, service, 0.5, 128.0, life))
+            made[number % 10].request_task(OwnerJob(f"t{number}", want, service, 0.5, 128.0, life))
         yield from loop.sleep(1_500.0)
 
     loop.run_until(loop.spawn(asking(), "asking"))
     for owner in made:
-        owner.end()
+        owner.close()
     asked, found = {}, {}
     for entry in recorder.entries:
         if entry.kind == "asked":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -23,7 +23,7 @@
 from glencleat.scale import run_size as sizes
 from glencleat.scale.measure import MeasuredPhase
 from glencleat.scale.runs import Run, RunFailedError
-from glencleat.scale.worker_processes import StartError, WorkerFailedError
+from glencleat.scale.worker_processes import WorkerFailedError, WorkerStartError
 
 HERE = Path(__file__).parent.parent
 
@@ -47,18 +47,18 @@
     ends_at = time.monotonic() + size.limit_s
     try:
         for count in size.hosts:
-            sizes.check(size)
-            Run(size, count, tree, ends_at, found, lambda text: click.echo(text, err=True)).play()
+            sizes.check_size(size)
+            Run(size, count, tree, ends_at, found, lambda text: click.echo(text, err=True)).run()
     except KeyboardInterrupt:
         return 130, "interrupted"
     except sizes.RunSizeError as error:
         return 2, str(error)
-    except StartError as error:
-        return 2, f"{count} hosts need {sizes.needs(size, count).line()}; {error}"
+    except WorkerStartError as error:
+        return 2, f"{count} hosts need {sizes.compute_needs(size, count).describe()}; {error}"
     except (RunFailedError, WorkerFailedError, ProcessError, psutil.Error, OSError) as error:
         return 1, f"{type(error).__name__}: {error}"
     whole = [cost for phase in found if phase.name == "whole run" for cost in phase.allocators]
-    wrong = sum(report.wrong(cost.counts) for cost in whole)
+    wrong = sum(report.count_wrong(cost.counts) for cost in whole)
     if wrong:
         click.echo(f"scale: {wrong} requests or ends had not exactly one answer", err=True)
     return int(wrong > 0), ""
@@ -75,9 +75,9 @@
 def main(path: Path, checkout: Path | None, out: Path | None, name: str | None, beside: Path | None) -> None:
     """Plays the size in PATH and writes its results."""
     try:
-        size = sizes.read(path)
-        sizes.check(size)
-        earlier = {beside.stem: report.load(beside).phases} if beside is not None else {}
+        size = sizes.read_size(path)
+        sizes.check_size(size)
+        earlier = {beside.stem: report.load_results(beside).phases} if beside is not None else {}
     except (sizes.RunSizeError, report.ResultsError) as error:
         click.echo(f"scale: {error}", err=True)
         sys.exit(2)
@@ -85,14 +85,14 @@
     tree = (checkout or HERE).resolve()
     found: list[MeasuredPhase] = []
     code, why = play(size, tree, found)
-    results = report.Results(report.VERSION, why, machine(), commit(tree), size, found)
+    results = report.Results(report.RESULTS_VERSION, why, machine(), commit(tree), size, found)
     more: list[str] = []
     if size.hollow:
-        more += ["", "Hollow against real:", "", *compare.against(found)]
+        more += ["", "Hollow against real:", "", *compare.compare_hollow(found)]
     for label, phases in earlier.items():
         names = label, name or path.stem
-        more += ["", "Beside an earlier run:", "", *compare.beside(phases, found, names)]
-    for line in report.write(out or Path(size.out), name or path.stem, results, more, earlier):
+        more += ["", "Beside an earlier run:", "", *compare.compare_runs(phases, found, names)]
+    for line in report.write_results(out or Path(size.out), name or path.stem, results, more, earlier):
         click.echo(line)
     if why:
         click.echo(f"scale: partial: {why}", err=True)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -56,7 +56,7 @@
         yield from stream.open(m.encode(call))
         subscribed.append(stream)
         while True:
-            records = yield from stream.records()
+            records = yield from stream.read_records()
             if not records:
                 raise SystemExit("a session ended")
             beats[0] += sum(b'"HEARTBEAT"' in record for record in records)
--- a/benchmarks/slope_node.py
+++ b/benchmarks/slope_node.py
@@ -64,7 +64,7 @@
         self.loop, self.accepted, self.peers = Loop(), 0, peers
         self.open: set[Any] = set()
         self.sock = listen_on_loopback()
-        self.loop.poller.watch(self.sock.fileno(), READ, self._take, last=True)
+        self.loop.poller.watch(self.sock.fileno(), READ, self._take, is_deferred=True)
         self.port = self.sock.getsockname()[1]
         self.entries = [entry(i, port=self.port) for i in range(hosts)]
         self.service = ChannelService(self.loop, self.entries)
@@ -72,7 +72,7 @@
         channel = f"{self.service.address[0]}:{self.service.address[1]}"
         self.config.write_bytes(msgspec.json.encode({
             "name": "n0", "listen": "127.0.0.1:0", "seed": f"{seed:016x}", "limits": {"sockets": SOCKETS},
-            "channel": channel, "known": self.service.known(),
+            "channel": channel, "known": self.service.take_snapshot(),
             "settings": {**SETTINGS, "peers-total": peers, "position": 0},
         }))  # fmt: skip
         variables = {**os.environ, "ROUTER_CONFIG": str(self.config), "ROUTER_NAME": "n0"}
@@ -114,7 +114,7 @@
 
         self.loop.call_in(0.0, tick)
         while not over[0] and self.loop.now() < limit:
-            self.loop.round()
+            self.loop.run_once()
         return over[0]
 
     def rest(self, seconds: float) -> float:
@@ -177,16 +177,16 @@
 
         def each(entries: list[dict[str, Any]], phase: str) -> None:
             for told in entries:
-                one.service.tell([{**told, "lifecycle": phase}])
+                one.service.publish([{**told, "lifecycle": phase}])
 
         gone = one.entries[::ZONES]
         singles = [changed(1) for _ in range(EVENTS)]
-        found["node.event"] = extra(one, idle, lambda: [one.service.tell(t) for t in singles]) / EVENTS
+        found["node.event"] = extra(one, idle, lambda: [one.service.publish(t) for t in singles]) / EVENTS
         several = [changed(MANY) for _ in range(5)]
-        found["node.event_many"] = extra(one, idle, lambda: [one.service.tell(t) for t in several]) / 5
+        found["node.event_many"] = extra(one, idle, lambda: [one.service.publish(t) for t in several]) / 5
         drained = [{**told, "lifecycle": "DRAINING"} for told in gone]
-        found["node.zone_once"] = extra(one, idle, lambda: one.service.tell(drained))
-        found["node.zone_back"] = extra(one, idle, lambda: one.service.tell(gone))
+        found["node.zone_once"] = extra(one, idle, lambda: one.service.publish(drained))
+        found["node.zone_back"] = extra(one, idle, lambda: one.service.publish(gone))
         found["node.zone_each"] = extra(one, idle, lambda: each(gone, "DELETED"))
         found["node.resident_after"] = resident(one.pid)
     return found
@@ -206,9 +206,9 @@
             for task in range(tasks):
                 name = one.entries[task * 7919 % hosts]["instanceId"]
                 extras = f"cores:0.25;memory:0.5;service:service-{task % services};at:{name}".encode()
-                told = {m.CLASS: b"safe", m.WAIT: b"8000", m.NAME: b"%016x" % task, m.EXTRAS: extras,
+                told = {m.CLASS: b"safe", m.TIMEOUT: b"8000", m.NAME: b"%016x" % task, m.EXTRAS: extras,
                         m.DESCRIPTION: b"v" * 60}  # fmt: skip
-                stream.put(m.encode(m.SETUP, 1 + task, told))
+                stream.try_send(m.encode(m.SETUP, 1 + task, told))
             while (yield from stream.read()):
                 pass
 
--- a/benchmarks/slope_worker.py
+++ b/benchmarks/slope_worker.py
@@ -283,7 +283,7 @@
     from glencleat.platform_protocol import messages as m
 
     extras = b"cores:1;memory:2;service:00000000b4d65521"
-    named = {m.CLASS: b"batch", m.WAIT: b"1500", m.NAME: b"7f3a9c21e0b4d655"}
+    named = {m.CLASS: b"batch", m.TIMEOUT: b"1500", m.NAME: b"7f3a9c21e0b4d655"}
     key, described = {m.KEY: b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}, {m.DESCRIPTION: b"v" * 60}
     report = {m.REPORT: b"x0:12;x1:40;queue:3"}
     kinds = {
@@ -292,11 +292,11 @@
         "answer": (m.ANSWER, described),
         "refusal": (m.RELEASE, {m.CAUSE: b"\x22", m.TOPIC: b"no_cores", **report}),
         "release": (m.RELEASE, {m.CAUSE: b"\x10", **report}),
-        "heard": (m.RELEASE_HEARD, {}),
-        "note": (m.NOTE, {m.TOPIC: b"cores", m.VALUE: b"0.731"}),
-        "test": (m.TEST, {m.CAUSE: b"\x01"}),
-        "tested": (m.TESTED, {m.CAUSE: b"\x01", **report}),
-        "move": (m.MOVE, {}),
+        "heard": (m.RELEASE_COMPLETE, {}),
+        "note": (m.OBSERVATION, {m.TOPIC: b"cores", m.VALUE: b"0.731"}),
+        "test": (m.PROBE, {m.CAUSE: b"\x01"}),
+        "tested": (m.PROBE_ANSWER, {m.CAUSE: b"\x01", **report}),
+        "move": (m.MIGRATE, {}),
     }
     found: Figures = {}
     for name, (kind, parameters) in kinds.items():
--- a/benchmarks/watch_index.py
+++ b/benchmarks/watch_index.py
@@ -8,8 +8,8 @@
 from benchmarks.common import table
 from glencleat.rest import schema as s
 from glencleat.rest import watches
-from glencleat.rest.selector import matches, parse
-from glencleat.rest.version_store import Versions
+from glencleat.rest.selector import matches, parse_selector
+from glencleat.rest.version_store import VersionStore
 
 EVENTS, TASKS = 4_000, 20_000
 
@@ -31,13 +31,15 @@
     """Microseconds an event: each watcher's filter asked, and channels found by the index."""
     kinds = 1 if same else watchers
     random = Random(3)
-    told = Versions("e", {"k": EVENTS})
-    hub = watches.WatchChannels(watches.WatchLimits(watchers, watchers, lines=EVENTS), told.told)
+    told = VersionStore("e", {"k": EVENTS})
+    hub = watches.WatchChannels(
+        watches.WatchLimits(watchers, watchers, max_lines=EVENTS), told.format_version
+    )
     asked = []
     for i in range(watchers):
-        selector = parse(f".service=s{i % kinds},.state!=st2")
+        selector = parse_selector(f".service=s{i % kinds},.state!=st2")
         asked.append(selector)
-        hub.take(hub.join(("k", "t", selector), None, 0.0), 0.0)
+        hub.take_chunk(hub.add_watcher(("k", "t", selector), None, 0.0), 0.0)
     events = []
     for _ in range(EVENTS):
         number = random.randrange(10 * max(1, kinds))
@@ -47,7 +49,7 @@
     for event in some:
         for selector in asked:
             now = matches(selector, event.record.labels)
-            before = event.before is not None and matches(selector, event.before.labels)
+            before = event.previous is not None and matches(selector, event.previous.labels)
             hits += now or before
     plain = (time.perf_counter() - began) / len(some)
     began = time.perf_counter()
@@ -67,7 +69,7 @@
 def lists() -> list[list[str]]:
     """Milliseconds for a list of 20,000 resources in pages of 500, 100 changes between two pages."""
     random = Random(4)
-    told = Versions("e", {"k": 50_000})
+    told = VersionStore("e", {"k": 50_000})
     for i in range(TASKS):
         told.put("k", ("t", f"n{i:05}"), value("n", i), labels(i, 200))
 
@@ -91,7 +93,7 @@
     def by_copy(selector, after):
         if after is None:
             copied["all"] = [
-                (k, r) for k, r in told.kinds["k"].records.items() if matches(selector, r.labels)
+                (k, r) for k, r in told.stores_by_kind["k"].records.items() if matches(selector, r.labels)
             ]
         start = 0 if after is None else after
         part = copied["all"][start : start + 500]
@@ -99,11 +101,11 @@
 
     rows = []
     for text in ("", ".service=s7"):
-        selector = parse(text)
+        selector = parse_selector(text)
         version = told.number
 
         def by_versions(selector, after, version=version):
-            return told.page("k", version, selector, 500, after, "t")
+            return told.read_page("k", version, selector, 500, after, "t")
 
         plain, many = walk(selector, by_copy)
         made, same = walk(selector, by_versions)
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -17,43 +17,49 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    open_most: int = 100_000  # tasks without an answer, in all
-    open_each: int = 20_000  # of one framework
-    placed_most: int = 500_000  # calls that the module knows
+    max_open_tasks: int = 100_000  # tasks without an answer, in all
+    max_open_tasks_per_framework: int = 20_000  # of one framework
+    max_known_calls: int = 500_000  # calls that the module knows
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLoad:
-    open: int
-    open_here: int  # of the framework that asks
-    known: int
-    behind: bool  # the framework does not acknowledge its updates
-    ending: bool  # SIGTERM came
+    open_task_count: int
+    framework_open_task_count: int  # of the framework that asks
+    known_call_count: int
+    has_update_backlog: bool  # the framework does not acknowledge its updates
+    is_shutting_down: bool  # SIGTERM came
 
 
-def refuses(load: AdmissionLoad, limits: AdmissionLimits) -> str | None:
+def check_limits(load: AdmissionLoad, limits: AdmissionLimits) -> str | None:
     """Why a new task can't be taken now, or None."""
-    if load.ending:
+    if load.is_shutting_down:
         return "the allocator is shutting down"
-    if load.behind:
+    if load.has_update_backlog:
         return "too many of the framework's updates are unacknowledged"
-    if load.open_here >= limits.open_each:
-        return f"the framework has {load.open_here} tasks without an answer; at most {limits.open_each}"
-    if load.open >= limits.open_most:
-        return f"{load.open} tasks are without an answer; at most {limits.open_most}"
-    if load.known >= limits.placed_most:
-        return f"{load.known} tasks are placed; at most {limits.placed_most}"
+    if load.framework_open_task_count >= limits.max_open_tasks_per_framework:
+        return (
+            f"the framework has {load.framework_open_task_count} tasks without an answer;"
+            f" at most {limits.max_open_tasks_per_framework}"
+        )
+    if load.open_task_count >= limits.max_open_tasks:
+        return f"{load.open_task_count} tasks are without an answer; at most {limits.max_open_tasks}"
+    if load.known_call_count >= limits.max_known_calls:
+        return f"{load.known_call_count} tasks are placed; at most {limits.max_known_calls}"
     return None
 
 
-def repeats(before: Call | None) -> str | None:
+def classify_repeat(before: Call | None) -> str | None:
     """What a LAUNCH of a task that was here before is: the same ask again ("same"), a second start that must
     not be ("never"), or a new placing (None)."""
     if before is None:
         return None
-    if before.given is None or not before.over:
+    if before.final_answer is None or not before.is_closed:
         return "same"  # a client that lost its connection in mid-call and sends it again
-    if before.effect is api.Idempotency.NON_IDEMPOTENT and before.fate() is not ExecutionStatus.NEVER_RAN:
+    if (
+        before.idempotency is api.Idempotency.NON_IDEMPOTENT
+        and before.execution_status() is not ExecutionStatus.NEVER_RAN
+    ):
         return "never"
     return None
 
@@ -66,21 +72,27 @@
     the others by themselves, or bear them."""
 
     def __init__(self, ledger: CallTable) -> None:
-        self.ledger = ledger
+        self.call_table = ledger
 
-    def decide(self, asking: AdmissionRequest) -> AdmissionDecision | None:
+    def decide_admission(self, asking: AdmissionRequest) -> AdmissionDecision | None:
         if (
-            asking.effect is not api.Idempotency.NON_IDEMPOTENT
+            asking.idempotency is not api.Idempotency.NON_IDEMPOTENT
             or not asking.tenant
-            or not asking.ask.key_told
+            or not asking.task_request.has_explicit_key
         ):
             return None
-        before = self.ledger.keys.get((asking.tenant, asking.ask.key))
-        if before is None or (before.framework, before.task_id) == (asking.owner, asking.task_id):
+        before = self.call_table.calls_by_idempotency_key.get(
+            (asking.tenant, asking.task_request.idempotency_key)
+        )
+        if before is None or (before.framework_id, before.task_id) == (asking.framework_id, asking.task_id):
             return None
-        if before.given is not None and before.over and before.fate() is ExecutionStatus.NEVER_RAN:
+        if (
+            before.final_answer is not None
+            and before.is_closed
+            and before.execution_status() is ExecutionStatus.NEVER_RAN
+        ):
             return None
-        text = f"task {before.task_id} of {before.framework} has the same key and must not start twice"
+        text = f"task {before.task_id} of {before.framework_id} has the same key and must not start twice"
         return AdmissionDecision(
             status_mapping.StatusAnswer(
                 status_mapping.TaskState.ERROR,
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -65,8 +65,8 @@
         core = self.core
         agent, incarnation = split_executor_id(call.executor_id.value)
         reported = call.subscribe or m.SubscribeExecutor()
-        subscription = core.members.subscribe(agent, incarnation, session, core.now())
-        core.happened(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
+        subscription = core.membership.subscribe(agent, incarnation, session, core.now())
+        core.publish_event(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
         # An old stream that was still open may hold a LAUNCH which this incarnation has yet to read.
         is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
@@ -78,7 +78,7 @@
         self._compare_with_reported(agent, session, reported, is_list_complete=is_list_complete)
         for task in reported.unacknowledged_tasks:
             self._handle_listed_task(agent, task)
-        core.open_up()
+        core.open_gate_if_ready()
         return agent
 
     def _end_replaced_session(self, agent: str, session: SessionStream) -> None:
@@ -98,21 +98,21 @@
     def close_session(self, agent: str, session: SessionStream, why: str) -> None:
         """Handles the end of a session's connection."""
         core = self.core
-        if core.members.close_session(agent, session, core.now()):
-            core.happened(AgentStateChanged(agent, AgentState.AWAY.value))
+        if core.membership.close_session(agent, session, core.now()):
+            core.publish_event(AgentStateChanged(agent, AgentState.AWAY.value))
             core.log("agent away", agent=agent, why=why)
         self._resolve_lost_session(agent, session)
 
     def _resolve_lost_session(self, agent: str, session: SessionStream) -> None:
         """Decides about each attempt whose LAUNCH went to a session that ended."""
-        for attempt in self.core.ledger.at(agent):
-            if attempt.session is not session or attempt.back:
+        for attempt in self.core.call_table.attempts_at(agent):
+            if attempt.session is not session or attempt.is_concluded:
                 continue
             decision = delivery_status.decide_on_session_lost(
-                attempt.step, self.core.handed(attempt), attempt.call.effect
+                attempt.step, self.core.find_delivery_status(attempt), attempt.call.idempotency
             )
             if decision.action is DeliveryAction.CONCLUDE:
-                self.core.give_up(attempt, decision.outcome, decision.may_have_run)
+                self.core.fail_attempt(attempt, decision.outcome, decision.may_have_run)
 
     def _compare_with_reported(
         self, agent: str, session: SessionStream, reported: m.SubscribeExecutor, *, is_list_complete: bool
@@ -120,7 +120,7 @@
         """Compares the attempts of earlier sessions with the tasks and updates that the agent reports."""
         listed_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
         listed_ids |= {update.status.task_id.value for update in reported.unacknowledged_updates}
-        for attempt in self.core.ledger.at(agent):
+        for attempt in self.core.call_table.attempts_at(agent):
             if attempt.session is not session:
                 decision = delivery_status.decide_on_resubscribe(
                     attempt.step, is_listed=attempt.id in listed_ids, is_same_incarnation=is_list_complete
@@ -129,16 +129,16 @@
                     self._conclude_not_listed(attempt, decision)
 
     def _conclude_not_listed(self, attempt: Attempt, decision: delivery_status.DeliveryDecision) -> None:
-        if attempt.back:
+        if attempt.is_concluded:
             if decision.may_have_run:
                 attempt.step = AttemptStep.ENDED
             else:
-                attempt.ran = False
-            self.core.ledger.settle(attempt)
+                attempt.has_run = False
+            self.core.call_table.remove_from_machine(attempt)
         elif attempt.step is AttemptStep.DISPATCHED:
             if decision.may_have_run:
                 attempt.step = AttemptStep.ENDED
-            self.core.give_up(attempt, decision.outcome, decision.may_have_run)
+            self.core.fail_attempt(attempt, decision.outcome, decision.may_have_run)
         else:
             self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, decision.outcome), None)
 
@@ -146,16 +146,16 @@
 
     def _handle_listed_task(self, agent: str, task: m.TaskInfo) -> None:
         """A task that the agent holds: known, or placed by a former incarnation of this allocator."""
-        attempt = self.core.ledger.attempts.get(task.task_id.value)
+        attempt = self.core.call_table.attempts_by_id.get(task.task_id.value)
         if attempt is None:
             self.adoption.handle_unknown_task(agent, task)
-        elif not attempt.back:
+        elif not attempt.is_concluded:
             if attempt.step is AttemptStep.DISPATCHED:
                 self._record_accepted(attempt)
         elif attempt.step is not AttemptStep.ENDED:
             if attempt.step is AttemptStep.DISPATCHED:
                 attempt.step = AttemptStep.ACCEPTED
-            self.adoption.handle_late_acceptance(attempt, was_placed=attempt.placed)
+            self.adoption.handle_late_acceptance(attempt, was_placed=attempt.was_placed)
 
     # ---- status updates ----
 
@@ -166,27 +166,29 @@
         """
         core = self.core
         agent = self.record_heartbeat(executor_id)
-        payload = m.unpack(status.data) if status.data else None
-        attempt = core.ledger.attempts.get(status.task_id.value)
+        payload = m.decode_payload(status.data) if status.data else None
+        attempt = core.call_table.attempts_by_id.get(status.task_id.value)
         if status.uuid is not None:
             self._acknowledge(agent, status.task_id, status.uuid)
-        meaning = status_mapping.read_status(status.state, status.reason, m.label(status.labels, "cause"))
+        meaning = status_mapping.read_status(
+            status.state, status.reason, m.find_label(status.labels, "cause")
+        )
         if attempt is None or meaning is None or attempt.machine != agent:
-            core.figures.events["update unknown"] += 1
+            core.counters.counts_by_event["update unknown"] += 1
             return
-        if attempt.seen(status.uuid) or meaning.step.value <= attempt.step.value:
-            core.figures.events["update stale"] += 1  # a duplicate, or overtaken by a later one
+        if attempt.check_duplicate_update(status.uuid) or meaning.step.value <= attempt.step.value:
+            core.counters.counts_by_event["update stale"] += 1  # a duplicate, or overtaken by a later one
             return
         self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
 
     def _acknowledge(self, agent: str, task_id: m.Value, uuid: str) -> None:
-        session = self.core.members.session_of(agent)
+        session = self.core.membership.session_of(agent)
         if session is not None:
             acknowledged = m.Acknowledged(task_id, uuid)
             session.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=acknowledged)))
 
     def _apply_status(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
-        if attempt.back:
+        if attempt.is_concluded:
             self._apply_late_status(attempt, meaning)
             return
         if meaning.step is AttemptStep.ENDED and not meaning.may_have_run:
@@ -194,7 +196,7 @@
             return
         if attempt.step is AttemptStep.DISPATCHED:
             self._record_accepted(attempt)
-        if meaning.step is AttemptStep.RUNNING and not attempt.back:
+        if meaning.step is AttemptStep.RUNNING and not attempt.is_concluded:
             self._record_running(attempt)
         elif meaning.step is AttemptStep.ENDED:
             self._record_end(attempt, meaning, report)
@@ -203,31 +205,35 @@
         """Applies a status of an attempt that was concluded; reports what it settles to an owner in doubt."""
         # Not by its step: a late acceptance moves that on too, and its next status would pass for a placed
         # task's.
-        was_placed = attempt.placed
+        was_placed = attempt.was_placed
         call = attempt.call
         attempt.step = meaning.step
         if meaning.step is not AttemptStep.ENDED:
             self.adoption.handle_late_acceptance(attempt, was_placed=was_placed)
             return
         if not meaning.may_have_run:
-            attempt.ran = False
-        self.core.ledger.settle(attempt)
-        if self.core.ledger.task(call.framework, call.task_id) is not call:
+            attempt.has_run = False
+        self.core.call_table.remove_from_machine(attempt)
+        if self.core.call_table.find_call(call.framework_id, call.task_id) is not call:
             return  # it was asked for again since
-        if was_placed and call.given is FinalAnswer.SERVED and attempt is call.last():
-            self.core.told.status(call, status_mapping.end_answer(meaning.outcome, meaning.reason))
-        elif call.given is FinalAnswer.FAILED and call.fate() in SETTLED_STATUSES:
-            self.core.told.status(call, status_mapping.reconciliation_answer(call.fate()))
+        if was_placed and call.final_answer is FinalAnswer.PLACED and attempt is call.last_attempt():
+            self.core.status_reporter.report_status(
+                call, status_mapping.end_answer(meaning.outcome, meaning.reason)
+            )
+        elif call.final_answer is FinalAnswer.FAILED and call.execution_status() in SETTLED_STATUSES:
+            self.core.status_reporter.report_status(
+                call, status_mapping.reconciliation_answer(call.execution_status())
+            )
 
     def _record_rejected(
         self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None
     ) -> None:
         """The agent dropped the task: it is known not to have run."""
         attempt.step = AttemptStep.ENDED
-        attempt.ran = False
-        self.core.ledger.settle(attempt)
-        self.core.returned(
-            attempt, meaning.outcome, over=attempt.call.left, why=meaning.reason, report=report
+        attempt.has_run = False
+        self.core.call_table.remove_from_machine(attempt)
+        self.core.conclude_attempt(
+            attempt, meaning.outcome, over=attempt.call.is_cancelled, why=meaning.reason, report=report
         )
 
     def _record_accepted(self, attempt: Attempt) -> None:
@@ -236,26 +242,30 @@
         call = attempt.call
         core.stop_timer(attempt)
         attempt.step = AttemptStep.ACCEPTED
-        attempt.placed = True
-        spent_ms = max(0.0, core.now() - attempt.sent_at)
-        core.tell(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
-        core.answer(call, FinalAnswer.SERVED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
-        if call.left:
+        attempt.was_placed = True
+        spent_ms = max(0.0, core.now() - attempt.sent_at_ms)
+        core.dispatch_event(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
+        core.answer(call, FinalAnswer.PLACED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
+        if call.is_cancelled:
             core.kill(attempt)  # its owner cancelled it just as the machine accepted
 
     def _record_running(self, attempt: Attempt) -> None:
         call = attempt.call
         attempt.step = AttemptStep.RUNNING
-        self.core.tell(api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0))
-        if call.given is not None:
-            self.core.told.status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
+        self.core.dispatch_event(
+            api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
+        )
+        if call.final_answer is not None:
+            self.core.status_reporter.report_status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
 
     def _record_end(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
         """The end of a placed task."""
         attempt.step = AttemptStep.ENDED
-        self.core.ledger.settle(attempt)
-        self.core.returned(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
-        self.core.told.status(attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason))
+        self.core.call_table.remove_from_machine(attempt)
+        self.core.conclude_attempt(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
+        self.core.status_reporter.report_status(
+            attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason)
+        )
 
     # ---- messages ----
 
@@ -263,13 +273,13 @@
         """Handles a MESSAGE: an answer to a probe, and what tasks use; raises NotSubscribedError."""
         agent = self.record_heartbeat(executor_id)
         if payload.probe is not None:
-            self.core.probe_back(agent, payload.probe, to_load_report(payload))
+            self.core.conclude_probe(agent, payload.probe, to_load_report(payload))
         for use in payload.tasks:
             self._observe_task(agent, use, payload.memory_used)
 
     def _observe_task(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
-        attempt = self.core.ledger.attempts.get(use.task_id)
-        if attempt is None or attempt.back or attempt.machine != agent:
+        attempt = self.core.call_table.attempts_by_id.get(use.task_id)
+        if attempt is None or attempt.is_concluded or attempt.machine != agent:
             return
         if attempt.step is AttemptStep.DISPATCHED:
             return
@@ -281,7 +291,7 @@
         )
         for kind, value in observations:
             if value is not None:
-                self.core.tell(api.TaskObserved(attempt.call.number, agent, kind, value))
+                self.core.dispatch_event(api.TaskObserved(attempt.call.number, agent, kind, value))
 
     def record_heartbeat(self, executor_id: str) -> str:
         """Records a sign of life, which every call is, and returns the agent's id.
@@ -289,7 +299,7 @@
         Raises NotSubscribedError where the call is not of the incarnation that is subscribed.
         """
         agent, incarnation = split_executor_id(executor_id)
-        if not self.core.members.record_heartbeat(agent, incarnation, self.core.now()):
+        if not self.core.membership.record_heartbeat(agent, incarnation, self.core.now()):
             raise NotSubscribedError(executor_id)
         return agent
 
@@ -297,12 +307,12 @@
 
     def handle_lost_agent(self, agent: str) -> None:
         """Ends the placed tasks of an agent that was away for too long; whether they run is uncertain."""
-        for attempt in self.core.ledger.at(agent):
-            if attempt.back or attempt.step is AttemptStep.DISPATCHED:
+        for attempt in self.core.call_table.attempts_at(agent):
+            if attempt.is_concluded or attempt.step is AttemptStep.DISPATCHED:
                 continue
             call = attempt.call
-            self.core.returned(attempt, api.Outcome.LOST, over=True)
-            is_idempotent = call.effect is api.Idempotency.IDEMPOTENT
+            self.core.conclude_attempt(attempt, api.Outcome.LOST, over=True)
+            is_idempotent = call.idempotency is api.Idempotency.IDEMPOTENT
             retry_advice = RetryAdvice.HARMLESS if is_idempotent else RetryAdvice.RECONCILE
             answer = StatusAnswer(TaskState.UNREACHABLE, retry_advice, StatusReason.AGENT_REMOVED)
-            self.core.told.status(call, answer)
+            self.core.status_reporter.report_status(call, answer)
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -149,7 +149,7 @@
     was_placed: bool  # the attempt had been accepted in time; its agent was away and is back
     has_other_dispatched: bool = False  # another attempt of the task is dispatched
     has_other_placed: bool = False  # another attempt of the task is placed
-    is_owner_gone: bool = False  # the owner cancelled the task or is not known any more
+    is_framework_gone: bool = False  # the owner cancelled the task or is not known any more
 
 
 def decide_late_acceptance(case: LateAcceptanceCase) -> LateAcceptance:
@@ -160,7 +160,7 @@
     was away and is back. An owner that was answered `refused` asks again and must not find two; one that
     cancelled the task or is gone wants none.
     """
-    if case.has_other_dispatched or case.has_other_placed or case.is_owner_gone:
+    if case.has_other_dispatched or case.has_other_placed or case.is_framework_gone:
         return LateAcceptance.KILL
     if case.was_placed or case.answer is FinalAnswer.FAILED:
         return LateAcceptance.ADOPT
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -1,11 +1,12 @@
 """The seam between the core and its subsystems, one way each. Pure types; it imports no half of the core.
 
-Out: `Happened`, a typed list of what happened, to whoever subscribed (`Core.hear`). A subscriber is called in
-the middle of the core's work: it notes what it needs and returns; it never calls the core from there.
+Out: `DomainEvent`, a typed list of what happened, to whoever subscribed (`Core.add_listener`). A subscriber
+is called in the middle of the core's work: it notes what it needs and returns; it never calls the core from
+there.
 
-In: deciders, asked in their order before a task is told to the module (`Core.deciders`). The first that gives
-a Verdict turns the task away; the module is then never asked. And `Insider`, an owner that lives in this
-process, such as the REST front: its tasks pass through the same ledger, figures and answers."""
+In: deciders, asked in their order before a task is told to the module (`Core.admission_chain`). The first
+that gives a Verdict turns the task away; the module is then never asked. And `Insider`, an owner that lives
+in this process, such as the REST front: its tasks pass through the same ledger, figures and answers."""
 
 from __future__ import annotations
 
@@ -19,8 +20,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallTaken:
-    """A task was taken (or, `call.adopted`, found to run already)."""
+class CallAdded:
+    """A task was taken (or, `call.is_adopted`, found to run already)."""
 
     call: Call
 
@@ -38,7 +39,7 @@
 
     attempt: Attempt
     outcome: api.Outcome
-    why: api.OutcomeReason
+    outcome_reason: api.OutcomeReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +47,7 @@
     """The one final answer of a call."""
 
     call: Call
-    given: FinalAnswer
+    final_answer: FinalAnswer
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineListChanged:
-    news: api.MachineListUpdated
+    update: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,8 +84,8 @@
     """Asks are told to the module from here on."""
 
 
-Happened = (
-    CallTaken
+DomainEvent = (
+    CallAdded
     | AttemptSent
     | AttemptConcluded
     | CallAnswered
@@ -94,18 +95,18 @@
     | AgentStateChanged
     | PlacementOpened
 )
-Hear = Callable[[Happened], None]
+DomainEventListener = Callable[[DomainEvent], None]
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
     """A task that is about to be taken."""
 
-    owner: str  # framework id, or an insider's
+    framework_id: str  # framework id, or an insider's
     tenant: str | None
     task_id: str
-    effect: api.Idempotency
-    ask: TaskRequest
+    idempotency: api.Idempotency
+    task_request: TaskRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,13 +117,13 @@
     text: str
 
 
-Decider = Callable[[AdmissionRequest], AdmissionDecision | None]
+AdmissionCheck = Callable[[AdmissionRequest], AdmissionDecision | None]
 
 
-class InProcessOwner(Protocol):
+class InProcessFramework(Protocol):
     """Owners within the process whose ids begin with its prefix and a colon."""
 
     prefix: str
 
-    def wants(self, call: Call) -> bool:
+    def is_task_needed(self, call: Call) -> bool:
         """Whether somebody still stands behind the task."""
--- a/glencleat/allocator/endpoint_list.py
+++ b/glencleat/allocator/endpoint_list.py
@@ -40,8 +40,8 @@
 
 def compute_free_capacity(agent: m.Agent, resource: str) -> float:
     """What is not allocated of a resource; below 0 where the agent is overcommitted."""
-    total = m.scalar(agent.total_resources, resource) or 0.0
-    allocated = m.scalar(agent.allocated_resources, resource) or 0.0
+    total = m.sum_scalar(agent.total_resources, resource) or 0.0
+    allocated = m.sum_scalar(agent.allocated_resources, resource) or 0.0
     return total - allocated
 
 
--- a/glencleat/allocator/event_dispatcher.py
+++ b/glencleat/allocator/event_dispatcher.py
@@ -17,19 +17,19 @@
     def __init__(
         self, module: DecisionModule, now: Callable[[], float], act: Callable[[api.Action], None]
     ) -> None:
-        self.module, self.now, self.act = module, now, act
+        self.module, self.now, self.execute_action = module, now, act
         self.pending: deque[api.Event] = deque()
-        self.busy = False
+        self.is_dispatching = False
 
-    def tell(self, *events: api.Event) -> None:
+    def dispatch_event(self, *events: api.Event) -> None:
         """In order: what actions cause at once is told after them."""
         self.pending.extend(events)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.pending:
                 for action in self.module.handle(self.now(), self.pending.popleft()):
-                    self.act(action)
+                    self.execute_action(action)
         finally:
-            self.busy = False
+            self.is_dispatching = False
--- a/glencleat/allocator/framework_offers.py
+++ b/glencleat/allocator/framework_offers.py
@@ -24,7 +24,7 @@
     def send_if_due(self, framework: Framework, now_ms: float) -> None:
         """Sends an offer if one is due, and rescinds the oldest if too many stand."""
         core = self.core
-        if core.ending or not core.frameworks.wants_offer(framework, now_ms):
+        if core.is_shutting_down or not core.frameworks.is_offer_due(framework, now_ms):
             return
         self.last_offer_number += 1
         offer_id = f"{core.options.name}-{core.incarnation}-o{self.last_offer_number}"
@@ -46,17 +46,17 @@
             m.Value(framework.id),
             m.Value(core.options.pool),
             core.options.pool,
-            m.resources(cores, memory_mb),
+            m.make_resources(cores, memory_mb),
             [m.Attribute("zone", text=m.Text(core.settings.zone))],
         )
 
-    def use(self, framework: Framework, accept: m.Accept) -> bool:
+    def use_offers(self, framework: Framework, accept: m.Accept) -> bool:
         """Uses the offers of an ACCEPT; returns whether all are valid, and there is one."""
         core = self.core
         now_ms = core.now()
         used = [
             core.frameworks.use_offer(
-                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_again_ms
+                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_interval_ms
             )
             for offer_id in accept.offer_ids
         ]
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -11,7 +11,7 @@
 from glencleat.allocator.domain_events import (
     AdmissionDecision,
     AdmissionRequest,
-    CallTaken,
+    CallAdded,
     TaskStatusReported,
 )
 from glencleat.allocator.framework_offers import FrameworkOffers
@@ -85,7 +85,7 @@
     def teardown(self, framework: Framework, why: str) -> None:
         """Removes a framework: its tasks are cancelled, and nobody waits for their updates."""
         core = self.core
-        for call in core.ledger.of(framework.id):
+        for call in core.call_table.calls_of(framework.id):
             self.cancel(call)
         core.frameworks.remove(framework)
         session = framework.session
@@ -115,7 +115,7 @@
 
     def accept(self, framework: Framework, accept: m.Accept) -> None:
         """Handles an ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
-        has_valid_offers = self.offers.use(framework, accept)
+        has_valid_offers = self.offers.use_offers(framework, accept)
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
                 type_text = operation.type[:MAX_LOGGED_TYPE_CHARACTERS]
@@ -132,10 +132,10 @@
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
-        before = core.ledger.task(framework.id, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
-            if before.given is not None:
+        before = core.call_table.find_call(framework.id, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.counts_by_event["launch repeated"] += 1
+            if before.final_answer is not None:
                 self._send_reconciliation(framework, before.task_id, before)
             return
         decision = self._check_admission(
@@ -149,7 +149,7 @@
         try:
             request = read_task_request(
                 info,
-                core.classes,
+                core.classes_by_name,
                 default_class=core.options.default_class,
                 answer_margin_ms=core.options.answer_margin_ms,
             )
@@ -162,7 +162,7 @@
             self._reject_launch(framework, info, admitted.answer, admitted.text)
             return
         framework.open_task_count += 1
-        core.ask(admitted)
+        core.request_placement(admitted)
 
     def _check_admission(
         self, before: Call | None, *, open_task_count: int, has_update_backlog: bool
@@ -172,17 +172,17 @@
         `before` is the latest call of the same task, if there is one: no repeat that is still open or placed.
         """
         core = self.core
-        if admission.repeats(before) == "never" and before is not None:
-            answer = status_mapping.reconciliation_answer(before.fate())
+        if admission.classify_repeat(before) == "never" and before is not None:
+            answer = status_mapping.reconciliation_answer(before.execution_status())
             return AdmissionDecision(answer, "it may have run before")
         load = admission.AdmissionLoad(
-            open=core.ledger.open,
-            open_here=open_task_count,
-            known=len(core.ledger.calls),
-            behind=has_update_backlog,
-            ending=core.ending,
+            open_task_count=core.call_table.open_task_count,
+            framework_open_task_count=open_task_count,
+            known_call_count=len(core.call_table.active_calls_by_number),
+            has_update_backlog=has_update_backlog,
+            is_shutting_down=core.is_shutting_down,
         )
-        why = admission.refuses(load, core.options.limits)
+        why = admission.check_limits(load, core.options.limits)
         if why is None:
             return None
         return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
@@ -193,28 +193,34 @@
         """Takes a task as a new call, unless the admission chain decides against it."""
         core = self.core
         task_id = info.task_id.value
-        idempotency = core.classes[request.task_class].idempotency
-        decision = core.decide(
-            AdmissionRequest(owner=owner, tenant=tenant, task_id=task_id, effect=idempotency, ask=request)
+        idempotency = core.classes_by_name[request.task_class].idempotency
+        decision = core.decide_admission(
+            AdmissionRequest(
+                framework_id=owner,
+                tenant=tenant,
+                task_id=task_id,
+                idempotency=idempotency,
+                task_request=request,
+            )
         )
         if decision is not None:
             return decision
         call = Call(
-            number=next(core.numbers),
-            framework=owner,
+            number=next(core.call_numbers),
+            framework_id=owner,
             task_id=task_id,
             info=info,
-            ask=request,
-            effect=idempotency,
+            task_request=request,
+            idempotency=idempotency,
             tenant=tenant,
-            taken_at=core.now(),
+            received_at_ms=core.now(),
         )
-        core.ledger.take(call)
-        core.figures.take(request.task_class)
-        core.happened(CallTaken(call))
+        core.call_table.add_call(call)
+        core.counters.record_received(request.task_class)
+        core.publish_event(CallAdded(call))
         return call
 
-    def take_in_process(
+    def launch_in_process(
         self,
         owner: str,
         tenant: str,
@@ -237,9 +243,9 @@
 
         """
         core = self.core
-        before = core.ledger.task(owner, info.task_id.value)
-        if admission.repeats(before) == "same" and before is not None:
-            core.figures.events["launch repeated"] += 1
+        before = core.call_table.find_call(owner, info.task_id.value)
+        if admission.classify_repeat(before) == "same" and before is not None:
+            core.counters.counts_by_event["launch repeated"] += 1
             return before
         decision = self._check_admission(before, open_task_count=0, has_update_backlog=False)
         if decision is not None:
@@ -247,24 +253,26 @@
         admitted = self._admit(owner, tenant, info, request)
         if isinstance(admitted, Call):
             if pending_reasons is not None:
-                admitted.why = pending_reasons
-            core.ask(admitted)
+                admitted.pending_reasons = pending_reasons
+            core.request_placement(admitted)
         return admitted
 
     def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
         """Answers without a call: the module was never asked. Counted as taken, and as refused or failed."""
-        label = m.label(info.labels, "class")
-        task_class = label if label in self.core.classes else UNKNOWN_CLASS
+        label = m.find_label(info.labels, "class")
+        task_class = label if label in self.core.classes_by_name else UNKNOWN_CLASS
         is_harmless = answer.retry_advice is RetryAdvice.HARMLESS
-        self.core.figures.take(task_class)
-        self.core.figures.give(task_class, FinalAnswer.REFUSED if is_harmless else FinalAnswer.FAILED)
+        self.core.counters.record_received(task_class)
+        self.core.counters.record_answer(
+            task_class, FinalAnswer.REJECTED if is_harmless else FinalAnswer.FAILED
+        )
         self._send_status(framework, info.task_id.value, answer, text=text)
 
     # ---- cancellation ----
 
     def kill(self, framework: Framework, task_id: str) -> None:
         """Handles a KILL of a task."""
-        call = self.core.ledger.task(framework.id, task_id)
+        call = self.core.call_table.find_call(framework.id, task_id)
         if call is not None:
             self.cancel(call)
             return
@@ -274,33 +282,33 @@
     def cancel(self, call: Call) -> None:
         """The owner wants no more of the task; with an attempt dispatched, the answer waits for its end."""
         core = self.core
-        if call.over or call.left:
+        if call.is_closed or call.is_cancelled:
             return
-        attempt = call.out()
-        call.left = True
-        if call.told:
-            core.tell(api.CallAbandoned(call.number))
+        attempt = call.active_attempt()
+        call.is_cancelled = True
+        if call.is_placement_requested:
+            core.dispatch_event(api.CallAbandoned(call.number))
         if attempt is not None:
             core.kill(attempt)
-        elif call.given is None:
+        elif call.final_answer is None:
             self._answer_cancelled(call)
 
     def _answer_cancelled(self, call: Call) -> None:
-        if call.may_have_run() and call.effect is not api.Idempotency.IDEMPOTENT:
+        if call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT:
             self.core.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
         else:
             answer = StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS)
-            self.core.answer(call, FinalAnswer.REFUSED, answer)
+            self.core.answer(call, FinalAnswer.REJECTED, answer)
 
     # ---- updates ----
 
-    def status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
+    def report_status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
         """Reports a status of a call's task to its owner, if that is still known."""
-        self.core.happened(TaskStatusReported(call, answer, text))
+        self.core.publish_event(TaskStatusReported(call, answer, text))
         framework = self.core.framework_of(call)
         if framework is not None:
-            last = call.last()
-            is_placed = last is not None and call.given is FinalAnswer.SERVED
+            last = call.last_attempt()
+            is_placed = last is not None and call.final_answer is FinalAnswer.PLACED
             machine = last.machine if last is not None and is_placed else None
             self._send_status(framework, call.task_id, answer, machine=machine, text=text)
 
@@ -315,7 +323,7 @@
         is_acknowledged: bool = True,
     ) -> None:
         """Sends a status; it is stored and repeated until the framework acknowledges it, if it has to be."""
-        status = self.core.status(task_id, answer, machine, text, is_acknowledged)
+        status = self.core.build_status(task_id, answer, machine, text, is_acknowledged)
         self.core.frameworks.record_update(framework, status, self.core.now())
         self._send_update(framework, status)
 
@@ -325,7 +333,7 @@
     def acknowledge(self, framework: Framework, uuid: str) -> None:
         """Handles an ACKNOWLEDGE of an update."""
         if not self.core.frameworks.acknowledge(framework, uuid):
-            self.core.figures.events["acknowledge unknown"] += 1
+            self.core.counters.counts_by_event["acknowledge unknown"] += 1
 
     # ---- reconciliation ----
 
@@ -337,11 +345,11 @@
         machine = None
         if call is None:
             answer = status_mapping.reconciliation_answer(None)
-        elif call.given is None:
+        elif call.final_answer is None:
             answer = StatusAnswer(TaskState.STAGING, RetryAdvice.NEVER, StatusReason.RECONCILIATION)
         else:
-            last = call.last()
+            last = call.last_attempt()
             is_accepted = last is not None and last.step is AttemptStep.ACCEPTED
-            answer = status_mapping.reconciliation_answer(call.fate(), is_accepted=is_accepted)
-            machine = last.machine if last is not None and call.placed() else None
+            answer = status_mapping.reconciliation_answer(call.execution_status(), is_accepted=is_accepted)
+            machine = last.machine if last is not None and call.is_placed() else None
         self._send_status(framework, task_id, answer, machine=machine, is_acknowledged=False)
--- a/glencleat/allocator/frameworks.py
+++ b/glencleat/allocator/frameworks.py
@@ -185,7 +185,7 @@
 
     # ---- offers ----
 
-    def wants_offer(self, framework: Framework, now_ms: float) -> bool:
+    def is_offer_due(self, framework: Framework, now_ms: float) -> bool:
         """Whether an offer is due."""
         return (
             framework.session is not None
@@ -209,7 +209,7 @@
     def use_offer(self, framework: Framework, offer_id: str, now_ms: float, *, offer_again_ms: float) -> bool:
         """Records an ACCEPT of an offer; returns False if the offer is not valid.
 
-        It stays valid, and a fresh one follows after `offer_again_ms` for clients that take it as used up.
+        It stays valid, and a fresh one follows after `offer_interval_ms` for clients that take it as used up.
         """
         if offer_id not in framework.offered_at_ms_by_id:
             return False
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from glencleat.allocator.call_table import Call
-from glencleat.allocator.domain_events import Happened, PlacementOpened
+from glencleat.allocator.domain_events import DomainEvent, PlacementOpened
 from glencleat.allocator.frameworks import Framework
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
         self.questions_by_framework: dict[str, Questions] = {}
         self.waiting_count = 0
         self.is_scheduled = False
-        core.hear(self._on_domain_event)
+        core.add_listener(self._on_domain_event)
 
     def enqueue(self, framework: Framework, task_ids: Iterable[str]) -> None:
         """Adds a question for each of the tasks; for none, one for all that are placed."""
@@ -59,13 +59,13 @@
     def _add_question(self, questions: Questions, task_id: str) -> bool:
         """Adds a question; returns False, and counts it, where too many wait."""
         if self.waiting_count >= MAX_WAITING:
-            self.core.figures.events["reconcile turned away"] += 1
+            self.core.counters.counts_by_event["reconcile turned away"] += 1
             return False
         questions[task_id] = None
         self.waiting_count += 1
         return True
 
-    def _on_domain_event(self, event: Happened) -> None:
+    def _on_domain_event(self, event: DomainEvent) -> None:
         if isinstance(event, PlacementOpened):
             self._schedule()
 
@@ -76,7 +76,7 @@
 
     def _answer_turn(self) -> None:
         self.is_scheduled = False
-        if not self.core.opening.done:
+        if not self.core.startup_gate.is_open:
             return
         remaining = ANSWERS_PER_TURN
         while remaining > 0 and self.questions_by_framework:
@@ -102,14 +102,14 @@
             if task_id == ALL_TASKS:
                 self._enqueue_all_tasks(framework, questions)
                 continue
-            self.answer(framework, task_id, self.core.ledger.task(framework.id, task_id))
+            self.answer(framework, task_id, self.core.call_table.find_call(framework.id, task_id))
             count += 1
         return count
 
     def _enqueue_all_tasks(self, framework: Framework, questions: Questions) -> None:
-        for call in self.core.ledger.of(framework.id):
+        for call in self.core.call_table.calls_of(framework.id):
             if self.waiting_count >= MAX_WAITING:
-                self.core.figures.events["reconcile turned away"] += 1
+                self.core.counters.counts_by_event["reconcile turned away"] += 1
                 return
-            if call.placed() and not call.over and call.task_id not in questions:
+            if call.is_placed() and not call.is_closed and call.task_id not in questions:
                 self._add_question(questions, call.task_id)
--- a/glencleat/allocator/session_stream.py
+++ b/glencleat/allocator/session_stream.py
@@ -15,7 +15,7 @@
         """
         ...
 
-    def written(self) -> int:
+    def written_bytes(self) -> int:
         """How many bytes of the stream have been handed to the socket."""
         ...
 
--- a/glencleat/allocator/startup_gate.py
+++ b/glencleat/allocator/startup_gate.py
@@ -12,17 +12,19 @@
 
 class StartupGate:
     def __init__(self, started: float, least_ms: float, grace_ms: float) -> None:
-        self.started, self.least_ms, self.grace_ms = started, least_ms, grace_ms
-        self.done = False
+        self.started_at_ms, self.min_wait_ms, self.grace_ms = started, least_ms, grace_ms
+        self.is_open = False
 
-    def opens(self, now: float, listed: Iterable[str] | None, subscribed: Iterable[str]) -> bool:
+    def try_open(self, now: float, listed: Iterable[str] | None, subscribed: Iterable[str]) -> bool:
         """Whether asks may be told now; once open it stays so. `listed` is None before the first list.
 
         An empty list is no whole one: a directory that comes back empty would open everybody at once, to
         place by the right list before anything is known of what runs there."""
-        if not self.done:
-            waited = now - self.started
+        if not self.is_open:
+            waited = now - self.started_at_ms
             names = set(listed or ())
             whole = bool(names) and names <= set(subscribed)
-            self.done = waited >= self.least_ms and (whole or waited >= max(self.least_ms, self.grace_ms))
-        return self.done
+            self.is_open = waited >= self.min_wait_ms and (
+                whole or waited >= max(self.min_wait_ms, self.grace_ms)
+            )
+        return self.is_open
--- a/glencleat/allocator/task_adoption.py
+++ b/glencleat/allocator/task_adoption.py
@@ -9,7 +9,7 @@
 from glencleat.allocator import delivery_status, status_mapping
 from glencleat.allocator.call_table import Attempt, Call, FinalAnswer
 from glencleat.allocator.delivery_status import LateAcceptance, LateAcceptanceCase
-from glencleat.allocator.domain_events import CallTaken
+from glencleat.allocator.domain_events import CallAdded
 from glencleat.allocator.ports import CorePort
 from glencleat.allocator.status_mapping import AttemptStep
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
@@ -30,8 +30,8 @@
         except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
-        before = core.ledger.task(attempt.call.framework, attempt.call.task_id)
-        is_live_elsewhere = before is not None and (before.given is None or before.placed())
+        before = core.call_table.find_call(attempt.call.framework_id, attempt.call.task_id)
+        is_live_elsewhere = before is not None and (before.final_answer is None or before.is_placed())
         decision = delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere)
         if decision is LateAcceptance.KILL:
             core.kill(attempt)
@@ -41,66 +41,68 @@
     def _read_unknown_task(self, agent: str, task: m.TaskInfo) -> Attempt:
         """An attempt and its call, made from the labels of a LAUNCH; raises TaskRequestError."""
         core = self.core
-        framework = m.label(task.labels, "framework")
-        task_id = m.label(task.labels, "task")
+        framework = m.find_label(task.labels, "framework")
+        task_id = m.find_label(task.labels, "task")
         if framework is None or task_id is None:
             raise TaskRequestError("labels framework and task", "are missing")
-        request = read_task_request(task, core.classes, default_class=None, answer_margin_ms=0.0)
+        request = read_task_request(task, core.classes_by_name, default_class=None, answer_margin_ms=0.0)
         now_ms = core.now()
         call = Call(
             number=0,
-            framework=framework,
+            framework_id=framework,
             task_id=task_id,
             info=task,
-            ask=request,
-            effect=core.classes[request.task_class].idempotency,
-            tenant=m.label(task.labels, "tenant"),
-            taken_at=now_ms,
+            task_request=request,
+            idempotency=core.classes_by_name[request.task_class].idempotency,
+            tenant=m.find_label(task.labels, "tenant"),
+            received_at_ms=now_ms,
         )
         return Attempt(
             call=call,
             number=0,
             machine=agent,
             id=task.task_id.value,
-            sent_at=now_ms,
+            sent_at_ms=now_ms,
             step=AttemptStep.ACCEPTED,
         )
 
     def _adopt(self, attempt: Attempt, call: Call) -> None:
         """Makes a task that runs already a call of its own, which this allocator follows from here on."""
         core = self.core
-        call.number = next(core.numbers)
-        call.given = FinalAnswer.SERVED
-        call.adopted = True
+        call.number = next(core.call_numbers)
+        call.final_answer = FinalAnswer.PLACED
+        call.is_adopted = True
         call.attempts.clear()
         attempt.call = call
         attempt.number = 0
-        attempt.back = False
-        attempt.ran = None
-        attempt.placed = True
-        core.ledger.take(call)
-        core.ledger.bind(attempt)
-        core.figures.adopted[call.ask.task_class] += 1
-        core.happened(CallTaken(call))
-        core.tell_asked(call, 0.0, attempt.machine)
+        attempt.is_concluded = False
+        attempt.has_run = None
+        attempt.was_placed = True
+        core.call_table.add_call(call)
+        core.call_table.bind(attempt)
+        core.counters.adopted_by_class[call.task_request.task_class] += 1
+        core.publish_event(CallAdded(call))
+        core.dispatch_placement(call, 0.0, attempt.machine)
         is_accepted = attempt.step is AttemptStep.ACCEPTED
-        core.told.status(call, status_mapping.reconciliation_answer(attempt.fate(), is_accepted=is_accepted))
+        core.status_reporter.report_status(
+            call, status_mapping.reconciliation_answer(attempt.execution_status(), is_accepted=is_accepted)
+        )
 
     def handle_late_acceptance(self, attempt: Attempt, *, was_placed: bool) -> None:
         """An agent holds a task whose attempt was concluded."""
         core = self.core
         call = attempt.call
-        latest = core.ledger.task(call.framework, call.task_id) or call
-        is_latest_placed = latest.placed()
-        is_owner_gone = call.left or not core.wanted(call)
-        core.figures.events["late yes"] += 1
+        latest = core.call_table.find_call(call.framework_id, call.task_id) or call
+        is_latest_placed = latest.is_placed()
+        is_owner_gone = call.is_cancelled or not core.is_framework_known(call)
+        core.counters.counts_by_event["late yes"] += 1
         decision = delivery_status.decide_late_acceptance(
             LateAcceptanceCase(
-                answer=latest.given,
+                answer=latest.final_answer,
                 was_placed=was_placed,
-                has_other_dispatched=latest.out() is not None and not is_latest_placed,
+                has_other_dispatched=latest.active_attempt() is not None and not is_latest_placed,
                 has_other_placed=is_latest_placed,
-                is_owner_gone=is_owner_gone,
+                is_framework_gone=is_owner_gone,
             )
         )
         core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=decision.value)
@@ -108,18 +110,18 @@
             core.kill(attempt)
             return
         call.attempts.remove(attempt)
-        core.ledger.forget(latest)
+        core.call_table.forget(latest)
         self._adopt(attempt, self._copy_call(call))
 
     def _copy_call(self, call: Call) -> Call:
         """A fresh call of the same task, for an attempt that is adopted."""
         return Call(
             number=0,
-            framework=call.framework,
+            framework_id=call.framework_id,
             task_id=call.task_id,
             info=call.info,
-            ask=call.ask,
-            effect=call.effect,
+            task_request=call.task_request,
+            idempotency=call.idempotency,
             tenant=call.tenant,
-            taken_at=self.core.now(),
+            received_at_ms=self.core.now(),
         )
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -13,7 +13,7 @@
 from glencleat import interface as api
 from glencleat.allocator.call_table import TaskRequest
 from glencleat.allocator.errors import AllocatorError
-from glencleat.mesos.messages import TaskInfo, label, scalar
+from glencleat.mesos.messages import TaskInfo, find_label, sum_scalar
 
 MAX_TEXT_CHARACTERS = 256  # of an id, a service or a key
 MAX_QUOTED_CHARACTERS = 40  # of a wrong value, in the text of an error
@@ -34,7 +34,7 @@
 
 def read_duration_ms(info: TaskInfo, key: str) -> float | None:
     """A label with a time in milliseconds, None if it is absent; raises TaskRequestError."""
-    text = label(info.labels, key)
+    text = find_label(info.labels, key)
     if text is None:
         return None
     try:
@@ -49,7 +49,7 @@
 
 def read_resource(info: TaskInfo, name: str) -> float:
     """The amount of a resource that a task asks for; raises TaskRequestError."""
-    amount = scalar(info.resources, name)
+    amount = sum_scalar(info.resources, name)
     if amount is None or not math.isfinite(amount) or amount < 0.0:
         raise TaskRequestError(f"resource {name}", f"is {amount}; expected a SCALAR of 0 or more")
     return amount
@@ -57,7 +57,7 @@
 
 def read_text(info: TaskInfo, key: str, default: str) -> str:
     """A label with a text, or the default if it is absent or empty; raises TaskRequestError."""
-    text = label(info.labels, key) or default
+    text = find_label(info.labels, key) or default
     if len(text) > MAX_TEXT_CHARACTERS:
         raise TaskRequestError(
             f"label {key}", f"has {len(text)} characters; expected at most {MAX_TEXT_CHARACTERS}"
@@ -74,7 +74,7 @@
 def _read_task_class(
     info: TaskInfo, classes: Mapping[str, api.TaskClass], default_class: str | None
 ) -> api.TaskClass:
-    name = label(info.labels, "class") or default_class
+    name = find_label(info.labels, "class") or default_class
     if name is None or name not in classes:
         raise TaskRequestError("label class", f"is {name!r}; expected one of {', '.join(classes)}")
     return classes[name]
@@ -118,11 +118,11 @@
     return TaskRequest(
         task_class=task_class.name,
         service=read_text(info, "service", info.name or info.task_id.value),
-        key=read_text(info, "key", info.task_id.value),
+        idempotency_key=read_text(info, "key", info.task_id.value),
         cores=read_resource(info, "cpus"),
         memory=read_resource(info, "mem"),
-        left_ms=remaining_ms,
-        life_ms=read_duration_ms(info, "life_ms"),
-        again=label(info.labels, "again") == "true",
-        key_told=bool(label(info.labels, "key")),
+        remaining_ms=remaining_ms,
+        expected_run_ms=read_duration_ms(info, "life_ms"),
+        is_retry=find_label(info.labels, "again") == "true",
+        has_explicit_key=bool(find_label(info.labels, "key")),
     )
--- a/glencleat/checker/polling_bounds.py
+++ b/glencleat/checker/polling_bounds.py
@@ -41,7 +41,7 @@
         """When, on the trace's clock."""
 
     @property
-    def relay(self) -> str:
+    def proxy_name(self) -> str:
         """The proxy's name; with a proxy for each client, the client's."""
 
     @property
@@ -58,7 +58,7 @@
     """A connection event read from a trace."""
 
     at_ms: float
-    relay: str
+    proxy_name: str
     kind: str
     number: int
 
@@ -131,7 +131,7 @@
     for event in record:
         if event.at_ms > until_ms:
             break
-        connection = event.relay, event.number
+        connection = event.proxy_name, event.number
         if event.kind == "opened" and event.at_ms >= recovered_at_ms:
             open_connections.add(connection)
         elif event.kind in ("ended", "reset", "refused"):
@@ -153,7 +153,7 @@
     polls_by_relay = defaultdict[str, list[float]](list)
     for event in record:
         if event.kind == "refused" and down_at_ms <= event.at_ms < recovered_at_ms:
-            polls_by_relay[event.relay].append(event.at_ms)
+            polls_by_relay[event.proxy_name].append(event.at_ms)
     waits = sorted(after - before for polls in polls_by_relay.values() for before, after in pairwise(polls))
     limit = 0
     if waits:
--- a/glencleat/cli/config_files.py
+++ b/glencleat/cli/config_files.py
@@ -34,10 +34,10 @@
 
 def read_script(path: Path) -> tuple[Script, AllocatorConfig]:
     """The play's script at `path` and the configuration that it names; exits if one has a fault."""
-    from glencleat.emulators.script import load_campus, load_script
+    from glencleat.emulators.script import load_script, load_shared_config
 
     try:
         script = load_script(path)
-        return script, load_campus(path.parent / script.campus)
+        return script, load_shared_config(path.parent / script.campus)
     except ConfigError as error:
         fail_with_faults(error)
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -40,7 +40,7 @@
     from glencleat.daemon import Daemon
 
     config = read_config(conf)
-    log = logging.set_up(config.log.form, config.log.level, allocator=config.allocator.name)
+    log = logging.configure_logging(config.log.form, config.log.level, allocator=config.allocator.name)
     daemon = Daemon(config, log, conf)
     daemon.follow_signals()
     try:
@@ -52,7 +52,11 @@
         ready.write(json.dumps(bound_addresses) + "\n")
         ready.flush()
     daemon.loop.run()
-    log.info("stopped", open=daemon.core.ledger.open, mismatch=daemon.core.figures.mismatch())
+    log.info(
+        "stopped",
+        open=daemon.core.call_table.open_task_count,
+        mismatch=daemon.core.counters.find_mismatches(),
+    )
 
 
 @main.command("node")
--- a/glencleat/cli/plays.py
+++ b/glencleat/cli/plays.py
@@ -48,14 +48,14 @@
 
 def _override_settings(settings: Script, seed: int | None, trouble: str | None) -> Script:
     """The script with the seed and the faults that options put in place of its own."""
-    from glencleat.emulators.fault_scenarios import faults
+    from glencleat.emulators.fault_scenarios import draw_faults
 
     if seed is not None:
         settings = settings.model_copy(update={"play": settings.play.model_copy(update={"seed": seed})})
     if trouble is None:
         return settings
     try:
-        return settings.model_copy(update={"at": faults(settings, trouble, settings.play.seed)})
+        return settings.model_copy(update={"at": draw_faults(settings, trouble, settings.play.seed)})
     except ValueError as error:
         fail(error, ExitCode.WRONG_USE)
 
@@ -65,7 +65,7 @@
 
     A crash cuts its owners' sessions, which the rules excuse; a fault of the allocator they must not.
     """
-    exit_codes_by_name = {name: code for name, code in play.exits.items() if code}
+    exit_codes_by_name = {name: code for name, code in play.exit_codes.items() if code}
     for name, code in exit_codes_by_name.items():
         click.echo(f"allocator {name} ended by itself with {code}; see {output_folder / name}.log", err=True)
     return bool(exit_codes_by_name)
@@ -77,10 +77,10 @@
 def report_trace(record: Path, campus: Path) -> None:
     """Check RECORD (of a play) again by the rules that CAMPUS states, and show its tables."""
     from glencleat.checker.trace import TraceError, read_trace
-    from glencleat.emulators.script import load_campus
+    from glencleat.emulators.script import load_shared_config
 
     try:
-        _print_verdict(list(read_trace(record)), load_campus(campus))
+        _print_verdict(list(read_trace(record)), load_shared_config(campus))
     except ConfigError as error:
         fail_with_faults(error)
     except (TraceError, OSError) as error:
@@ -92,9 +92,9 @@
     from glencleat.checker import invariants, polling_bounds, report, slow_start_bounds
     from glencleat.checker.chance_bounds import BoundState
     from glencleat.cli.tables import open_console
-    from glencleat.emulators.script import figures
+    from glencleat.emulators.script import make_rule_parameters
 
-    violations = invariants.check_invariants(entries, figures(campus))
+    violations = invariants.check_invariants(entries, make_rule_parameters(campus))
     bounds = polling_bounds.judge_trace(entries) + slow_start_bounds.judge_trace(entries)
     report.print_report(entries, violations, bounds, open_console(REPORT_WIDTH))
     if violations or any(bound.state is BoundState.BROKEN for bound in bounds):
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -29,7 +29,7 @@
     collection_path,
     resource_path,
 )
-from glencleat.config.schema import SIZES, TIMES
+from glencleat.config.schema import MB_BY_UNIT, MS_BY_UNIT
 
 if TYPE_CHECKING:
     from glencleat.cli.rest_resources import (
@@ -158,9 +158,13 @@
 @click.option("--name", help="Of the job; made if absent.")
 @click.option("--tasks", type=click.IntRange(1), default=1, show_default=True)
 @click.option("--cores", type=float)
-@click.option("--memory", "memory_mb", type=QuantityType(SIZES, "512MB"), help="With its unit, as 512MB.")
-@click.option("--wait", "wait_ms", type=QuantityType(TIMES, "10m"), help="How long a task may wait, as 10m.")
-@click.option("--life", "life_ms", type=QuantityType(TIMES, "5m"), help="Expected life, as 5m.")
+@click.option(
+    "--memory", "memory_mb", type=QuantityType(MB_BY_UNIT, "512MB"), help="With its unit, as 512MB."
+)
+@click.option(
+    "--wait", "wait_ms", type=QuantityType(MS_BY_UNIT, "10m"), help="How long a task may wait, as 10m."
+)
+@click.option("--life", "life_ms", type=QuantityType(MS_BY_UNIT, "5m"), help="Expected life, as 5m.")
 @click.option("--key", help="Names the work: what must not run twice is not taken twice.")
 @click.option("--label", "labels", type=LabelType(), multiple=True)
 @click.option("--again", is_flag=True, help="Place tasks anew that were placed and lost.")
--- a/glencleat/config/lines.py
+++ b/glencleat/config/lines.py
@@ -32,7 +32,7 @@
         return f"{self.file}:{self.line}: {self.setting}: {self.text}"
 
 
-def read(path: Path) -> tuple[list[ConfigLine], list[ConfigFault]]:
+def read_lines(path: Path) -> tuple[list[ConfigLine], list[ConfigFault]]:
     lines: list[ConfigLine] = []
     faults: list[ConfigFault] = []
     _read(path, ("", 0), (), lines, faults)
--- a/glencleat/config/schema.py
+++ b/glencleat/config/schema.py
@@ -13,8 +13,8 @@
 
 from glencleat import interface as api
 
-TIMES = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0, "h": 3_600_000.0}
-SIZES = {"MB": 1.0, "GB": 1_024.0, "TB": 1_048_576.0}
+MS_BY_UNIT = {"ms": 1.0, "s": 1_000.0, "m": 60_000.0, "h": 3_600_000.0}
+MB_BY_UNIT = {"MB": 1.0, "GB": 1_024.0, "TB": 1_048_576.0}
 
 
 def parse_unit(value: Any, units: dict[str, float], example: str) -> Any:
@@ -42,18 +42,18 @@
     return host, number
 
 
-Milliseconds = Annotated[float, BeforeValidator(lambda v: parse_unit(v, TIMES, "250ms")), Field(ge=0)]
-Megabytes = Annotated[float, BeforeValidator(lambda v: parse_unit(v, SIZES, "48GB")), Field(gt=0)]
+Milliseconds = Annotated[float, BeforeValidator(lambda v: parse_unit(v, MS_BY_UNIT, "250ms")), Field(ge=0)]
+Megabytes = Annotated[float, BeforeValidator(lambda v: parse_unit(v, MB_BY_UNIT, "48GB")), Field(gt=0)]
 Address = Annotated[tuple[str, int], BeforeValidator(_address)]
 Name = Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9_-]*$")]
 Count = Annotated[int, Field(ge=1, le=10_000_000)]
 
 
-class Part(BaseModel):
+class StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class AllocatorSection(Part):
+class AllocatorSection(StrictModel):
     name: Name
     number: Annotated[int, Field(ge=0)]
     of: Annotated[int, Field(ge=1, le=100_000)]
@@ -67,7 +67,7 @@
         return self
 
 
-class TaskClassSection(Part):
+class TaskClassSection(StrictModel):
     name: Name
     effect: Literal["safe", "keyed", "unsafe"]
     aim: Milliseconds
@@ -97,18 +97,18 @@
         return self
 
 
-class MachineKindSection(Part):
+class MachineKindSection(StrictModel):
     name: Name
     cores: Annotated[float, Field(gt=0)]
     memory: Megabytes
 
 
-class OvercommitSection(Part):
+class OvercommitSection(StrictModel):
     cores: Annotated[float, Field(gt=0)] = 1.0
     memory: Annotated[float, Field(gt=0)] = 1.0
 
 
-class ReportsSection(Part):
+class ReportsSection(StrictModel):
     counts: Literal["used", "asked"] = "asked"
     come: Literal["with-answers", "on-probe"] = "with-answers"
     probes: Literal["yes", "no"] = "no"
@@ -116,19 +116,19 @@
     pressure: Literal["yes", "no"] = "no"
 
 
-class WarmUpSection(Part):
+class WarmUpSection(StrictModel):
     warm: Milliseconds = 0.0
     window: Milliseconds = 0.0
     offers: Annotated[float, Field(ge=0)] = 0.0
 
 
-class HeartbeatSection(Part):
+class HeartbeatSection(StrictModel):
     every: Annotated[Milliseconds, Field(ge=10)] = 15_000.0
     missed: Annotated[int, Field(ge=1, le=100)] = 3
     agents_return: Milliseconds = 10_000.0
 
 
-class LimitSection(Part):
+class LimitSection(StrictModel):
     connections: Count = 10_000
     body: Megabytes = 1.0
     unsent: Megabytes = 1.0
@@ -143,7 +143,7 @@
     remembered: Count = 50_000
 
 
-class RestSection(Part):
+class RestSection(StrictModel):
     """Bounds of the REST front; rates are a second."""
 
     requests: Annotated[float, Field(gt=0)] = 500.0  # of one connection
@@ -163,19 +163,19 @@
     watch_stall: Annotated[Milliseconds, Field(ge=1)] = 5_000.0
 
 
-class EndpointSnapshotSection(Part):
+class EndpointSnapshotSection(StrictModel):
     """The machine list over a restart; off unless there is such a line."""
 
     file: Annotated[str, Field(min_length=1, max_length=4_096)]
     age: Annotated[Milliseconds, Field(ge=1)] = 600_000.0  # older ones are not used
 
 
-class LogSection(Part):
+class LogSection(StrictModel):
     form: Literal["console", "json"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-class AllocatorConfig(Part):
+class AllocatorConfig(StrictModel):
     allocator: AllocatorSection
     owners: Address
     agents: Address
--- a/glencleat/daemon.py
+++ b/glencleat/daemon.py
@@ -16,7 +16,7 @@
 from glencleat.allocator.options import Options
 from glencleat.config import AllocatorConfig, ConfigError, load
 from glencleat.event_loop import Loop, Signals
-from glencleat.flow_control.backoff import LIST, Backoff, BackoffPolicy
+from glencleat.flow_control.backoff import MACHINE_LIST_BACKOFF, Backoff, BackoffPolicy
 from glencleat.policy.scheduler import Scheduler
 from glencleat.rest import service as rest
 from glencleat.rest.overload import OverloadLimits as GateLimits
@@ -24,12 +24,12 @@
 from glencleat.servers.directory_client import DirectoryClient
 from glencleat.servers.endpoint_snapshot_file import EndpointSnapshotFile
 from glencleat.servers.executor_api import ExecutorApi
-from glencleat.servers.http_server import Handler, Server, ServerLimits, plain
+from glencleat.servers.http_server import Handler, Server, ServerLimits, plain_response
 from glencleat.servers.metrics import MetricsApi
-from glencleat.servers.rest_api import RestApi, problem
+from glencleat.servers.rest_api import RestApi, problem_response
 from glencleat.servers.scheduler_api import SchedulerApi
 
-MB = 1 << 20
+BYTES_PER_MB = 1 << 20
 FLUSH_MS = 1_000.0
 # Young objects between two collections, and so on (gc.set_threshold). With a thousand sessions, one of
 # all takes 70 ms; with Python's own 700 it came every few seconds, and was the p99 of placements.
@@ -37,7 +37,7 @@
 LIVE = {"limit", "rest", "log", "shutdown", "answer_margin", "probe_timeout"}  # what SIGHUP can change
 
 
-def options(config: AllocatorConfig) -> Options:
+def core_options(config: AllocatorConfig) -> Options:
     limit = config.limit
     return Options(
         name=config.allocator.name,
@@ -45,14 +45,14 @@
         default_class=config.default_class,
         answer_margin_ms=config.answer_margin,
         heartbeat_ms=config.heartbeat.every,
-        missed=config.heartbeat.missed,
-        return_ms=config.heartbeat.agents_return,
+        max_missed_heartbeats=config.heartbeat.missed,
+        reregistration_timeout_ms=config.heartbeat.agents_return,
         probe_timeout_ms=config.probe_timeout,
-        grace_ms=config.grace,
-        unacked_most=limit.unacknowledged,
-        remembered=limit.remembered,
-        frameworks_most=limit.frameworks,
-        agents_most=limit.agents,
+        startup_grace_ms=config.grace,
+        max_unacknowledged=limit.unacknowledged,
+        max_closed_calls=limit.remembered,
+        max_frameworks=limit.frameworks,
+        max_agents=limit.agents,
         limits=Admission(limit.open_tasks, limit.open_each, limit.placed),
     )
 
@@ -60,7 +60,11 @@
 def server_limits(config: AllocatorConfig) -> ServerLimits:
     limit = config.limit
     return ServerLimits(
-        limit.connections, int(limit.body * MB), int(limit.unsent * MB), limit.request, limit.idle
+        limit.connections,
+        int(limit.body * BYTES_PER_MB),
+        int(limit.unsent * BYTES_PER_MB),
+        limit.request,
+        limit.idle,
     )
 
 
@@ -71,12 +75,12 @@
         connection_burst=2.0 * told.requests,
         tenant_rate=told.tenant_rate,
         tenant_burst=told.tenant_burst,
-        waiting_each=told.waiting_each,
-        waiting=told.waiting,
-        jobs=told.jobs,
-        first_round_ms=told.first_round,
+        max_waiting_per_tenant=told.waiting_each,
+        max_waiting=told.waiting,
+        max_jobs=told.jobs,
+        max_first_round_wait_ms=told.first_round,
     )
-    watch = WatchLimits(told.watches, told.watches_each, told.watch_lines, stall_ms=told.watch_stall)
+    watch = WatchLimits(told.watches, told.watches_each, told.watch_lines, stall_timeout_ms=told.watch_stall)
     return rest.RestLimits(gate, watch, told.events, told.ended, told.jobs_kept, told.keys)
 
 
@@ -90,7 +94,7 @@
         path: Path | None = None,
         loop: Loop | None = None,
         seed: int | None = None,
-        pace: BackoffPolicy = LIST,
+        backoff_policy: BackoffPolicy = MACHINE_LIST_BACKOFF,
     ) -> None:
         self.config, self.log, self.path = config, log, path
         self.loop = loop or Loop()
@@ -98,26 +102,26 @@
         settings = config.settings()
         module = Scheduler(settings, config.allocator.seed)
         ids = SystemRandom().getrandbits(64) if seed is None else seed
-        self.core = Core(settings, module, options(config), self.loop, ids, self._log)
+        self.core = Core(settings, module, core_options(config), self.loop, ids, self._log)
         self.servers: dict[str, Server] = {}
-        self.plane: rest.RestService | None = None
+        self.rest_service: rest.RestService | None = None
         if config.rest_listen is not None:
-            self.plane = rest.RestService(self.core, rest_limits(config), ids ^ 0x5EED)
-        self.stopping = self.ending = False
+            self.rest_service = rest.RestService(self.core, rest_limits(config), ids ^ 0x5EED)
+        self.is_stopping = self.is_ending = False
         # Of its own seed: allocators of one configuration may share the decisions' one, and would go in step.
-        self.directory = DirectoryClient(
+        self.directory_client = DirectoryClient(
             self.loop,
             config.directory,
             self._list_told,
-            Backoff(pace, Random(ids ^ 0xA5C)),
+            Backoff(backoff_policy, Random(ids ^ 0xA5C)),
             3.0 * config.heartbeat.every,
             log=self._log,
         )
-        self.core.watch = self.directory.watch
-        self.kept: EndpointSnapshotFile | None = None
+        self.core.watch_machine_list = self.directory_client.watch
+        self.snapshot_file: EndpointSnapshotFile | None = None
         if (keep := config.keep_list) is not None:
-            listing = self.directory.listing
-            self.kept = EndpointSnapshotFile(
+            listing = self.directory_client.listing
+            self.snapshot_file = EndpointSnapshotFile(
                 self.loop, Path(keep.file), config.pool, keep.age, listing, self._log
             )
         self.core.on_idle = self._end_soon
@@ -126,9 +130,9 @@
         self.log.info(event, **more)
 
     def _list_told(self, event: api.MachineListUpdated) -> None:
-        if self.kept is not None:
-            self.kept.told(event)  # first: what was once told must be known after a kill
-        self.core.list_told(event)
+        if self.snapshot_file is not None:
+            self.snapshot_file.record_update(event)  # first: what was once told must be known after a kill
+        self.core.update_machine_list(event)
 
     def start(self) -> dict[str, str]:
         """Binds the listeners; gives their addresses. Raises OSError naming the address."""
@@ -140,26 +144,28 @@
             "metrics": metrics.handle,
         }
         addresses = {name: getattr(self.config, name) for name in handlers}
-        if self.plane is not None:
-            self.rest = RestApi(self.plane)
-            handlers["rest"], addresses["rest"] = self.rest.handle, self.config.rest_listen
-            metrics.add(self.plane, self.rest)
+        if self.rest_service is not None:
+            self.rest_api = RestApi(self.rest_service)
+            handlers["rest"], addresses["rest"] = self.rest_api.handle, self.config.rest_listen
+            metrics.add_rest_service(self.rest_service, self.rest_api)
         for name, handler in handlers.items():
             address = addresses[name]
             if address is None:
                 continue
-            told = problem if name == "rest" else plain
+            told = problem_response if name == "rest" else plain_response
             try:
-                intake = self.plane.intake if name == "rest" and self.plane is not None else None
+                intake = (
+                    self.rest_service.intake if name == "rest" and self.rest_service is not None else None
+                )
                 self.servers[name] = Server(self.loop, address, handler, limits, self._log, told, intake)
             except OSError as error:
                 raise OSError(f"listen {name} {address[0]}:{address[1]}: {error.strerror}") from None
         # An empty change is news of nothing, at which the module asks for the list by itself.
-        self.core.tell(api.MachineListUpdated(api.ListUpdateKind.DELTA))
-        if self.kept is not None:
-            if machines := self.kept.load():
-                self.core.list_told(api.MachineListUpdated(api.ListUpdateKind.DELTA, machines))
-            self.kept.start()
+        self.core.dispatch_event(api.MachineListUpdated(api.ListUpdateKind.DELTA))
+        if self.snapshot_file is not None:
+            if machines := self.snapshot_file.load():
+                self.core.update_machine_list(api.MachineListUpdated(api.ListUpdateKind.DELTA, machines))
+            self.snapshot_file.start()
         gc.freeze()  # what is there from the start need not be looked at by each collection
         gc.set_threshold(*COLLECT)
         return {name: f"{s.address[0]}:{s.address[1]}" for name, s in self.servers.items()}
@@ -167,34 +173,38 @@
     # ---- signals ----
 
     def follow_signals(self) -> None:
-        Signals().follow(self.loop, self.stop, self.reload)
+        Signals().attach(self.loop, self.stop, self.reload)
 
     def stop(self) -> None:
         """No new tasks; ends when all that is held is answered, or its time is up."""
-        if self.stopping:
+        if self.is_stopping:
             return
-        self.stopping = True
-        self.log.info("stopping", open=self.core.ledger.open)
+        self.is_stopping = True
+        self.log.info("stopping", open=self.core.call_table.open_task_count)
         self.loop.call_in(self.config.shutdown, self._finish)
-        if self.plane is not None:
-            self.plane.end()
-        self.core.end()
+        if self.rest_service is not None:
+            self.rest_service.shut_down()
+        self.core.begin_shutdown()
 
     def _finish(self) -> None:
-        self.core.finish()
+        self.core.finish_shutdown()
         self._end_soon()
 
     def _end_soon(self) -> None:
         """The last answers leave, as far as their owners read them within `FLUSH_MS`."""
-        if self.ending:
+        if self.is_ending:
             return
-        self.ending = True
+        self.is_ending = True
         for server in self.servers.values():
             server.close()
         until = self.loop.now() + FLUSH_MS
 
         def look() -> None:
-            unsent = any(stream.out for server in self.servers.values() for stream in server.listener.open)
+            unsent = any(
+                stream.send_buffer
+                for server in self.servers.values()
+                for stream in server.listener.open_streams
+            )
             if unsent and self.loop.now() < until:
                 self.loop.call_in(20.0, look)
             else:
@@ -218,15 +228,18 @@
             self.log.error("configuration refused", why=f"only a restart can change {', '.join(fixed)}")
             return
         self.config = config
-        self.core.options = options(config)
-        self.core.frameworks.max_frameworks, self.core.members.max_agents = (
+        self.core.options = core_options(config)
+        self.core.frameworks.max_frameworks, self.core.membership.max_agents = (
             config.limit.frameworks,
             config.limit.agents,
         )
         self.core.frameworks.max_unacknowledged = config.limit.unacknowledged
         for server in self.servers.values():
             server.limits = server_limits(config)
-            server.listener.most, server.listener.limit = config.limit.connections, server.limits.unsent
-        if self.plane is not None:
-            self.plane.retune(rest_limits(config))
+            server.listener.max_connections, server.listener.max_unsent_bytes = (
+                config.limit.connections,
+                server.limits.max_unsent_bytes,
+            )
+        if self.rest_service is not None:
+            self.rest_service.apply_limits(rest_limits(config))
         self.log.info("configuration read again")
--- a/glencleat/descriptor_budget.py
+++ b/glencleat/descriptor_budget.py
@@ -12,202 +12,219 @@
 from enum import Enum, IntEnum
 from typing import Protocol
 
-ASIDE = 32  # of the limit: 11 always open (standard, poller, signals, listener and its spare, channel, a file
-# that is read), LEAVING, and 13 that nothing of ours takes, so that the limit is never reached
+RESERVED_DESCRIPTORS = (
+    32  # of the limit: 11 always open (standard, poller, signals, listener and its spare, channel, a file
+)
+# that is read), MAX_CLOSING, and 13 that nothing of ours takes, so that the limit is never reached
 BACKLOG = 1_024  # connections that the system may hold until we take them: with fewer, some would be dropped
 # in a rush and come back a second later. To operators these are descriptors of ours.
-STANDSTILL_MS = 100.0  # a round of the loop may take so long: places are kept free for who comes meanwhile,
-KEPT_FREE = 8  # for this part of the room at most; strangers hold all there is only in a rush
-CALMER = 0.8  # so much of it is kept from one such time to the next
-LEAVING = 8  # links that we end are read until their peer's end; more at once are closed without
+ARRIVAL_WINDOW_MS = (
+    100.0  # a round of the loop may take so long: places are kept free for who comes meanwhile,
+)
+ARRIVAL_RESERVE_DIVISOR = 8  # for this part of the room at most; strangers hold all there is only in a rush
+ARRIVAL_DECAY = 0.8  # so much of it is kept from one such time to the next
+MAX_CLOSING = 8  # links that we end are read until their peer's end; more at once are closed without
 
 
-class Side(Enum):
-    OWNERS = "owners"
-    LINKS = "links"
+class PeerKind(Enum):
+    CLIENTS = "owners"
+    HOSTS = "links"
 
 
 class EvictionPriority(IntEnum):
     """What a descriptor is held for, cheapest first."""
 
     SPARE = 0  # a link with nothing open: nothing stands at its host, or another link is up there
-    STRANGER = 1  # an owners' connection with nothing open, on which nothing ever stood
-    FRIEND = 2  # an owners' connection with nothing open
-    LISTENED = 3  # the only link to a host where tasks stand, up for long enough to hear what it owed
-    LISTENING = 4  # the same, newer
-    HELD = 5  # something is open, coming up or irreplaceable: never given up
+    UNTRUSTED_CLIENT = 1  # an owners' connection with nothing open, on which nothing ever stood
+    TRUSTED_CLIENT = 2  # an owners' connection with nothing open
+    ONLY_CONNECTION = 3  # the only link to a host where tasks stand, up for long enough to hear what it owed
+    NEW_ONLY_CONNECTION = 4  # the same, newer
+    PINNED = 5  # something is open, coming up or irreplaceable: never given up
 
 
 class Demand(Enum):
     """What a descriptor is wanted for."""
 
-    OWNER = "an owner comes"
+    CLIENT = "an owner comes"
     ATTEMPT = "an attempt, a release: its host has no link"
     EXTRA = "a further link, for one more set-up"
-    LISTEN = "to hear from a host where tasks stand"
+    LIVENESS_CHECK = "to hear from a host where tasks stand"
 
 
 # What may go for it, in this order; first where its side holds less than its right, then where it does not.
 # Both sides can't be short of theirs while nothing is free, so one that is finds the other above its own.
-GIVEN: dict[Demand, tuple[tuple[EvictionPriority, ...], tuple[EvictionPriority, ...]]] = {
-    Demand.OWNER: (
+EVICTABLE_BY_DEMAND: dict[Demand, tuple[tuple[EvictionPriority, ...], tuple[EvictionPriority, ...]]] = {
+    Demand.CLIENT: (
         (
             EvictionPriority.SPARE,
-            EvictionPriority.STRANGER,
-            EvictionPriority.FRIEND,
-            EvictionPriority.LISTENED,
-            EvictionPriority.LISTENING,
+            EvictionPriority.UNTRUSTED_CLIENT,
+            EvictionPriority.TRUSTED_CLIENT,
+            EvictionPriority.ONLY_CONNECTION,
+            EvictionPriority.NEW_ONLY_CONNECTION,
         ),
-        (EvictionPriority.STRANGER, EvictionPriority.FRIEND),
+        (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT),
     ),
     Demand.ATTEMPT: (
         (
-            EvictionPriority.STRANGER,
+            EvictionPriority.UNTRUSTED_CLIENT,
             EvictionPriority.SPARE,
-            EvictionPriority.FRIEND,
-            EvictionPriority.LISTENED,
-            EvictionPriority.LISTENING,
+            EvictionPriority.TRUSTED_CLIENT,
+            EvictionPriority.ONLY_CONNECTION,
+            EvictionPriority.NEW_ONLY_CONNECTION,
         ),
-        (EvictionPriority.SPARE, EvictionPriority.LISTENED, EvictionPriority.LISTENING),
+        (EvictionPriority.SPARE, EvictionPriority.ONLY_CONNECTION, EvictionPriority.NEW_ONLY_CONNECTION),
     ),
-    Demand.EXTRA: ((EvictionPriority.STRANGER, EvictionPriority.SPARE), (EvictionPriority.SPARE,)),
-    Demand.LISTEN: (
+    Demand.EXTRA: ((EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.SPARE), (EvictionPriority.SPARE,)),
+    Demand.LIVENESS_CHECK: (
         (
-            EvictionPriority.STRANGER,
+            EvictionPriority.UNTRUSTED_CLIENT,
             EvictionPriority.SPARE,
-            EvictionPriority.FRIEND,
-            EvictionPriority.LISTENED,
+            EvictionPriority.TRUSTED_CLIENT,
+            EvictionPriority.ONLY_CONNECTION,
         ),
-        (EvictionPriority.SPARE, EvictionPriority.LISTENED),
+        (EvictionPriority.SPARE, EvictionPriority.ONLY_CONNECTION),
     ),
 }
 
 
 class DescriptorHolder(Protocol):
-    side: Side
+    peer_kind: PeerKind
 
-    def worth(self) -> EvictionPriority:
+    def eviction_priority(self) -> EvictionPriority:
         """As it is now."""
 
-    def last_look(self) -> None:
+    def read_pending(self) -> None:
         """Asked just before it is given up: takes in what has come on it, which may change its worth."""
 
-    def give_up(self) -> None:
-        """Ends it; `free` or `leave` is called before this returns."""
+    def evict(self) -> None:
+        """Ends it; `remove_holder` or `begin_close` is called before this returns."""
 
 
 class DescriptorBudget:
-    """Every descriptor of owners and links. `limit` is the process's. OWNERS have a right to a third of it,
-    since the protocol page says that they hold no more, LINKS to the rest."""
+    """Every descriptor of owners and links. `limit` is the process's. CLIENTS have a right to a third of it,
+    since the protocol page says that they hold no more, HOSTS to the rest."""
 
     def __init__(self, limit: int) -> None:
-        self.room = max(8, limit - ASIDE)
-        owners = min(limit // 3, self.room // 2)
-        self.rights = {Side.OWNERS: owners, Side.LINKS: self.room - owners}
-        self.count = {Side.OWNERS: 0, Side.LINKS: 0}
-        self.filed: dict[DescriptorHolder, EvictionPriority] = {}
-        self.order: tuple[dict[DescriptorHolder, None], ...] = tuple({} for _ in EvictionPriority)
-        self.leaving: set[DescriptorHolder] = set()
-        self.most = self.turned_away = 0
-        self.rush, self.came, self.since = 0.0, 0, 0.0  # newcomers in such a time: lately, now, since when
-        self.freed: Callable[[], None] = lambda: None  # one is free, or worth less than it was
+        self.capacity = max(8, limit - RESERVED_DESCRIPTORS)
+        owners = min(limit // 3, self.capacity // 2)
+        self.quotas_by_peer_kind = {PeerKind.CLIENTS: owners, PeerKind.HOSTS: self.capacity - owners}
+        self.counts_by_peer_kind = {PeerKind.CLIENTS: 0, PeerKind.HOSTS: 0}
+        self.priorities_by_holder: dict[DescriptorHolder, EvictionPriority] = {}
+        self.holders_by_priority: tuple[dict[DescriptorHolder, None], ...] = tuple(
+            {} for _ in EvictionPriority
+        )
+        self.closing_holders: set[DescriptorHolder] = set()
+        self.peak_count = self.denied_count = 0
+        self.expected_arrivals, self.window_arrivals, self.window_start_ms = (
+            0.0,
+            0,
+            0.0,
+        )  # newcomers in such a time: lately, now, since when
+        self.on_capacity_freed: Callable[[], None] = lambda: None  # one is free, or worth less than it was
 
     @property
-    def held(self) -> int:
-        return len(self.filed)
+    def held_count(self) -> int:
+        return len(self.priorities_by_holder)
 
-    def newcomer(self, now: float) -> bool:
+    def admit_client(self, now: float) -> bool:
         """Whether one who comes may come in; `now` in milliseconds.
 
         In a rush strangers go as well, so that those who come during a standstill, and wait for us to take
         them, have their places free: the operators count them as ours."""
-        passed = (now - self.since) // STANDSTILL_MS
+        passed = (now - self.window_start_ms) // ARRIVAL_WINDOW_MS
         if passed >= 1.0:
-            self.rush = max(self.came * CALMER ** (passed - 1.0), self.rush * CALMER**passed)
-            self.came, self.since = 0, self.since + passed * STANDSTILL_MS
-        self.came += 1
-        if not self.make_room(Demand.OWNER):
+            self.expected_arrivals = max(
+                self.window_arrivals * ARRIVAL_DECAY ** (passed - 1.0),
+                self.expected_arrivals * ARRIVAL_DECAY**passed,
+            )
+            self.window_arrivals, self.window_start_ms = 0, self.window_start_ms + passed * ARRIVAL_WINDOW_MS
+        self.window_arrivals += 1
+        if not self.ensure_capacity(Demand.CLIENT):
             return False
-        while self.held >= self.room - self.kept_free and self._end_least((EvictionPriority.STRANGER,)):
+        while self.held_count >= self.capacity - self.arrival_reserve and self._end_least(
+            (EvictionPriority.UNTRUSTED_CLIENT,)
+        ):
             pass
         return True
 
     @property
-    def kept_free(self) -> int:
+    def arrival_reserve(self) -> int:
         """Places for those who may come during a standstill, by how many came lately."""
-        return min(int(max(self.rush, self.came)), self.room // KEPT_FREE)
+        return min(
+            int(max(self.expected_arrivals, self.window_arrivals)), self.capacity // ARRIVAL_RESERVE_DIVISOR
+        )
 
-    def make_room(self, demand: Demand) -> bool:
+    def ensure_capacity(self, demand: Demand) -> bool:
         """Whether one more may be opened; ends what is worth less where nothing is free."""
-        if self.held < self.room:
+        if self.held_count < self.capacity:
             return True
-        side = Side.OWNERS if demand is Demand.OWNER else Side.LINKS
-        within = self.count[side] < self.rights[side]
-        if self._end_least(GIVEN[demand][0 if within else 1]):
-            return self.held < self.room
-        self.turned_away += 1
+        side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
+        within = self.counts_by_peer_kind[side] < self.quotas_by_peer_kind[side]
+        if self._end_least(EVICTABLE_BY_DEMAND[demand][0 if within else 1]):
+            return self.held_count < self.capacity
+        self.denied_count += 1
         return False
 
     def _end_least(self, worths: tuple[EvictionPriority, ...]) -> bool:
         while (victim := self._least(worths)) is not None:
-            worth = victim.worth()
-            victim.last_look()
-            if victim.worth() is worth:
-                victim.give_up()
+            worth = victim.eviction_priority()
+            victim.read_pending()
+            if victim.eviction_priority() is worth:
+                victim.evict()
                 return True
         return False
 
     def _least(self, worths: tuple[EvictionPriority, ...]) -> DescriptorHolder | None:
         """The first that is still worth what it was filed under; what is not is filed anew on the way."""
         for worth in worths:
-            line = self.order[worth]
+            line = self.holders_by_priority[worth]
             while line:
                 holder = next(iter(line))
-                now = holder.worth()
+                now = holder.eviction_priority()
                 if now is worth:
                     return holder
                 self._move(holder, now)
         return None
 
-    def hold(self, holder: DescriptorHolder) -> None:
-        self.count[holder.side] += 1
-        self._move(holder, holder.worth())
-        self.most = max(self.most, self.held)
+    def add_holder(self, holder: DescriptorHolder) -> None:
+        self.counts_by_peer_kind[holder.peer_kind] += 1
+        self._move(holder, holder.eviction_priority())
+        self.peak_count = max(self.peak_count, self.held_count)
 
-    def file(self, holder: DescriptorHolder, used: bool = False) -> None:
-        """Its worth may have changed; `used` puts it last among its equals. One not held is let be."""
-        before = self.filed.get(holder)
+    def update_priority(self, holder: DescriptorHolder, was_used: bool = False) -> None:
+        """Its worth may have changed; `was_used` puts it last among its equals. One not held is let be."""
+        before = self.priorities_by_holder.get(holder)
         if before is None:
             return
-        now = holder.worth()
-        if now is not before or used:
+        now = holder.eviction_priority()
+        if now is not before or was_used:
             self._move(holder, now)
             if now < before:
-                self.freed()
+                self.on_capacity_freed()
 
     def _move(self, holder: DescriptorHolder, worth: EvictionPriority) -> None:
-        before = self.filed.get(holder)
+        before = self.priorities_by_holder.get(holder)
         if before is not None:
-            del self.order[before][holder]
-        self.filed[holder] = worth
-        self.order[worth][holder] = None
+            del self.holders_by_priority[before][holder]
+        self.priorities_by_holder[holder] = worth
+        self.holders_by_priority[worth][holder] = None
 
-    def leave(self, holder: DescriptorHolder) -> bool:
+    def begin_close(self, holder: DescriptorHolder) -> bool:
         """It ends by itself in a moment and counts as free; False if too many do: close it now."""
-        if len(self.leaving) >= LEAVING:
+        if len(self.closing_holders) >= MAX_CLOSING:
             return False
-        if holder in self.filed:
+        if holder in self.priorities_by_holder:
             self._drop(holder)
-            self.leaving.add(holder)
+            self.closing_holders.add(holder)
         return True
 
-    def free(self, holder: DescriptorHolder) -> None:
+    def remove_holder(self, holder: DescriptorHolder) -> None:
         """Its descriptor is closed."""
-        self.leaving.discard(holder)
-        if holder in self.filed:
+        self.closing_holders.discard(holder)
+        if holder in self.priorities_by_holder:
             self._drop(holder)
 
     def _drop(self, holder: DescriptorHolder) -> None:
-        del self.order[self.filed.pop(holder)][holder]
-        self.count[holder.side] -= 1
-        self.freed()
+        del self.holders_by_priority[self.priorities_by_holder.pop(holder)][holder]
+        self.counts_by_peer_kind[holder.peer_kind] -= 1
+        self.on_capacity_freed()
--- a/glencleat/emulators/allocator_processes.py
+++ b/glencleat/emulators/allocator_processes.py
@@ -18,9 +18,9 @@
 import msgspec
 import psutil
 
-EACH_MB = 25  # resident, with room for what a start allocates
-MOST = 400
-READY = b"listening on "
+PROCESS_MB = 25  # resident, with room for what a start allocates
+MAX_PROCESSES = 400
+READY_PREFIX = b"listening on "
 # As the operators' settings name things; two classes are enough for a start.
 SETTINGS: dict[str, Any] = {
     "az": "a",
@@ -46,17 +46,25 @@
 
 
 class AllocatorProcesses:
-    """`count` allocators. `tree` holds the program to run, by default this one: an earlier version's tree
+    """`count` allocators. `checkout` holds the program to run, by default this one: an earlier version's tree
     compares the two in one run."""
 
     def __init__(
-        self, folder: Path, count: int, seed: int, sockets: int = 256, tree: Path | None = None
+        self, folder: Path, count: int, seed: int, max_sockets: int = 256, checkout: Path | None = None
     ) -> None:
-        if count > MOST or count * EACH_MB > available_mb():
+        if count > MAX_PROCESSES or count * PROCESS_MB > available_mb():
             left = available_mb()
-            raise ProcessError(f"{count} processes of {EACH_MB} MB: at most {MOST}, {left} MB are left")
-        self.folder, self.count, self.seed, self.sockets, self.tree = folder, count, seed, sockets, tree
-        self.children: dict[int, subprocess.Popen[bytes]] = {}
+            raise ProcessError(
+                f"{count} processes of {PROCESS_MB} MB: at most {MAX_PROCESSES}, {left} MB are left"
+            )
+        self.folder, self.count, self.seed, self.max_sockets, self.checkout = (
+            folder,
+            count,
+            seed,
+            max_sockets,
+            checkout,
+        )
+        self.processes_by_number: dict[int, subprocess.Popen[bytes]] = {}
 
     def __enter__(self) -> AllocatorProcesses:
         return self
@@ -64,13 +72,13 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, at: TracebackType | None
     ) -> None:
-        for number in list(self.children):
-            self.end(number)
+        for number in list(self.processes_by_number):
+            self.kill(number)
 
     def name(self, number: int) -> str:
         return f"n{number}"
 
-    def log(self, number: int) -> Path:
+    def log_path(self, number: int) -> Path:
         return self.folder / f"{self.name(number)}.log"
 
     def configure(
@@ -83,7 +91,7 @@
             "name": self.name(number),
             "listen": "127.0.0.1:0",
             "seed": f"{(self.seed << 16) + number:016x}",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.max_sockets},
             "channel": f"{channel[0]}:{channel[1]}",
             "known": known,
             "settings": {**SETTINGS, **parts, "peers-total": self.count, "position": number},
@@ -98,41 +106,45 @@
             "ROUTER_NAME": self.name(number),
             "ROUTER_CONFIG": str(self.folder / f"{self.name(number)}.json"),
         }
-        if self.tree is not None:
-            environment["PYTHONPATH"] = str(self.tree)
-        with self.log(number).open("ab") as log:
-            self.children[number] = subprocess.Popen(
+        if self.checkout is not None:
+            environment["PYTHONPATH"] = str(self.checkout)
+        with self.log_path(number).open("ab") as log:
+            self.processes_by_number[number] = subprocess.Popen(
                 [sys.executable, "-m", "glencleat", "node"],
                 env=environment,
-                cwd=self.tree,
+                cwd=self.checkout,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
 
-    def ready(self, number: int) -> tuple[str, int] | None:
+    def listen_address(self, number: int) -> tuple[str, int] | None:
         """Where it listens, once it does; of its last start."""
-        said = self.log(number).read_bytes().rpartition(READY)[2] if self.log(number).exists() else b""
+        said = (
+            self.log_path(number).read_bytes().rpartition(READY_PREFIX)[2]
+            if self.log_path(number).exists()
+            else b""
+        )
         place = said.partition(b",")[0].decode()
         host, colon, port = place.rpartition(":")
         return (host, int(port)) if colon and port.isdigit() else None
 
-    def alive(self, number: int) -> bool:
-        child = self.children.get(number)
+    def is_alive(self, number: int) -> bool:
+        child = self.processes_by_number.get(number)
         return child is not None and child.poll() is None
 
     def resident_mb(self, number: int) -> float:
-        return float(psutil.Process(self.children[number].pid).memory_info().rss) / (1 << 20)
+        return float(psutil.Process(self.processes_by_number[number].pid).memory_info().rss) / (1 << 20)
 
     def stall(self, number: int) -> None:
-        self.children[number].send_signal(signal.SIGSTOP)
+        self.processes_by_number[number].send_signal(signal.SIGSTOP)
 
-    def go_on(self, number: int) -> None:
-        self.children[number].send_signal(signal.SIGCONT)
+    def resume(self, number: int) -> None:
+        self.processes_by_number[number].send_signal(signal.SIGCONT)
 
-    def end(self, number: int) -> None:
+    def kill(self, number: int) -> None:
         """Killed outright, also when it is stalled, and waited for."""
-        child = self.children.pop(number, None)
+        child = self.processes_by_number.pop(number, None)
         if child is not None:
             child.kill()
             child.wait()
--- a/glencleat/emulators/channel.py
+++ b/glencleat/emulators/channel.py
@@ -12,11 +12,13 @@
 from glencleat.event_loop import Listener, Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import Coroutine
 
-EVERY_MS = 1_000.0
-ASK = 100  # bytes at most of what an allocator writes
+CURSOR_INTERVAL_MS = 1_000.0
+MAX_REQUEST_BYTES = 100  # bytes at most of what an allocator writes
 
 
-def entry(name: str, port: int = 9, phase: str = "SERVING", started_ms: float = 0.0) -> dict[str, Any]:
+def make_list_entry(
+    name: str, port: int = 9, phase: str = "SERVING", started_ms: float = 0.0
+) -> dict[str, Any]:
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
@@ -35,30 +37,30 @@
 
     def __init__(self, loop: Loop, entries: list[dict[str, Any]]) -> None:
         self.loop, self.events, self.streams = loop, [self._event(1, True, entries)], set[Stream]()
-        self.asked: list[tuple[float, int]] = []  # when, from which number
-        self.whole = self.sent = 0  # whole lists, bytes
+        self.requests: list[tuple[float, int]] = []  # when, from which number
+        self.full_list_count = self.sent_bytes = 0  # whole lists, bytes
         self.listener = Listener(loop, ("127.0.0.1", 0), self._accepted)
         self.address = self.listener.address
-        loop.call_in(EVERY_MS, self._tick)
+        loop.call_in(CURSOR_INTERVAL_MS, self._tick)
 
     @staticmethod
     def _event(number: int, whole: bool, entries: list[dict[str, Any]]) -> bytes:
         nodes = {"generation": 1, "reset": whole, "instances": entries}
         return msgspec.json.encode({"cursor": number, "nodes": nodes}) + b"\n"
 
-    def known(self) -> dict[str, Any]:
+    def take_snapshot(self) -> dict[str, Any]:
         """As a configuration holds it at a start."""
         return {"cursor": len(self.events), "cmds": [msgspec.json.decode(event) for event in self.events]}
 
-    def tell(self, entries: list[dict[str, Any]]) -> None:
+    def publish(self, entries: list[dict[str, Any]]) -> None:
         event = self._event(len(self.events) + 1, False, entries)
         self.events.append(event)
         for stream in list(self.streams):
             self._put(stream, event)
 
     def _put(self, stream: Stream, data: bytes) -> None:
-        self.sent += len(data)
-        stream.put(data)
+        self.sent_bytes += len(data)
+        stream.try_send(data)
 
     def _accepted(self, stream: Stream) -> None:
         self.loop.spawn(self._serve(stream), "list service")
@@ -66,7 +68,7 @@
     def _serve(self, stream: Stream) -> Coroutine:
         data = b""
         try:
-            while not data.endswith(b"\n") and len(data) <= ASK:
+            while not data.endswith(b"\n") and len(data) <= MAX_REQUEST_BYTES:
                 more = yield from stream.read()
                 if not more:
                     return
@@ -76,8 +78,8 @@
                 stream.close("not an ask")
                 return
             number = int(words[1])
-            self.asked.append((self.loop.now(), number))
-            self.whole += number < 1
+            self.requests.append((self.loop.now(), number))
+            self.full_list_count += number < 1
             for event in self.events[number:]:
                 self._put(stream, event)
             self._line(stream)
@@ -94,7 +96,7 @@
         self._put(stream, msgspec.json.encode({"cursor": len(self.events)}) + b"\n")
 
     def _tick(self) -> None:
-        self.loop.call_in(EVERY_MS, self._tick)
+        self.loop.call_in(CURSOR_INTERVAL_MS, self._tick)
         for stream in list(self.streams):
             self._line(stream)
 
--- a/glencleat/emulators/rest_owners.py
+++ b/glencleat/emulators/rest_owners.py
@@ -14,15 +14,15 @@
 import msgspec
 
 from glencleat.checker.trace import TraceRecorder
-from glencleat.emulators.client import Address, Exchanges, HttpAnswer, Lines, Subscription
+from glencleat.emulators.client import Address, HttpAnswer, LineDecoder, RequestQueue, Subscription
 from glencleat.emulators.owners import EmulatedOwner, OwnerJob
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 from glencleat.mesos import messages as m
 
-PLACED = ("TASK_STARTING", "TASK_RUNNING")
-RECONCILED = "REASON_RECONCILIATION"
-REPEAT_MS = 300.0  # before a request whose answer did not come is sent again
+PLACED_STATES = ("TASK_STARTING", "TASK_RUNNING")
+RECONCILIATION_REASON = "REASON_RECONCILIATION"
+RESEND_DELAY_MS = 300.0  # before a request whose answer did not come is sent again
 
 
 @dataclass(slots=True, eq=False)
@@ -31,12 +31,12 @@
     target: str
     body: bytes
     headers: dict[str, str]
-    done: Callable[[HttpAnswer], None]
-    wrote: Callable[[], None] = lambda: None
-    until: float = 0.0  # it is sent again till then, if no answer comes
+    on_done: Callable[[HttpAnswer], None]
+    on_written: Callable[[], None] = lambda: None
+    resend_until: float = 0.0  # it is sent again till then, if no answer comes
 
 
-class Requests(Exchanges[RestTaskRequest]):
+class RestRequestQueue(RequestQueue[RestTaskRequest]):
     """Requests of the REST front; one whose answer did not come is sent again."""
 
     def __init__(self, loop: Loop, address: Address) -> None:
@@ -44,11 +44,13 @@
 
     def _send(self, item: RestTaskRequest) -> Coroutine:
         while True:
-            answer = yield from self.exchange(item.method, item.target, item.headers, item.body, item.wrote)
-            if answer is not None or self.loop.now() >= item.until:
+            answer = yield from self.exchange(
+                item.method, item.target, item.headers, item.body, item.on_written
+            )
+            if answer is not None or self.loop.now() >= item.resend_until:
                 break
-            yield from self.loop.sleep(REPEAT_MS)
-        item.done(answer or HttpAnswer())
+            yield from self.loop.sleep(RESEND_DELAY_MS)
+        item.on_done(answer or HttpAnswer())
 
 
 class RestOwner(EmulatedOwner):
@@ -65,70 +67,74 @@
         seed: int,
         done: Callable[[OwnerJob], None] = lambda job: None,
     ) -> None:
-        self.requests = Requests(loop, address)
-        self.version = ""
-        self.live = False
-        self.states: dict[str, str] = {}  # last state recorded of each task
-        self.wait_ms: dict[str, float] = {}  # job -> longer patience than the class's deadline
-        self.reasons: dict[str, Any] = {}  # job -> its last reason record
+        self.request_queue = RestRequestQueue(loop, address)
+        self.resource_version = ""
+        self.has_subscribed = False
+        self.recorded_state_by_job: dict[str, str] = {}  # last state recorded of each task
+        self.timeout_ms_by_job: dict[str, float] = {}  # job -> longer patience than the class's deadline
+        self.reason_by_job: dict[str, Any] = {}  # job -> its last reason record
         super().__init__(loop, recorder, name, role, allocator, address, seed, done)
-        self.framework = f"rest:{role}"
-        self.place = f"/v1/tenants/{quote(role, safe='')}"
+        self.framework_id = f"rest:{role}"
+        self.tenant_path = f"/v1/tenants/{quote(role, safe='')}"
 
     # ---- the watch ----
 
-    def subscription(self) -> Subscription:
+    def make_subscription(self) -> Subscription:
         selector = quote(f"owner={self.name}", safe="")
-        target = f"{self.place}/tasks?watch=1&labelSelector={selector}"
-        if self.version:
-            target += f"&resourceVersion={self.version}"
-        return Subscription(self.loop, self.address, target, "GET", Lines())
+        target = f"{self.tenant_path}/tasks?watch=1&labelSelector={selector}"
+        if self.resource_version:
+            target += f"&resourceVersion={self.resource_version}"
+        return Subscription(self.loop, self.address, target, "GET", LineDecoder())
 
-    def hello(self) -> bytes:
+    def subscribe_body(self) -> bytes:
         return b""
 
-    def rejected(self, status: int) -> None:
+    def on_rejected(self, status: int) -> None:
         if status == 410:
-            self.version = ""  # too old, or another incarnation's: all that is there is told anew
+            self.resource_version = ""  # too old, or another incarnation's: all that is there is told anew
 
-    def follow(self, stream: Subscription) -> Coroutine:
-        if not self.live:
-            self.live, self.offer = True, "rest"  # it may ask from here on
-            waiting, self.unsent = self.unsent, []
+    def read_events(self, stream: Subscription) -> Coroutine:
+        if not self.has_subscribed:
+            self.has_subscribed, self.offer_id = True, "rest"  # it may ask from here on
+            waiting, self.unsent_jobs = self.unsent_jobs, []
             for job in waiting:
                 self._send(job)
         while True:
-            while self.slow:
+            while self.is_slow:
                 yield from self.loop.sleep(50.0)
-            lines = yield from stream.records()
+            lines = yield from stream.read_records()
             if not lines:
                 return
             for line in lines:
                 event = msgspec.json.decode(line)
                 if event["type"] == "ERROR":
-                    self.version = ""
+                    self.resource_version = ""
                     return
-                self.version = event["object"]["resourceVersion"]
+                self.resource_version = event["object"]["resourceVersion"]
                 if event["type"] in ("ADDED", "MODIFIED"):
                     self._task(event["object"])
 
-    def left(self) -> None:
-        if self.live and self.stream is not None and self.stream.stream is not None:
+    def on_disconnected(self) -> None:
+        if (
+            self.has_subscribed
+            and self.active_subscription is not None
+            and self.active_subscription.stream is not None
+        ):
             self.recorder.add("cut", who=self.name, allocator=self.allocator)
 
     def _task(self, task: dict[str, Any]) -> None:
-        job = self.jobs.get(task["job"]) if "job" in task else None
+        job = self.jobs_by_id.get(task["job"]) if "job" in task else None
         if job is None:
             return
         state, retry, reason = task["state"], task.get("retry", ""), task.get("reason", "")
         if state == "TASK_STAGING":
-            self.reasons[job.id] = task.get("why")
-            self.states.pop(job.id, None)
+            self.reason_by_job[job.id] = task.get("why")
+            self.recorded_state_by_job.pop(job.id, None)
             return
-        if self.states.get(job.id) == state:
+        if self.recorded_state_by_job.get(job.id) == state:
             return
-        self.states[job.id] = state
-        if task.get("answer") == "served" and job.state == "asked" and state not in PLACED:
+        self.recorded_state_by_job[job.id] = state
+        if task.get("answer") == "served" and job.state == "asked" and state not in PLACED_STATES:
             # A watch tells states and not each step: one that was placed and over between two looks of the
             # front comes as over, and `answer` says that it was placed.
             self._answered(job, "TASK_RUNNING", "never", "", f"{task['resourceVersion']} answer")
@@ -136,32 +142,34 @@
 
     def _answered(self, job: OwnerJob, state: str, retry: str, reason: str, text: str) -> None:
         self.recorder.add(
-            "answer", who=self.name, allocator=self.allocator, task=self.task_of(job),
+            "answer", who=self.name, allocator=self.allocator, task=self.task_name(job),
             state=state, retry=retry, reason=reason, text=text,
         )  # fmt: skip
         self._heard(job, state, retry)
 
     # ---- asking ----
 
-    def task_of(self, job: OwnerJob) -> str:
-        return f"{self.framework}/{job.id}.0"
+    def task_name(self, job: OwnerJob) -> str:
+        return f"{self.framework_id}/{job.id}.0"
 
-    def ask(self, job: OwnerJob) -> None:
-        self.jobs[job.id] = job
-        job.first_at = job.first_at or self.loop.now()
+    def request_task(self, job: OwnerJob) -> None:
+        self.jobs_by_id[job.id] = job
+        job.first_requested_at = job.first_requested_at or self.loop.now()
         job.state = "waits"
-        if self.live:
+        if self.has_subscribed:
             self._send(job)
         else:
-            self.unsent.append(job)
+            self.unsent_jobs.append(job)
 
     def _send(self, job: OwnerJob) -> None:
         if job.state != "waits":
             return
-        job.state, job.asked_at, job.end = "asked", self.loop.now(), "unanswered"
-        job.asks += 1
-        if job.asks > 1:
-            self._request("DELETE", f"{self.place}/jobs/{job.id}", b"", lambda answer: self._post_job(job))
+        job.state, job.requested_at, job.outcome = "asked", self.loop.now(), "unanswered"
+        job.request_count += 1
+        if job.request_count > 1:
+            self._request(
+                "DELETE", f"{self.tenant_path}/jobs/{job.id}", b"", lambda answer: self._post_job(job)
+            )
         else:
             self._post_job(job)
 
@@ -170,18 +178,18 @@
     ) -> None:
         headers = {"content-type": "application/json"} if body else {}
         headers |= more.pop("headers", {})
-        self.requests.put(RestTaskRequest(method, target, body, headers, done, **more))
+        self.request_queue.put(RestTaskRequest(method, target, body, headers, done, **more))
 
     def _post_job(self, job: OwnerJob) -> None:
         if job.state != "asked":
             return
-        patience = self.wait_ms.get(job.id, job.want.deadline_ms)
+        patience = self.timeout_ms_by_job.get(job.id, job.template.deadline_ms)
         spec = {
-            "class": job.want.cls, "service": job.service, "cores": job.cores, "memory": job.memory,
-            "waitMs": patience, "lifeMs": job.life_ms, "key": job.id,
+            "class": job.template.task_class, "service": job.service, "cores": job.cores,
+            "memory": job.memory, "waitMs": patience, "lifeMs": job.life_ms, "key": job.id,
         }  # fmt: skip
         body = msgspec.json.encode({"name": job.id, "labels": {"owner": self.name}, "spec": spec})
-        self.states.pop(job.id, None)
+        self.recorded_state_by_job.pop(job.id, None)
         begun = False
 
         def wrote() -> None:
@@ -191,10 +199,10 @@
                 self._wrote(job)
                 self._wait(job, patience, lambda: self._gave_up(job))
 
-        key = {"idempotency-key": f"{job.id}-{job.asks}"}
+        key = {"idempotency-key": f"{job.id}-{job.request_count}"}
         until = self.loop.now() + patience
         self._request(
-            "POST", f"{self.place}/jobs", body, lambda answer: self._posted(job, answer),
+            "POST", f"{self.tenant_path}/jobs", body, lambda answer: self._posted(job, answer),
             headers=key, wrote=wrote, until=until,
         )  # fmt: skip
 
@@ -206,26 +214,26 @@
 
     def _reconcile(self, ids: list[str]) -> None:
         for name in ids:
-            target = f"{self.place}/tasks/{quote(self.framework, safe='')}/{name}.0"
+            target = f"{self.tenant_path}/tasks/{quote(self.framework_id, safe='')}/{name}.0"
             self._request("GET", target, b"", lambda answer, name=name: self._got(name, answer))  # type: ignore[misc]
 
     def _got(self, name: str, answer: HttpAnswer) -> None:
-        job = self.jobs.get(name)
+        job = self.jobs_by_id.get(name)
         if job is None or answer.status != 200:
             return
         task = msgspec.json.decode(answer.body)
-        self._answered(job, task["state"], task.get("retry", ""), RECONCILED, "")
+        self._answered(job, task["state"], task.get("retry", ""), RECONCILIATION_REASON, "")
 
     def _post(self, kind: str, wrote: Callable[[], None] | None = None, **parts: object) -> None:
         raise AssertionError(f"{kind} is no call of this front")
 
-    def cancel(self, job: OwnerJob) -> None:
+    def cancel_job(self, job: OwnerJob) -> None:
         """Asks that the job be stopped."""
-        self._request("DELETE", f"{self.place}/jobs/{job.id}", b"", lambda answer: None)
+        self._request("DELETE", f"{self.tenant_path}/jobs/{job.id}", b"", lambda answer: None)
 
     def _event(self, event: m.SchedulerEvent) -> None:
         raise AssertionError("no event of this front")
 
-    def end(self) -> None:
-        super().end()
-        self.requests.close()
+    def close(self) -> None:
+        super().close()
+        self.request_queue.close()
--- a/glencleat/emulators/script.py
+++ b/glencleat/emulators/script.py
@@ -25,20 +25,24 @@
 from glencleat.checker.invariants import RuleParameters, SpreadRule
 from glencleat.config import AllocatorConfig
 from glencleat.config.load import KeywordTables, load, load_as
-from glencleat.config.schema import SIZES, Count, Megabytes, Milliseconds, Name, Part, parse_unit
-from glencleat.emulators.proxy_faults import Door, Way
+from glencleat.config.schema import MB_BY_UNIT, Count, Megabytes, Milliseconds, Name, StrictModel, parse_unit
+from glencleat.emulators.proxy_faults import AcceptMode, Direction
 
 HOST_FAULTS = ("crash", "false-full", "silent", "quiet", "flush", "neighbour", "late-reports")
 TASK_FAULTS = ("grow", "burst")
 OWNER_FAULTS = ("cut", "slow")
-WORDS = {"directory": "fails", "list": "empty"}
+FIXED_ARGUMENTS = {"directory": "fails", "list": "empty"}
 WIRE_FAULTS = ("wire", "reset", "half-open")
 PROCESS_FAULTS = ("stall", "kill")
-PLACES = ("list", "agents", "owners")
-HALLS_AND_HOSTS = ("hall", "drain", "deploy", *HOST_FAULTS, *TASK_FAULTS)
-FAULTS = (*HALLS_AND_HOSTS, *PROCESS_FAULTS, *OWNER_FAULTS, *WORDS, *WIRE_FAULTS)
+WIRE_PLACES = ("list", "agents", "owners")
+HALL_AND_HOST_FAULTS = ("hall", "drain", "deploy", *HOST_FAULTS, *TASK_FAULTS)
+FAULTS = (*HALL_AND_HOST_FAULTS, *PROCESS_FAULTS, *OWNER_FAULTS, *FIXED_ARGUMENTS, *WIRE_FAULTS)
 WIRE_FIELDS = ("cut", "delay", "spread", "rate", "door", "most")
-WAYS = {"there": frozenset({Way.THERE}), "back": frozenset({Way.BACK}), "both": frozenset(Way)}
+DIRECTIONS_BY_WORD = {
+    "there": frozenset({Direction.TO_TARGET}),
+    "back": frozenset({Direction.FROM_TARGET}),
+    "both": frozenset(Direction),
+}
 
 
 def _share(value: Any) -> Any:
@@ -54,21 +58,21 @@
 
 
 def _memories(value: Any) -> Any:
-    return [parse_unit(part, SIZES, "2GB") for part in _list(value)]
+    return [parse_unit(part, MB_BY_UNIT, "2GB") for part in _list(value)]
 
 
-MB = 1 << 20
+BYTES_PER_MB = 1 << 20
 Share = Annotated[float, BeforeValidator(_share), Field(gt=0, le=1)]
 
 
-class PlaySection(Part):
+class PlaySection(StrictModel):
     seed: Annotated[int, Field(ge=0)] = 1
     warm: Milliseconds = 0.0  # from all being up to the first ask
     length: Milliseconds = 30_000.0
     settle: Milliseconds = 12_000.0  # after the last ask, for answers and ends
 
 
-class HostsSection(Part):
+class HostsSection(StrictModel):
     count: Count = 12
     halls: Annotated[tuple[Name, ...], BeforeValidator(_list)] = ("hall-a", "hall-b", "hall-c")
     decide: Milliseconds = 8.0
@@ -79,24 +83,24 @@
     heartbeat: Milliseconds = 1_000.0
 
 
-class OwnersSection(Part):
+class OwnersSection(StrictModel):
     count: Count = 30
     rate: Annotated[float, Field(gt=0, le=5_000)] = 20.0  # new tasks a second, of all
     rest: Annotated[float, BeforeValidator(_share), Field(ge=0, le=1)] = 0.0  # so many come by the REST front
 
 
-class AllocatorsSection(Part):
+class AllocatorsSection(StrictModel):
     count: Annotated[int, Field(ge=1, le=64)] = 3
     keep_list: Literal["yes", "no"] = "no"  # each over its own restarts
 
 
-class DirectoryPart(Part):
+class DirectorySection(StrictModel):
     late: Milliseconds = 1_000.0
     every: Milliseconds = 500.0
     retry_after: Milliseconds = 0.0  # what it says while it fails, in whole seconds; 0: nothing
 
 
-class WantPart(Part):
+class WantSection(StrictModel):
     cls: Name
     share: Share
     cores: Annotated[tuple[float, ...], BeforeValidator(_list)]
@@ -106,7 +110,7 @@
     services: Count = 10
 
     @model_validator(mode="after")
-    def _even(self) -> WantPart:
+    def _even(self) -> WantSection:
         if len(self.cores) != len(self.memory):
             raise ValueError(
                 f"{len(self.cores)} cores and {len(self.memory)} memories; expected as many of each"
@@ -114,7 +118,7 @@
         return self
 
 
-class At(Part):
+class ScriptFault(StrictModel):
     time: Milliseconds
     fault: str
     what: str
@@ -128,24 +132,26 @@
     most: Annotated[int, Field(ge=0, le=1_000_000)] = 0
 
     @model_validator(mode="after")
-    def _known(self) -> At:
+    def _known(self) -> ScriptFault:
         if self.fault not in FAULTS:
             raise ValueError(f"fault is {self.fault!r}; expected one of {', '.join(FAULTS)}")
         if self.fault in HOST_FAULTS + OWNER_FAULTS + TASK_FAULTS:
             _share(self.what)
         if self.fault in ("drain", "deploy") and not self.what.isdigit():
             raise ValueError(f"{self.fault} {self.what!r}; expected a number of hosts")
-        if self.fault in WORDS and self.what != WORDS[self.fault]:
-            raise ValueError(f"{self.fault} {self.what!r}; expected {self.fault} {WORDS[self.fault]}")
+        if self.fault in FIXED_ARGUMENTS and self.what != FIXED_ARGUMENTS[self.fault]:
+            raise ValueError(
+                f"{self.fault} {self.what!r}; expected {self.fault} {FIXED_ARGUMENTS[self.fault]}"
+            )
         if self.fault in PROCESS_FAULTS and self.what.endswith("%"):
             _share(self.what)
         self._wired()
         return self
 
     def _wired(self) -> None:
-        fields = self.fields()
-        if self.fault in WIRE_FAULTS and self.what not in (*PLACES, "all"):
-            raise ValueError(f"{self.fault} {self.what!r}; expected one of {', '.join(PLACES)}, all")
+        fields = self.state_overrides()
+        if self.fault in WIRE_FAULTS and self.what not in (*WIRE_PLACES, "all"):
+            raise ValueError(f"{self.fault} {self.what!r}; expected one of {', '.join(WIRE_PLACES)}, all")
         if self.fault == "wire" and not (fields and self.duration):
             told = ", ".join(WIRE_FIELDS)
             raise ValueError(f"wire says nothing; expected for TIME and one of {told}")
@@ -154,28 +160,28 @@
         if self.of and self.fault not in WIRE_FAULTS:
             raise ValueError(f"{self.fault} of {self.of}; expected that of {', '.join(WIRE_FAULTS)} only")
 
-    def share(self) -> float:
+    def parse_share(self) -> float:
         return float(_share(self.what))
 
-    def places(self) -> tuple[str, ...]:
+    def wire_places(self) -> tuple[str, ...]:
         """Where its wires are; none for a fault of another kind."""
         if self.fault not in WIRE_FAULTS:
             return ()
-        return PLACES if self.what == "all" else (self.what,)
+        return WIRE_PLACES if self.what == "all" else (self.what,)
 
-    def fields(self) -> dict[str, Any]:
+    def state_overrides(self) -> dict[str, Any]:
         """Of a wire's state, as `wire.State` names and measures them."""
         told: dict[str, Any] = {
-            "cut": WAYS[self.cut] if self.cut else None,
+            "cut": DIRECTIONS_BY_WORD[self.cut] if self.cut else None,
             "delay_ms": self.delay,
             "spread_ms": self.spread,
-            "rate": self.rate * MB if self.rate else 0.0,
-            "door": Door(self.door) if self.door else None,
+            "rate": self.rate * BYTES_PER_MB if self.rate else 0.0,
+            "door": AcceptMode(self.door) if self.door else None,
             "most": self.most,
         }
         return {name: value for name, value in told.items() if value}
 
-    def effect(self) -> str:
+    def wire_effect(self) -> str:
         """What it does to a wire, for the record: it holds bytes back, lets nobody in, or makes them late."""
         if self.cut or self.rate:
             return "holds"
@@ -187,15 +193,15 @@
         return " ".join([told, *(f"{name} {value}" for name, value in more.items() if value)])
 
 
-class Script(Part):
+class Script(StrictModel):
     campus: str
     play: PlaySection = PlaySection()
     hosts: HostsSection = HostsSection()
     owners: OwnersSection = OwnersSection()
     allocators: AllocatorsSection = AllocatorsSection()
-    directory: DirectoryPart = DirectoryPart()
-    wants: Annotated[tuple[WantPart, ...], Field(min_length=1)]
-    at: tuple[At, ...] = ()
+    directory: DirectorySection = DirectorySection()
+    wants: Annotated[tuple[WantSection, ...], Field(min_length=1)]
+    at: tuple[ScriptFault, ...] = ()
 
     @model_validator(mode="after")
     def _names(self) -> Script:
@@ -211,7 +217,7 @@
         return self
 
 
-PAIRS: dict[str, tuple[tuple[str, ...], str, bool]] = {
+KEYWORDS: dict[str, tuple[tuple[str, ...], str, bool]] = {
     "play": ((), "play", False),
     "hosts": ((), "hosts", False),
     "owners": ((), "owners", False),
@@ -224,10 +230,10 @@
 
 def load_script(path: Path) -> Script:
     """Reads and checks a play's file; raises ConfigError."""
-    return load_as(Script, KeywordTables(PAIRS, {"campus": "campus"}), path)
+    return load_as(Script, KeywordTables(KEYWORDS, {"campus": "campus"}), path)
 
 
-def load_campus(path: Path) -> AllocatorConfig:
+def load_shared_config(path: Path) -> AllocatorConfig:
     """What all allocators of a play share; who they are is the play's to say."""
 
     def fill(said: dict[str, Any]) -> None:
@@ -238,7 +244,7 @@
     return load(path, fill)
 
 
-def figures(campus: AllocatorConfig) -> RuleParameters:
+def make_rule_parameters(campus: AllocatorConfig) -> RuleParameters:
     """What the five rules state for this campus."""
     keyed = [c for c in campus.classes if c.effect == "keyed"]
     return RuleParameters(
--- a/glencleat/emulators/standalone.py
+++ b/glencleat/emulators/standalone.py
@@ -14,28 +14,28 @@
 from glencleat.emulators.client import Address
 from glencleat.emulators.directory import Directory, DirectoryEntry
 from glencleat.emulators.hosts import EmulatedHost
-from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
+from glencleat.emulators.machine import MachineProfile
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob, TaskTemplate
 from glencleat.emulators.rest_owners import RestOwner
 from glencleat.emulators.script import Script
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import Coroutine
 
 
-def nature(script: Script, campus: AllocatorConfig) -> Nature:
+def make_machine_profile(script: Script, campus: AllocatorConfig) -> MachineProfile:
     """How the hosts of a play behave."""
-    return Nature(
-        accept_cores=campus.accept.cores,
-        accept_memory=campus.accept.memory,
+    return MachineProfile(
+        cores_overcommit=campus.accept.cores,
+        memory_overcommit=campus.accept.memory,
         decide_ms=script.hosts.decide,
-        line=script.hosts.line,
+        max_queued_offers=script.hosts.line,
         start_ms=script.hosts.start,
-        warm_ms=campus.cold.warm or 1.0,
-        tip_offers=script.hosts.tip_offers,
+        warm_up_ms=campus.cold.warm or 1.0,
+        max_cold_offers=script.hosts.tip_offers,
     )
 
 
-def hosts(
+def make_hosts(
     loop: Loop, recorder: TraceRecorder, script: Script, campus: AllocatorConfig, random: Random
 ) -> list[EmulatedHost]:
     """The hosts of a play, not started: kinds and halls in turn, four racks a hall."""
@@ -46,14 +46,14 @@
         cell = i // len(told.halls) % 4
         made.append(
             EmulatedHost(
-                loop, recorder, f"h{i:02d}", kind.name, size, hall, cell, nature(script, campus),
-                random.getrandbits(32), told.heartbeat, told.report,
+                loop, recorder, f"h{i:02d}", kind.name, size, hall, cell,
+                make_machine_profile(script, campus), random.getrandbits(32), told.heartbeat, told.report,
             )
         )  # fmt: skip
     return made
 
 
-def owners(
+def make_owners(
     loop: Loop,
     recorder: TraceRecorder,
     script: Script,
@@ -78,20 +78,27 @@
     return made
 
 
-def entry(host: EmulatedHost, draining: bool = False) -> DirectoryEntry:
+def make_directory_entry(host: EmulatedHost, draining: bool = False) -> DirectoryEntry:
     machine = host.machine
     size = machine.cores, machine.memory
     return DirectoryEntry(
-        host.name, machine.kind, host.zone, host.cell, *size, draining, host.up_wall, machine.asked()
+        host.name,
+        machine.kind,
+        host.zone,
+        host.cell,
+        *size,
+        draining,
+        host.started_wall_ms,
+        machine.allocated(),
     )
 
 
-def job(script: Script, campus: AllocatorConfig, random: Random, number: int) -> OwnerJob:
+def make_job(script: Script, campus: AllocatorConfig, random: Random, number: int) -> OwnerJob:
     """A task as the play's `want` lines describe them."""
     part = random.choices(script.wants, [want.share for want in script.wants])[0]
     cls = next(c for c in campus.classes if c.name == part.cls)
     sizes = tuple(zip(part.cores, part.memory, strict=True))
-    want = Want(cls.name, cls.effect, cls.deadline, sizes, (part.life_from, part.life_to))
+    want = TaskTemplate(cls.name, cls.effect, cls.deadline, sizes, (part.life_from, part.life_to))
     cores, memory = random.choice(sizes)
     service = f"{part.cls}-{random.randrange(part.services)}"
     life = random.uniform(part.life_from, part.life_to)
@@ -103,7 +110,7 @@
 ) -> Directory:
     """Serves the hosts of the script as a list, one address for each allocator."""
     random, recorder = Random(script.play.seed), TraceRecorder(loop.now)
-    listed = [entry(host) for host in hosts(loop, recorder, script, campus, random)]
+    listed = [make_directory_entry(host) for host in make_hosts(loop, recorder, script, campus, random)]
     directory = Directory(loop, recorder, lambda: listed, script.directory.late, script.directory.every)
     for name, address in listen:
         directory.listen(name, address)
@@ -115,9 +122,9 @@
     loop: Loop, script: Script, campus: AllocatorConfig, allocators: list[tuple[str, Address]]
 ) -> list[EmulatedHost]:
     random, recorder = Random(script.play.seed), TraceRecorder(loop.now)
-    made = hosts(loop, recorder, script, campus, random)
+    made = make_hosts(loop, recorder, script, campus, random)
     for host in made:
-        host.allocators = dict(allocators)
+        host.allocator_addresses = dict(allocators)
         host.start(cold=False)
     return made
 
@@ -129,18 +136,18 @@
     random, recorder, ends = Random(script.play.seed), TraceRecorder(loop.now), Counter[str]()
 
     def done(job: OwnerJob) -> None:
-        ends[job.end or "not asked"] += 1
+        ends[job.outcome or "not asked"] += 1
 
-    made = owners(loop, recorder, script, allocators, random, done)
+    made = make_owners(loop, recorder, script, allocators, random, done)
 
     def asking() -> Coroutine:
         until, number = loop.now() + script.play.length, 0
         while loop.now() < until:
             yield from loop.sleep(random.expovariate(script.owners.rate) * 1_000.0)
             number += 1
-            random.choice(made).ask(job(script, campus, random, number))
+            random.choice(made).request_task(make_job(script, campus, random, number))
         yield from loop.sleep(script.play.settle)
-        ends["open"] = sum(len(owner.jobs) for owner in made)
+        ends["open"] = sum(len(owner.jobs_by_id) for owner in made)
         return number
 
     return asking(), ends
--- a/glencleat/endpoint_snapshot.py
+++ b/glencleat/endpoint_snapshot.py
@@ -16,7 +16,7 @@
 from glencleat import interface as api
 
 FORMAT = 1
-AHEAD_MS = 1_000.0  # of our clock: one that was set back says nothing about a list's age
+MAX_CLOCK_SKEW_MS = 1_000.0  # of our clock: one that was set back says nothing about a list's age
 
 
 class EndpointSnapshotError(Exception):
@@ -61,7 +61,7 @@
 )
 
 
-def kept(machine: api.Machine, now_ms: float, wall_ms: float) -> MachineRecord:
+def to_record(machine: api.Machine, now_ms: float, wall_ms: float) -> MachineRecord:
     ready = machine.ready_at_ms
     return MachineRecord(
         machine.name,
@@ -80,17 +80,17 @@
     return b"%08x %b\n" % (crc32(data), data)
 
 
-def whole(pool: str, machines: Iterable[api.Machine], now_ms: float, wall_ms: float) -> bytes:
+def encode_snapshot(pool: str, machines: Iterable[api.Machine], now_ms: float, wall_ms: float) -> bytes:
     return _line(
-        SnapshotRecord(FORMAT, pool, wall_ms, [kept(machine, now_ms, wall_ms) for machine in machines])
+        SnapshotRecord(FORMAT, pool, wall_ms, [to_record(machine, now_ms, wall_ms) for machine in machines])
     )
 
 
-def change(machine: api.Machine, now_ms: float, wall_ms: float) -> bytes:
-    return _line(ChangeRecord(wall_ms, kept(machine, now_ms, wall_ms)))
+def encode_change(machine: api.Machine, now_ms: float, wall_ms: float) -> bytes:
+    return _line(ChangeRecord(wall_ms, to_record(machine, now_ms, wall_ms)))
 
 
-def read(data: bytes) -> EndpointSnapshot:
+def decode_snapshot(data: bytes) -> EndpointSnapshot:
     """Raises BadList."""
     *lines, _ = data.split(b"\n")  # what follows the last line end was being written
     found: EndpointSnapshot | None = None
@@ -122,19 +122,19 @@
         raise EndpointSnapshotError(f"line {number}: {error}") from None
 
 
-def usable(found: EndpointSnapshot, pool: str, wall_ms: float, most_age_ms: float) -> str | None:
+def unusable_reason(found: EndpointSnapshot, pool: str, wall_ms: float, most_age_ms: float) -> str | None:
     """Why not, or None."""
     age = wall_ms - found.at_ms
     if found.pool != pool:
         return f"it is of pool {found.pool}, not {pool}"
-    if age < -AHEAD_MS:
+    if age < -MAX_CLOCK_SKEW_MS:
         return f"it was written {-age / 1e3:.0f} s ahead of our clock"
     if age > most_age_ms:
         return f"it is {age / 1e3:.0f} s old; at most {most_age_ms / 1e3:.0f} s"
     return None
 
 
-def machines(found: EndpointSnapshot, now_ms: float, wall_ms: float) -> tuple[api.Machine, ...]:
+def restore_machines(found: EndpointSnapshot, now_ms: float, wall_ms: float) -> tuple[api.Machine, ...]:
     """As the list would tell them; raises BadList. One that is gone is left out."""
     told = []
     for one in found.machines.values():
--- a/glencleat/event_loop/loop.py
+++ b/glencleat/event_loop/loop.py
@@ -15,7 +15,7 @@
 
 Arm = Callable[["LoopTask"], Callable[[], None]]  # starts a wait, returns what ends it early
 Coroutine = Generator[Arm, Any, Any]
-MOST_EVENTS = 4_096  # of one poll; more than there are descriptors, so that it tells of all that has come
+MAX_EVENTS = 4_096  # of one poll; more than there are descriptors, so that it tells of all that has come
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 
 
@@ -42,7 +42,9 @@
 class Poller(Protocol):
     idle_ms: float  # spent waiting, in all
 
-    def watch(self, fd: int, interest: int, call: Callable[[int], None], last: bool = False) -> None: ...
+    def watch(
+        self, fd: int, interest: int, call: Callable[[int], None], is_deferred: bool = False
+    ) -> None: ...
     def change(self, fd: int, interest: int) -> None: ...
     def forget(self, fd: int) -> None: ...
     def poll(self, timeout_ms: float | None) -> int: ...
@@ -51,38 +53,38 @@
 class EpollPoller:
     """Level-triggered epoll with a callback for each descriptor.
 
-    `last`: called once all others of the poll were, for what has to know what they were told: who comes in
-    may put out one on whom something has come."""
+    `is_deferred`: called once all others of the poll were, for what has to know what they were told: who
+    comes in may put out one on whom something has come."""
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
-        self.calls: dict[int, Callable[[int], None]] = {}
-        self.last: set[int] = set()
+        self.callbacks_by_fd: dict[int, Callable[[int], None]] = {}
+        self.deferred_fds: set[int] = set()
         self.idle_ms = 0.0
 
-    def watch(self, fd: int, interest: int, call: Callable[[int], None], last: bool = False) -> None:
+    def watch(self, fd: int, interest: int, call: Callable[[int], None], is_deferred: bool = False) -> None:
         self.epoll.register(fd, interest)
-        self.calls[fd] = call
-        if last:
-            self.last.add(fd)
+        self.callbacks_by_fd[fd] = call
+        if is_deferred:
+            self.deferred_fds.add(fd)
 
     def change(self, fd: int, interest: int) -> None:
         self.epoll.modify(fd, interest)
 
     def forget(self, fd: int) -> None:
-        if self.calls.pop(fd, None) is not None:
+        if self.callbacks_by_fd.pop(fd, None) is not None:
             self.epoll.unregister(fd)
-            self.last.discard(fd)
+            self.deferred_fds.discard(fd)
 
     def poll(self, timeout_ms: float | None) -> int:
         wait = None if timeout_ms is None else max(0.0, timeout_ms) / 1000.0
         began = time.monotonic()
-        events = self.epoll.poll(wait, MOST_EVENTS)
+        events = self.epoll.poll(wait, MAX_EVENTS)
         self.idle_ms += 1_000.0 * (time.monotonic() - began)
-        if self.last:
-            events.sort(key=lambda event: event[0] in self.last)
+        if self.deferred_fds:
+            events.sort(key=lambda event: event[0] in self.deferred_fds)
         for fd, mask in events:
-            call = self.calls.get(fd)  # an earlier callback of this round may have closed it
+            call = self.callbacks_by_fd.get(fd)  # an earlier callback of this round may have closed it
             if call is not None:
                 call(mask)
         return len(events)
@@ -92,11 +94,11 @@
     """A running generator. Its children are cancelled when it ends."""
 
     __slots__ = (
-        "gen", "name", "parent", "urgent", "children", "done", "result", "error", "disarm", "joiners"
+        "generator", "name", "parent", "is_urgent", "children", "done", "result", "error", "disarm", "joiners"
     )  # fmt: skip
 
-    def __init__(self, gen: Coroutine, name: str, parent: LoopTask | None, urgent: bool = False) -> None:
-        self.gen, self.name, self.parent, self.urgent = gen, name, parent, urgent
+    def __init__(self, gen: Coroutine, name: str, parent: LoopTask | None, is_urgent: bool = False) -> None:
+        self.generator, self.name, self.parent, self.is_urgent = gen, name, parent, is_urgent
         self.children: set[LoopTask] = set()
         self.done, self.result = False, None
         self.error: BaseException | None = None
@@ -122,10 +124,14 @@
         self.poller = poller or EpollPoller()
         self.timers: Timers = timers or TimerWheel(self.clock.now())
         self.ready: deque[tuple[LoopTask, Any, BaseException | None]] = deque()
-        self.first: deque[tuple[LoopTask, Any, BaseException | None]] = deque()  # the urgent ones of these
-        self.due: deque[Timer] = deque()  # of this round; an error in one leaves the others to the next
-        self.running = False
-        self.current: LoopTask | None = None
+        self.urgent_ready: deque[tuple[LoopTask, Any, BaseException | None]] = (
+            deque()
+        )  # the urgent ones of these
+        self.due_timers: deque[Timer] = (
+            deque()
+        )  # of this round; an error in one leaves the others to the next
+        self.is_running = False
+        self.current_task: LoopTask | None = None
         self.on_error: Callable[[LoopTask, BaseException], None] = self._raise
 
     @staticmethod
@@ -139,12 +145,13 @@
         return self.timers.add(self.clock.now() + in_ms, call)
 
     def spawn(
-        self, gen: Coroutine, name: str, parent: LoopTask | None = None, urgent: bool = False
+        self, gen: Coroutine, name: str, parent: LoopTask | None = None, is_urgent: bool = False
     ) -> LoopTask:
-        """`urgent`: what the poller wakes it for is handled before all timers and other tasks of that round.
+        """`is_urgent`: what the poller wakes it for is handled before all timers and other tasks of that
+        round.
 
         For what all the others have to know: after a standstill they would act on what is no longer so."""
-        task = LoopTask(gen, name, parent, urgent)
+        task = LoopTask(gen, name, parent, is_urgent)
         if parent is not None:
             parent.children.add(task)
         self.ready.append((task, None, None))
@@ -153,7 +160,7 @@
     def wake(self, task: LoopTask, value: Any = None) -> None:
         """Ends the task's present wait; it goes on in this round of the loop."""
         task.disarm = None
-        (self.first if task.urgent else self.ready).append((task, value, None))
+        (self.urgent_ready if task.is_urgent else self.ready).append((task, value, None))
 
     def cancel(self, task: LoopTask) -> None:
         if task.done:
@@ -188,9 +195,9 @@
         if error is not None and task.disarm is not None:
             task.disarm()  # it was woken and has begun another wait since it was cancelled
         task.disarm = None
-        self.current = task
+        self.current_task = task
         try:
-            arm = task.gen.send(value) if error is None else task.gen.throw(error)
+            arm = task.generator.send(value) if error is None else task.generator.throw(error)
         except StopIteration as stop:
             self._end(task, stop.value, None)
         except CancelledError:
@@ -200,7 +207,7 @@
         else:
             task.disarm = arm(task)
         finally:
-            self.current = None
+            self.current_task = None
 
     def _end(self, task: LoopTask, result: Any, error: BaseException | None) -> None:
         task.done, task.result, task.error = True, result, error
@@ -214,41 +221,41 @@
             self.on_error(task, error)
         task.joiners = []
 
-    def round(self, wait: bool = True) -> None:
+    def run_once(self, may_wait: bool = True) -> None:
         """One turn: what the poller tells, urgent tasks, what is due, then the tasks that are ready.
 
         Tasks come last, so that a loop that one of them has ended is not left waiting in the poller."""
-        if self.ready or self.first or self.due or not wait:
+        if self.ready or self.urgent_ready or self.due_timers or not may_wait:
             timeout: float | None = 0.0
         else:
             due = self.timers.next_due()
             timeout = None if due is None else due - self.clock.now()
         self.poller.poll(timeout)
-        for _ in range(len(self.first)):
-            self._step(*self.first.popleft())
-        self.due.extend(self.timers.pop_due(self.clock.now()))
-        while self.due:
-            timer = self.due.popleft()
-            if timer.call is not None:  # an earlier one of this round may have cancelled it
-                timer.call()
+        for _ in range(len(self.urgent_ready)):
+            self._step(*self.urgent_ready.popleft())
+        self.due_timers.extend(self.timers.pop_due(self.clock.now()))
+        while self.due_timers:
+            timer = self.due_timers.popleft()
+            if timer.callback is not None:  # an earlier one of this round may have cancelled it
+                timer.callback()
         for _ in range(len(self.ready)):
             self._step(*self.ready.popleft())
 
     def run(self) -> None:
-        self.running = True
-        while self.running:
-            self.round()
+        self.is_running = True
+        while self.is_running:
+            self.run_once()
 
     def run_until(self, task: LoopTask) -> Any:
         """Runs until the task has ended; gives its result or raises its error."""
         while not task.done:
-            self.round()
+            self.run_once()
         if task.error is not None:
             raise task.error
         return task.result
 
     def stop(self) -> None:
-        self.running = False
+        self.is_running = False
 
 
 class Pause:
@@ -256,7 +263,7 @@
 
     >>> loop = Loop()
     >>> pause = Pause(loop)
-    >>> timer = loop.call_in(1.0, pause.end)
+    >>> timer = loop.call_in(1.0, pause.wake)
     >>> loop.run_until(loop.spawn(pause.sleep(60_000.0), "sleeper"))
     False
     """
@@ -266,7 +273,7 @@
         self._wake: Callable[[bool], None] | None = None
 
     @property
-    def asleep(self) -> bool:
+    def is_sleeping(self) -> bool:
         return self._wake is not None
 
     def sleep(self, ms: float) -> Coroutine:
@@ -288,7 +295,7 @@
         whole = yield arm
         return whole
 
-    def end(self) -> None:
+    def wake(self) -> None:
         """Nobody may be asleep."""
         if self._wake is not None:
             self._wake(False)
