--- a/glencleat/event_loop/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -16,10 +16,12 @@
 
 from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, LoopTask
 
-CHUNK = 65_536
-AT_ONCE = 4  # reads of one stream that need no wait before others have their turn
-PAUSE_MS = 50.0  # before a listener without any descriptor looks again
-TIMESTAMP = 35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
+CHUNK_SIZE = 65_536
+READS_PER_TURN = 4  # reads of one stream that need no wait before others have their turn
+ACCEPT_RETRY_MS = 50.0  # before a listener without any descriptor looks again
+SO_TIMESTAMPNS = (
+    35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
+)
 TIMESPEC = struct.Struct("qq")
 
 
@@ -40,91 +42,94 @@
 
 
 class Stream:
-    """One connection. `queued` and `written` count bytes since its start, so that what left is known."""
+    """One connection. `queued_bytes` and `written_bytes` count bytes since its start, so that what left is
+    known."""
 
-    def __init__(self, loop: Loop, sock: Any, limit: int = 1 << 20) -> None:
+    def __init__(self, loop: Loop, sock: Any, max_unsent_bytes: int = 1 << 20) -> None:
         sock.setblocking(False)
-        self.loop, self.sock, self.limit, self.fd = loop, sock, limit, sock.fileno()
-        self.out = bytearray()
-        self.queued = self.written = 0
-        self.closed: str | None = None
-        self.on_close: list[Callable[[str], None]] = []
+        self.loop, self.sock, self.max_unsent_bytes, self.fd = loop, sock, max_unsent_bytes, sock.fileno()
+        self.send_buffer = bytearray()
+        self.queued_bytes = self.written_bytes = 0
+        self.close_reason: str | None = None
+        self.close_callbacks: list[Callable[[str], None]] = []
         self.reader: LoopTask | None = None
         self.flusher: LoopTask | None = None
         self.interest = 0
-        self.readable = False
-        self.at_once = 0  # reads in a row that needed no wait
-        self.stamped = False
-        self.arrived: float | None = None  # when the system took the last bytes read, Unix milliseconds
+        self.is_readable = False
+        self.consecutive_reads = 0  # reads in a row that needed no wait
+        self.is_timestamping = False
+        self.received_at_unix_ms: float | None = (
+            None  # when the system took the last bytes read, Unix milliseconds
+        )
         loop.poller.watch(self.fd, 0, self._told)
 
     def _want(self, interest: int) -> None:
-        if interest != self.interest and self.closed is None:
+        if interest != self.interest and self.close_reason is None:
             self.interest = interest
             self.loop.poller.change(self.fd, interest)
 
     def _told(self, mask: int) -> None:
-        if mask & WRITE and self.out:
+        if mask & WRITE and self.send_buffer:
             self._write()
-        if self.closed is None and mask & ~WRITE:
-            self.readable = True
+        if self.close_reason is None and mask & ~WRITE:
+            self.is_readable = True
             if self.reader is not None:
-                self.nudge()
+                self.wake_reader()
             elif mask & ~(READ | WRITE):  # hang-up or error, and nobody reads
                 self.close("connection lost")
             else:
                 self._want(self.interest & ~READ)  # or a level-triggered loop spins until somebody reads
 
-    def read(self, size: int = CHUNK) -> Coroutine:
+    def read(self, size: int = CHUNK_SIZE) -> Coroutine:
         """The next bytes, b"" at the peer's end; raises StreamClosed once it is closed."""
         while True:
-            yield from self.wait()
-            data = self.take(size)
+            yield from self.wait_readable()
+            data = self.read_nowait(size)
             if data is not None:
                 return data
 
-    def wait(self) -> Coroutine:
-        """Until there may be something to read, or `nudge`; raises StreamClosed once it is closed.
+    def wait_readable(self) -> Coroutine:
+        """Until there may be something to read, or `wake_reader`; raises StreamClosed once it is closed.
 
         One who sends faster than we read is read in turns, or its reader would keep the loop to itself."""
-        if self.closed is None and not self.readable:
-            self.at_once = 0
+        if self.close_reason is None and not self.is_readable:
+            self.consecutive_reads = 0
             yield self._arm_read
         else:
-            self.at_once += 1
-            if self.at_once % AT_ONCE == 0:
+            self.consecutive_reads += 1
+            if self.consecutive_reads % READS_PER_TURN == 0:
                 yield from self.loop.sleep(0.0)
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
 
-    def take(self, size: int = CHUNK) -> bytes | None:
+    def read_nowait(self, size: int = CHUNK_SIZE) -> bytes | None:
         """What has come by this instant, whether the poller told of it or not.
 
         b"" at the peer's end, None if there is nothing; raises StreamClosed once it is closed."""
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
         try:
-            data: bytes = self._recv_stamped(size) if self.stamped else self.sock.recv(size)
+            data: bytes = self._recv_stamped(size) if self.is_timestamping else self.sock.recv(size)
         except (BlockingIOError, InterruptedError):
             self._emptied()
             return None
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
-            raise StreamClosedError(self.closed or "") from None
+            raise StreamClosedError(self.close_reason or "") from None
         if len(data) < size:
             self._emptied()
         else:
-            self.readable = True
+            self.is_readable = True
         return data
 
     def _emptied(self) -> None:
         """The poller tells of more, also while the reader has its turn: until then there is nothing."""
-        self.readable = False
+        self.is_readable = False
         self._want(self.interest | READ)
 
-    def hung_up(self) -> bool:
+    def has_peer_closed(self) -> bool:
         """Whether the peer has closed by this instant, also where what it sent before lies unread."""
-        if self.closed is not None:
+        if self.close_reason is not None:
             return True
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
@@ -137,24 +142,25 @@
         poll.register(self.fd, select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def nudge(self) -> None:
+    def wake_reader(self) -> None:
         """Wakes who waits to read: what it waits for was taken in another way."""
         if self.reader is not None:
             reader, self.reader = self.reader, None
             self.loop.wake(reader)
 
-    def stamp(self) -> None:
-        """From now on `arrived` tells how long bytes waited for us; it stays None where the system can't."""
+    def enable_timestamps(self) -> None:
+        """From now on `received_at_unix_ms` tells how long bytes waited for us; it stays None where the
+        system can't."""
         with contextlib.suppress(OSError):
-            self.sock.setsockopt(socket.SOL_SOCKET, TIMESTAMP, 1)
-            self.stamped = True
+            self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
+            self.is_timestamping = True
 
     def _recv_stamped(self, size: int) -> bytes:
         data, told, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
         for level, kind, raw in told:
-            if level == socket.SOL_SOCKET and kind == TIMESTAMP and len(raw) == TIMESPEC.size:
+            if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) == TIMESPEC.size:
                 seconds, nanoseconds = TIMESPEC.unpack(raw)
-                self.arrived = seconds * 1e3 + nanoseconds / 1e6
+                self.received_at_unix_ms = seconds * 1e3 + nanoseconds / 1e6
         return bytes(data)
 
     def _arm_read(self, task: LoopTask) -> Callable[[], None]:
@@ -170,44 +176,44 @@
         """Queues bytes and writes what the socket takes; gives the position of their end.
 
         Raises StreamClosed, or Overflow when the peer reads too slowly (the stream is then closed)."""
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
-        self.queued += len(data)
-        waiting = bool(self.out)
-        self.out += data
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
+        self.queued_bytes += len(data)
+        waiting = bool(self.send_buffer)
+        self.send_buffer += data
         if not waiting:
             self._write()
-        if len(self.out) > self.limit:
-            self.close(f"slow reader: {len(self.out)} bytes unsent")
-            raise StreamOverflowError(self.closed or "")
-        return self.queued
+        if len(self.send_buffer) > self.max_unsent_bytes:
+            self.close(f"slow reader: {len(self.send_buffer)} bytes unsent")
+            raise StreamOverflowError(self.close_reason or "")
+        return self.queued_bytes
 
-    def put(self, data: bytes) -> bool:
+    def try_send(self, data: bytes) -> bool:
         """`send` for who need not know why: False if the stream is closed, or was by this."""
         try:
             self.send(data)
         except StreamClosedError:
             return False
-        return self.closed is None
+        return self.close_reason is None
 
     def _write(self) -> None:
         try:
-            sent = self.sock.send(self.out)
+            sent = self.sock.send(self.send_buffer)
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
             return
-        self.written += sent
-        del self.out[:sent]
-        self._want(self.interest | WRITE if self.out else self.interest & ~WRITE)
-        if not self.out and self.flusher is not None:
+        self.written_bytes += sent
+        del self.send_buffer[:sent]
+        self._want(self.interest | WRITE if self.send_buffer else self.interest & ~WRITE)
+        if not self.send_buffer and self.flusher is not None:
             flusher, self.flusher = self.flusher, None
             self.loop.wake(flusher)
 
     def flush(self) -> Coroutine:
         """Waits until all that is queued has been handed to the socket, or the stream is closed."""
-        while self.out and self.closed is None:
+        while self.send_buffer and self.close_reason is None:
 
             def arm(task: LoopTask) -> Callable[[], None]:
                 self.flusher = task
@@ -219,15 +225,15 @@
 
             yield arm
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """No more is written; what was written arrives, and the peer's bytes can still be read."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def close(self, why: str = "closed") -> None:
-        if self.closed is not None:
+    def close(self, reason: str = "closed") -> None:
+        if self.close_reason is not None:
             return
-        self.closed = why
+        self.close_reason = reason
         self.loop.poller.forget(self.fd)
         with contextlib.suppress(OSError):
             self.sock.close()
@@ -235,12 +241,17 @@
             if task is not None:
                 self.loop.wake(task)
         self.reader = self.flusher = None
-        calls, self.on_close = self.on_close, []  # they hold what holds the stream: a cycle for each peer
+        calls, self.close_callbacks = (
+            self.close_callbacks,
+            [],
+        )  # they hold what holds the stream: a cycle for each peer
         for call in calls:
-            call(why)
+            call(reason)
 
 
-def connect(loop: Loop, address: tuple[str, int], timeout_ms: float, limit: int = 1 << 20) -> Coroutine:
+def connect(
+    loop: Loop, address: tuple[str, int], timeout_ms: float, max_unsent_bytes: int = 1 << 20
+) -> Coroutine:
     """A Stream to the address; raises ConnectFailed when it can't be made in time."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -276,11 +287,11 @@
     if code:
         sock.close()
         raise ConnectError(address, code)
-    return Stream(loop, sock, limit)
+    return Stream(loop, sock, max_unsent_bytes)
 
 
 class Listener:
-    """Accepts connections, never more than `most` at once.
+    """Accepts connections, never more than `max_connections` at once.
 
     When descriptors run out it gives up its spare one to take and drop the newcomer: otherwise the queue
     stays full and a level-triggered loop spins."""
@@ -289,15 +300,23 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        accept: Callable[[Stream], None],
-        most: int = 10_000,
-        limit: int = 1 << 20,
-        dropped: Callable[[str], None] = lambda why: None,
-        make_room: Callable[[], bool] = lambda: False,
+        on_accept: Callable[[Stream], None],
+        max_connections: int = 10_000,
+        max_unsent_bytes: int = 1 << 20,
+        on_drop: Callable[[str], None] = lambda why: None,
+        ensure_capacity: Callable[[], bool] = lambda: False,
         backlog: int = 1_024,
     ) -> None:
-        self.loop, self.accept, self.most, self.limit, self.dropped = loop, accept, most, limit, dropped
-        self.make_room = make_room  # asked from `most` on: may a newcomer come in? Closes another for it
+        self.loop, self.on_accept, self.max_connections, self.max_unsent_bytes, self.on_drop = (
+            loop,
+            on_accept,
+            max_connections,
+            max_unsent_bytes,
+            on_drop,
+        )
+        self.ensure_capacity = (
+            ensure_capacity  # asked from `max_connections` on: may a newcomer come in? Closes another for it
+        )
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -308,14 +327,14 @@
         self.sock.listen(backlog)
         self.sock.setblocking(False)
         self.address: tuple[str, int] = self.sock.getsockname()
-        self.open: set[Stream] = set()
-        self.spare: int | None = os.open(os.devnull, os.O_RDONLY)
-        loop.poller.watch(self.sock.fileno(), READ, self._told, last=True)
+        self.open_streams: set[Stream] = set()
+        self.spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
+        loop.poller.watch(self.sock.fileno(), READ, self._told, is_deferred=True)
 
     def _told(self, _: int) -> None:
-        self.take()
+        self.accept_pending()
 
-    def take(self, most: int = 64) -> int:
+    def accept_pending(self, most: int = 64) -> int:
         """Accepts what waits, a bounded share of one round; gives how many were there."""
         for count in range(most):
             try:
@@ -335,32 +354,32 @@
         return most
 
     def _accepted(self, sock: socket.socket) -> None:
-        if len(self.open) >= self.most and not self.make_room():
+        if len(self.open_streams) >= self.max_connections and not self.ensure_capacity():
             sock.close()
-            self.dropped(f"{self.most} connections are open")
+            self.on_drop(f"{self.max_connections} connections are open")
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = Stream(self.loop, sock, self.limit)
-        self.open.add(stream)
-        stream.on_close.append(lambda _: self.open.discard(stream))
-        self.accept(stream)
+        stream = Stream(self.loop, sock, self.max_unsent_bytes)
+        self.open_streams.add(stream)
+        stream.close_callbacks.append(lambda _: self.open_streams.discard(stream))
+        self.on_accept(stream)
 
     def _shed(self) -> bool:
-        self.dropped("out of file descriptors")
-        if self.spare is not None:
-            os.close(self.spare)
-            self.spare = None
+        self.on_drop("out of file descriptors")
+        if self.spare_fd is not None:
+            os.close(self.spare_fd)
+            self.spare_fd = None
             with contextlib.suppress(OSError):
                 self.sock.accept()[0].close()
         with contextlib.suppress(OSError):
-            self.spare = os.open(os.devnull, os.O_RDONLY)
-        return self.spare is not None
+            self.spare_fd = os.open(os.devnull, os.O_RDONLY)
+        return self.spare_fd is not None
 
     def _pause(self) -> None:
         """Nothing can be taken or shed: the queue stays full, and would wake the loop without end."""
         fd = self.sock.fileno()
         self.loop.poller.change(fd, 0)
-        self.loop.call_in(PAUSE_MS, lambda: self._resume(fd))
+        self.loop.call_in(ACCEPT_RETRY_MS, lambda: self._resume(fd))
 
     def _resume(self, fd: int) -> None:
         if self.sock.fileno() == fd:
@@ -370,6 +389,6 @@
         if self.sock.fileno() >= 0:
             self.loop.poller.forget(self.sock.fileno())
             self.sock.close()
-        if self.spare is not None:
-            os.close(self.spare)
-            self.spare = None
+        if self.spare_fd is not None:
+            os.close(self.spare_fd)
+            self.spare_fd = None
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -17,55 +17,57 @@
 
 
 class DirtySet(Generic[K]):
-    """`order` gives a key's place: no two have the same, and none changes while turns are taken.
+    """`sort_key` gives a key's place: no two have the same, and none changes while turns are taken.
 
-    >>> turns = DirtySet[str](order=len)
-    >>> turns.mark("ccc"); turns.put("a", 5.0); turns.put("bb", 9.0)
-    >>> for key in turns.take(5.0):
+    >>> turns = DirtySet[str](sort_key=len)
+    >>> turns.mark_dirty("ccc"); turns.put("a", 5.0); turns.put("bb", 9.0)
+    >>> for key in turns.iterate_ready(5.0):
     ...     print(key)
-    ...     if key == "a": turns.mark("a"); turns.mark("bb")
+    ...     if key == "a": turns.mark_dirty("a"); turns.mark_dirty("bb")
     a
     bb
     ccc
     """
 
-    def __init__(self, order: Callable[[K], Any]) -> None:
-        self.order = order
-        self.dirty: set[K] = set()
-        self.due: DueQueue[K] = DueQueue()
-        self.heap: list[tuple[Any, K]] = []  # of the turns that are being taken
-        self.place: Any = None  # where they have come to
-        self.taken = 0  # turns, in all
+    def __init__(self, sort_key: Callable[[K], Any]) -> None:
+        self.sort_key = sort_key
+        self.dirty_keys: set[K] = set()
+        self.due_queue: DueQueue[K] = DueQueue()
+        self.remaining_heap: list[tuple[Any, K]] = []  # of the turns that are being taken
+        self.current_position: Any = None  # where they have come to
+        self.taken_count = 0  # turns, in all
 
-    def mark(self, key: K) -> None:
+    def mark_dirty(self, key: K) -> None:
         """Something has happened on it."""
-        if key in self.dirty:
+        if key in self.dirty_keys:
             return
-        self.dirty.add(key)
-        if self.place is not None and self.order(key) > self.place:
-            heapq.heappush(self.heap, (self.order(key), key))
+        self.dirty_keys.add(key)
+        if self.current_position is not None and self.sort_key(key) > self.current_position:
+            heapq.heappush(self.remaining_heap, (self.sort_key(key), key))
 
     def put(self, key: K, due: float) -> None:
         """It has its turn then, unless something happens on it before. `inf`: not by itself."""
         if due < float("inf"):
-            self.due.put(key, due)
+            self.due_queue.put(key, due)
         else:
-            self.due.discard(key)
+            self.due_queue.discard(key)
 
-    def gather(self, now: float) -> set[K]:
+    def collect_ready(self, now: float) -> set[K]:
         """All that have a turn now."""
-        self.dirty.update(self.due.pop_due(now))
-        return self.dirty
+        self.dirty_keys.update(self.due_queue.pop_due(now))
+        return self.dirty_keys
 
-    def take(self, now: float) -> Iterator[K]:
+    def iterate_ready(self, now: float) -> Iterator[K]:
         """Each that has a turn now; of what happens on one within its own turn its taker knows."""
-        self.heap = [(self.order(key), key) for key in self.gather(now)]
-        heapq.heapify(self.heap)
+        self.remaining_heap = [(self.sort_key(key), key) for key in self.collect_ready(now)]
+        heapq.heapify(self.remaining_heap)
         try:
-            while self.heap:
-                self.place, key = heapq.heappop(self.heap)
-                self.taken += 1
+            while self.remaining_heap:
+                self.current_position, key = heapq.heappop(self.remaining_heap)
+                self.taken_count += 1
                 yield key
-                self.dirty.discard(key)
+                self.dirty_keys.discard(key)
         finally:
-            self.place = None  # also where a turn raised: it and those after it come again in the next tick
+            self.current_position = (
+                None  # also where a turn raised: it and those after it come again in the next tick
+            )
--- a/glencleat/index/rendezvous.py
+++ b/glencleat/index/rendezvous.py
@@ -17,11 +17,14 @@
 from itertools import compress, islice
 from typing import ClassVar, Generic, Protocol, TypeVar, overload
 
-CHANGES = 512  # changes remembered
+MAX_CHANGES = 512  # changes remembered
 # Measured by benchmarks/order_index.py:
-SCANNED, SORTED = 64, 10  # members asked whether they stay, members sorted, in the time of one put in or out
-SHORT = 1 << 16  # slots that 2 bytes can tell
-SPARE = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
+SCANS_PER_INSERT, SORTS_PER_INSERT = (
+    64,
+    10,
+)  # members asked whether they stay, members sorted, in the time of one put in or out
+MAX_SHORT_SLOTS = 1 << 16  # slots that 2 bytes can tell
+MAX_STALE_SLOTS = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
 
 
 class RendezvousMember(Protocol):
@@ -34,12 +37,12 @@
 T = TypeVar("T", bound=RendezvousMember)
 
 
-def hashed(text: str) -> int:
+def hash_text(text: str) -> int:
     """A hash of 64 bits that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def mixed(value: int) -> int:
+def mix_bits(value: int) -> int:
     """Spreads the bits of two hashes joined by exclusive or; cheaper than hashing each pair of names."""
     value = (value ^ value >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     return (value ^ value >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
@@ -49,18 +52,18 @@
     """Members by number, and their hashes. A name that is away keeps its number, as its place is the same."""
 
     def __init__(self) -> None:
-        self.numbers: dict[str, int] = {}  # by name
+        self.numbers_by_name: dict[str, int] = {}  # by name
         self.items: list[T] = []
         self.hashes = array("Q")
-        self.there = bytearray()
+        self.presence = bytearray()
 
-    def number(self, item: T) -> int:
+    def assign_number(self, item: T) -> int:
         """Its number, a new one where its name has none."""
-        found = self.numbers.setdefault(item.name, len(self.items))
+        found = self.numbers_by_name.setdefault(item.name, len(self.items))
         if found == len(self.items):
             self.items.append(item)
             self.hashes.append(item.hash)
-            self.there.append(False)
+            self.presence.append(False)
         self.items[found] = item
         return found
 
@@ -72,7 +75,7 @@
 
     def __init__(self, seed: int, slots: Slots[T]) -> None:
         self.seed, self.version, self.slots = seed, -1, slots
-        self.numbers = array("H" if len(slots.items) <= SHORT else "I")
+        self.numbers = array("H" if len(slots.items) <= MAX_SHORT_SLOTS else "I")
 
     def __len__(self) -> int:
         return len(self.numbers)
@@ -89,71 +92,79 @@
             return [self.slots.items[number] for number in self.numbers[at]]
         return self.slots.items[self.numbers[at]]
 
-    def key(self, number: int) -> tuple[int, str]:
-        return mixed(self.seed ^ self.slots.hashes[number]), self.slots.items[number].name
+    def number_sort_key(self, number: int) -> tuple[int, str]:
+        return mix_bits(self.seed ^ self.slots.hashes[number]), self.slots.items[number].name
 
-    def key_of(self, item: T) -> tuple[int, str]:
-        return mixed(self.seed ^ item.hash), item.name
+    def item_sort_key(self, item: T) -> tuple[int, str]:
+        return mix_bits(self.seed ^ item.hash), item.name
 
     def insert(self, number: int) -> None:
         """To its place, by O(log members) hashes; nothing else is touched but what lies behind it."""
-        self.numbers.insert(bisect_left(self.numbers, self.key(number), key=self.key), number)
+        self.numbers.insert(
+            bisect_left(self.numbers, self.number_sort_key(number), key=self.number_sort_key), number
+        )
 
     def remove(self, gone: Collection[int]) -> None:
         for number in gone:
-            del self.numbers[bisect_left(self.numbers, self.key(number), key=self.key)]
+            del self.numbers[
+                bisect_left(self.numbers, self.number_sort_key(number), key=self.number_sort_key)
+            ]
 
-    def keep(self) -> None:
+    def drop_absent(self) -> None:
         """Only those who are there stay."""
-        stay = map(self.slots.there.__getitem__, self.numbers)
+        stay = map(self.slots.presence.__getitem__, self.numbers)
         self.numbers = array(self.numbers.typecode, compress(self.numbers, stay))
 
     def sort(self) -> None:
-        numbers = list(compress(range(len(self.slots.there)), self.slots.there))
+        numbers = list(compress(range(len(self.slots.presence)), self.slots.presence))
         seed, hashes = self.seed, self.slots.hashes
-        by_weight = {mixed(seed ^ hashes[number]): number for number in numbers}
+        by_weight = {mix_bits(seed ^ hashes[number]): number for number in numbers}
         if len(by_weight) == len(numbers):
             numbers = [by_weight[weight] for weight in sorted(by_weight)]
         else:  # two names of one hash
-            numbers.sort(key=self.key)
+            numbers.sort(key=self.number_sort_key)
         self.numbers = array(self.numbers.typecode, numbers)
 
-    def without(self, skipped: Iterable[T]) -> Without[T]:
-        return Without(self, skipped)
+    def without(self, skipped: Iterable[T]) -> OrderWithout[T]:
+        return OrderWithout(self, skipped)
 
 
-class Without(Generic[T]):
+class OrderWithout(Generic[T]):
     """An order with some of its members (each named once) left out, by position: nothing is copied."""
 
-    __slots__ = ("keys", "order", "skipped")
+    __slots__ = ("skipped_keys", "order", "skipped")
 
     def __init__(self, order: RendezvousOrder[T], skipped: Iterable[T]) -> None:
-        self.order, self.skipped, self.keys = order, skipped, list[tuple[int, str]]()
+        self.order, self.skipped, self.skipped_keys = order, skipped, list[tuple[int, str]]()
 
     def __getitem__(self, at: int) -> T:
         """The least x with x = at + (those left out up to x), by steps from below."""
         order, place = self.order, at
-        if not self.keys:
-            self.keys = sorted(map(order.key_of, self.skipped))
-        if self.keys:
-            while (further := at + bisect_right(self.keys, order.key(order.numbers[place]))) != place:
+        if not self.skipped_keys:
+            self.skipped_keys = sorted(map(order.item_sort_key, self.skipped))
+        if self.skipped_keys:
+            while (
+                further := at + bisect_right(self.skipped_keys, order.number_sort_key(order.numbers[place]))
+            ) != place:
                 place = further
         return order[place]
 
 
 class RendezvousIndex(Generic[T]):
-    """The set, its latest changes, and the orders asked for: the longest unused go when `most` is passed."""
+    """The set, its latest changes, and the orders asked for: the longest unused go when `max_references` is
+    passed."""
 
-    checked: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
+    is_self_checking: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
 
-    def __init__(self, most: int, keys: int) -> None:
-        """`most`: members in all orders together (2 bytes each, 4 beyond 65,536 names); `keys`: orders."""
-        self.most, self.most_keys = most, keys
+    def __init__(self, max_references: int, max_orders: int) -> None:
+        """`max_references`: members in all orders together (2 bytes each, 4 beyond 65,536 names);
+        `max_orders`: orders."""
+        self.max_references, self.max_orders = max_references, max_orders
         self.items: dict[T, None] = {}
         self.slots = Slots[T]()
-        self.version, self.held = 0, 0
-        self.changes: deque[tuple[int, bool]] = deque(maxlen=CHANGES)
-        self.orders: dict[str, RendezvousOrder[T]] = {}
+        self.version, self.reference_count = 0, 0
+        self.changes: deque[tuple[int, bool]] = deque(maxlen=MAX_CHANGES)
+        self.orders_by_key: dict[str, RendezvousOrder[T]] = {}
 
     def __contains__(self, item: T) -> bool:
         return item in self.items
@@ -161,7 +172,7 @@
     def __len__(self) -> int:
         return len(self.items)
 
-    def put(self, item: T, there: bool) -> None:
+    def set_present(self, item: T, there: bool) -> None:
         """Takes it in or out; O(1), also where that is how it stands already."""
         if there is (item in self.items):
             return
@@ -169,41 +180,47 @@
             self.items[item] = None
         else:
             del self.items[item]
-        if there and item.name not in self.slots.numbers:
+        if there and item.name not in self.slots.numbers_by_name:
             self._number_anew_if_due()
-        number = self.slots.number(item)
-        if self.slots.there[number] != there:
-            self.slots.there[number] = there
+        number = self.slots.assign_number(item)
+        if self.slots.presence[number] != there:
+            self.slots.presence[number] = there
             self.changes.append((number, there))
             self.version += 1
 
     def _number_anew_if_due(self) -> None:
         """Numbers of names that went for good are many, or the next takes more bytes: orders begin anew."""
         slots = len(self.slots.items)
-        if slots <= 2 * len(self.items) + SPARE and slots != SHORT:
+        if slots <= 2 * len(self.items) + MAX_STALE_SLOTS and slots != MAX_SHORT_SLOTS:
             return
-        self.slots, self.orders, self.held = Slots[T](), {}, 0
+        self.slots, self.orders_by_key, self.reference_count = Slots[T](), {}, 0
         self.changes.clear()
         for item in self.items:
-            self.slots.there[self.slots.number(item)] = True
+            self.slots.presence[self.slots.assign_number(item)] = True
 
-    def order(self, key: str) -> RendezvousOrder[T]:
-        """The members in this key's order, up to date until the next `put`; not to be changed."""
-        order = self.orders.pop(key, None) or RendezvousOrder[T](hashed(key), self.slots)
-        self.orders[key] = order  # the last one used stands last
+    def get_order(self, key: str) -> RendezvousOrder[T]:
+        """The members in this key's order, up to date until the next `set_present`; not to be changed."""
+        order = self.orders_by_key.pop(key, None) or RendezvousOrder[T](hash_text(key), self.slots)
+        self.orders_by_key[key] = order  # the last one used stands last
         if order.version != self.version:
             before = len(order)
             self._catch_up(order)
-            self.held += len(order) - before
-            while len(self.orders) > 1 and (self.held > self.most or len(self.orders) > self.most_keys):
-                self.held -= len(self.orders.pop(next(iter(self.orders))))
-            if self.checked:
-                self.check(order)
+            self.reference_count += len(order) - before
+            while len(self.orders_by_key) > 1 and (
+                self.reference_count > self.max_references or len(self.orders_by_key) > self.max_orders
+            ):
+                self.reference_count -= len(self.orders_by_key.pop(next(iter(self.orders_by_key))))
+            if self.is_self_checking:
+                self.verify_order(order)
         return order
 
     def _catch_up(self, order: RendezvousOrder[T]) -> None:
         behind, came = self.version - order.version, set[int]()
-        if order.version >= 0 and behind <= len(self.changes) and behind * SCANNED <= len(self.items):
+        if (
+            order.version >= 0
+            and behind <= len(self.changes)
+            and behind * SCANS_PER_INSERT <= len(self.items)
+        ):
             net = dict[int, bool]()
             for number, there in islice(self.changes, len(self.changes) - behind, None):
                 if net.pop(number, None) is None:  # else it went and is back, or came and went
@@ -211,27 +228,27 @@
             came.update(number for number, there in net.items() if there)
             order.remove(net.keys() - came)
         else:
-            order.keep()
+            order.drop_absent()
             if len(order) < len(self.items):
-                came.update(compress(range(len(self.slots.there)), self.slots.there))
+                came.update(compress(range(len(self.slots.presence)), self.slots.presence))
                 came.difference_update(order.numbers)
-        if len(came) * SORTED > len(self.items):
+        if len(came) * SORTS_PER_INSERT > len(self.items):
             order.sort()
         else:
             for number in came:  # in whatever order: each goes to its place
                 order.insert(number)
         order.version = self.version
 
-    def check(self, order: RendezvousOrder[T]) -> None:
+    def verify_order(self, order: RendezvousOrder[T]) -> None:
         """Compares an order, and the count of references, with what a sort of all members gives."""
-        plain = sorted(self.items, key=order.key_of)
+        plain = sorted(self.items, key=order.item_sort_key)
         if list(map(id, plain)) != list(map(id, order)):
             raise AssertionError(f"order {order.seed:x} is not that of its {len(plain)} members")
-        if self.held != sum(map(len, self.orders.values())):
-            raise AssertionError(f"{self.held} references counted")
+        if self.reference_count != sum(map(len, self.orders_by_key.values())):
+            raise AssertionError(f"{self.reference_count} references counted")
 
 
-class Columns:
+class ColumnSums:
     """Rows of numbers by arrival, summed from the first on: to the bit what a loop over all rows gives.
 
     Sums of floats depend on the order of additions, so that no running sum or tree gives the same. The
@@ -243,7 +260,7 @@
     def __len__(self) -> int:
         return len(self.keys)
 
-    def put(self, key: int, row: tuple[float, ...] | None) -> None:
+    def put_row(self, key: int, row: tuple[float, ...] | None) -> None:
         """Sets the row that arrived as number `key`, or takes it out; nothing where there is none."""
         at = bisect_left(self.keys, key)
         if at < len(self.keys) and self.keys[at] == key:
@@ -255,5 +272,5 @@
             for column, value in zip(self.columns, row, strict=True):
                 column.insert(at, value)
 
-    def sums(self) -> tuple[float, ...]:
+    def sum_columns(self) -> tuple[float, ...]:
         return tuple(map(sum, self.columns))
--- a/glencleat/log.py
+++ b/glencleat/log.py
@@ -11,7 +11,7 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def set_up(form: str = "console", level: str = "info", **always: Any) -> Any:
+def configure_logging(form: str = "console", level: str = "info", **always: Any) -> Any:
     """Sets the process's logging up and gives a logger; `form` is "console" or "json"."""
     renderer: Any = (
         structlog.processors.JSONRenderer()
--- a/glencleat/mesos/http.py
+++ b/glencleat/mesos/http.py
@@ -9,10 +9,10 @@
 
 import h11
 
-HEAD_MOST = 16_384  # bytes of request line and headers
-BODY_MOST = 1 << 20
+MAX_HEAD_BYTES = 16_384  # bytes of request line and headers
+MAX_BODY_BYTES = 1 << 20
 # Most responses are this one; building an event checks its headers anew each time.
-ACCEPTED = h11.Response(status_code=202, headers=[("content-length", "0")])
+ACCEPTED_RESPONSE = h11.Response(status_code=202, headers=[("content-length", "0")])
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
@@ -31,8 +31,8 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    close: bool = False
-    origin: object = None  # the connection, for limits that are its own
+    should_close: bool = False
+    connection: object = None  # the connection, for limits that are its own
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     body: bytes = b""
     content_type: str = "text/plain; charset=utf-8"
     headers: dict[str, str] = field(default_factory=dict)
-    pause_ms: float = 0.0  # so long the connection is not read afterwards
+    read_pause_ms: float = 0.0  # so long the connection is not read afterwards
 
 
 class ServerConnection:
@@ -49,9 +49,9 @@
 
     Pipelined requests wait within their bytes until the one before is answered."""
 
-    def __init__(self, body_most: int = BODY_MOST) -> None:
-        self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
-        self.body_most = body_most
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.max_body_bytes = max_body_bytes
         self.head: h11.Request | None = None
         self.body = bytearray()
         self.method = ""  # of the one that is being answered
@@ -76,8 +76,8 @@
                 self._check_head(event)
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > self.body_most:
-                    raise HttpError(413, f"body over {self.body_most} bytes")
+                if len(self.body) > self.max_body_bytes:
+                    raise HttpError(413, f"body over {self.max_body_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage) and self.head is not None:
                 requests.append(self._request(self.head))
                 self.head = None
@@ -85,15 +85,17 @@
     def _check_head(self, head: h11.Request) -> None:
         if head.method == b"CONNECT":  # a success would turn the connection into a tunnel
             raise HttpError(501, "CONNECT: this is no proxy")
-        if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > HEAD_MOST:
-            raise HttpError(431, f"a head of over {HEAD_MOST} bytes")  # h11 counts only what comes in pieces
+        if len(head.target) + sum(len(name) + len(value) for name, value in head.headers) > MAX_HEAD_BYTES:
+            raise HttpError(
+                431, f"a head of over {MAX_HEAD_BYTES} bytes"
+            )  # h11 counts only what comes in pieces
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
             # Two readers that disagree on which one counts see two different requests (RFC 9112, 6.3).
             raise HttpError(400, "both Content-Length and Transfer-Encoding; expected one of them")
         for name, value in head.headers:
-            if name == b"content-length" and int(value) > self.body_most:
-                raise HttpError(413, f"a body of {int(value)} bytes; expected at most {self.body_most}")
+            if name == b"content-length" and int(value) > self.max_body_bytes:
+                raise HttpError(413, f"a body of {int(value)} bytes; expected at most {self.max_body_bytes}")
 
     def _request(self, head: h11.Request) -> Request:
         headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
@@ -102,14 +104,14 @@
         target = head.target.decode("latin-1")
         return Request(self.method, target, headers, bytes(self.body), close)
 
-    def waits(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a request has begun to arrive and is not whole: what a slow sender's time limit is for."""
         return self.head is not None or bool(self.h11.trailing_data[0])
 
-    def answer(self, response: Response) -> bytes:
+    def encode_response(self, response: Response) -> bytes:
         """The bytes of a whole response."""
         if response.status == 202 and not response.body and not response.headers:
-            data = self._send(ACCEPTED)
+            data = self._send(ACCEPTED_RESPONSE)
         else:
             headers = [("content-length", str(len(response.body))), *response.headers.items()]
             if response.body:
@@ -122,7 +124,7 @@
             self.h11.start_next_cycle()
         return data
 
-    def more(self) -> list[Request]:
+    def parse_pipelined(self) -> list[Request]:
         """Requests that had come behind the one just answered."""
         try:
             return self._events()
@@ -161,7 +163,7 @@
         except HttpError:
             return b""
 
-    def ended(self) -> bool:
+    def must_close(self) -> bool:
         return self.h11.our_state in (h11.MUST_CLOSE, h11.CLOSED, h11.ERROR)
 
     def _send(self, event: h11.Event) -> bytes:
@@ -173,12 +175,12 @@
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseHead:
     status: int
     headers: dict[str, str]
 
 
-class End:
+class ResponseEnd:
     """End of a response's body."""
 
 
@@ -186,18 +188,20 @@
     """The client's end: one request after the other, bodies given as they come."""
 
     def __init__(self) -> None:
-        self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
+        self.h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
-    def request(self, method: str, target: str, host: str, headers: dict[str, str], body: bytes) -> bytes:
+    def encode_request(
+        self, method: str, target: str, host: str, headers: dict[str, str], body: bytes
+    ) -> bytes:
         told = [("host", host), ("content-length", str(len(body))), *headers.items()]
         data = self.h11.send(h11.Request(method=method, target=target, headers=told)) or b""
         if body:
             data += self.h11.send(h11.Data(data=body)) or b""
         return data + (self.h11.send(h11.EndOfMessage()) or b"")
 
-    def feed(self, data: bytes) -> list[Head | bytes | End]:
-        """Head, then bytes of the body, then End, for each response; raises HttpError."""
-        events: list[Head | bytes | End] = []
+    def feed(self, data: bytes) -> list[ResponseHead | bytes | ResponseEnd]:
+        """ResponseHead, then bytes of the body, then ResponseEnd, for each response; raises HttpError."""
+        events: list[ResponseHead | bytes | ResponseEnd] = []
         try:
             self.h11.receive_data(data)
             while True:
@@ -206,11 +210,11 @@
                     return events
                 if isinstance(event, h11.Response):
                     headers = {n.decode("latin-1"): v.decode("latin-1") for n, v in event.headers}
-                    events.append(Head(event.status_code, headers))
+                    events.append(ResponseHead(event.status_code, headers))
                 elif isinstance(event, h11.Data):
                     events.append(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
-                    events.append(End())
+                    events.append(ResponseEnd())
                     if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
                         self.h11.start_next_cycle()
         except h11.RemoteProtocolError as error:
--- a/glencleat/mesos/messages.py
+++ b/glencleat/mesos/messages.py
@@ -404,11 +404,11 @@
     return message
 
 
-def pack(payload: Payload) -> str:
+def encode_payload(payload: Payload) -> str:
     return base64.b64encode(ENCODER.encode(payload)).decode()
 
 
-def unpack(data: str) -> Payload:
+def decode_payload(data: str) -> Payload:
     """The payload of a MESSAGE or a status; raises BadMessage."""
     try:
         raw = base64.b64decode(data, validate=True)
@@ -417,18 +417,18 @@
     return decode(Payload, raw)
 
 
-def scalar(resources: list[Resource], name: str) -> float | None:
+def sum_scalar(resources: list[Resource], name: str) -> float | None:
     """Sum of the scalar resources of that name; None where there is none."""
     values = [r.scalar.value for r in resources if r.name == name and r.scalar is not None]
     return sum(values) if values else None
 
 
-def label(labels: Labels | None, key: str) -> str | None:
+def find_label(labels: Labels | None, key: str) -> str | None:
     for item in labels.labels if labels is not None else ():
         if item.key == key:
             return item.value
     return None
 
 
-def resources(cores: float, memory: float) -> list[Resource]:
+def make_resources(cores: float, memory: float) -> list[Resource]:
     return [Resource("cpus", scalar=Scalar(cores)), Resource("mem", scalar=Scalar(memory))]
--- a/glencleat/mesos/recordio.py
+++ b/glencleat/mesos/recordio.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
-MOST = 1 << 20  # bytes of one record, unless the caller says otherwise
-DIGITS = 20  # of an unsigned 64-bit length
+MAX_RECORD_BYTES = 1 << 20  # bytes of one record, unless the caller says otherwise
+MAX_LENGTH_DIGITS = 20  # of an unsigned 64-bit length
 
 
 class RecordError(Exception):
@@ -21,41 +21,44 @@
 
 
 class RecordDecoder:
-    """Fed bytes, gives whole records. A length beyond `most` is refused before any of its bytes are kept."""
+    """Fed bytes, gives whole records. A length beyond `max_record_bytes` is refused before any of its bytes
+    are kept."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
+    def __init__(self, max_record_bytes: int = MAX_RECORD_BYTES) -> None:
+        self.max_record_bytes = max_record_bytes
         self.buffer = bytearray()
-        self.wanted = -1  # length of the record that is being read; -1 between records
+        self.record_length = -1  # length of the record that is being read; -1 between records
 
     def feed(self, data: bytes) -> list[bytes]:
         self.buffer += data
         records, at = list[bytes](), 0
         while True:
-            if self.wanted < 0:
-                end = self.buffer.find(b"\n", at, at + DIGITS + 1)
+            if self.record_length < 0:
+                end = self.buffer.find(b"\n", at, at + MAX_LENGTH_DIGITS + 1)
                 if end < 0:
-                    if len(self.buffer) - at > DIGITS:
-                        raise RecordError(f"no newline within {DIGITS} digits; expected a record's length")
+                    if len(self.buffer) - at > MAX_LENGTH_DIGITS:
+                        raise RecordError(
+                            f"no newline within {MAX_LENGTH_DIGITS} digits; expected a record's length"
+                        )
                     break
-                self.wanted = self._length(bytes(self.buffer[at:end]))
+                self.record_length = self._length(bytes(self.buffer[at:end]))
                 at = end + 1
-            if len(self.buffer) - at < self.wanted:
+            if len(self.buffer) - at < self.record_length:
                 break
-            records.append(bytes(self.buffer[at : at + self.wanted]))
-            at += self.wanted
-            self.wanted = -1
+            records.append(bytes(self.buffer[at : at + self.record_length]))
+            at += self.record_length
+            self.record_length = -1
         del self.buffer[:at]
         return records
 
     def _length(self, digits: bytes) -> int:
         if not digits.isdigit():
-            raise RecordError(f"{digits[:DIGITS]!r} is no record length; expected decimal digits")
+            raise RecordError(f"{digits[:MAX_LENGTH_DIGITS]!r} is no record length; expected decimal digits")
         length = int(digits)
-        if length > self.most:
-            raise RecordError(f"a record of {length} bytes; expected at most {self.most}")
+        if length > self.max_record_bytes:
+            raise RecordError(f"a record of {length} bytes; expected at most {self.max_record_bytes}")
         return length
 
-    def inside(self) -> bool:
+    def has_partial_record(self) -> bool:
         """Whether a record has begun and not ended: at the end of a stream, a torn one."""
-        return bool(self.buffer) or self.wanted >= 0
+        return bool(self.buffer) or self.record_length >= 0
--- a/glencleat/platform_protocol/messages.py
+++ b/glencleat/platform_protocol/messages.py
@@ -11,85 +11,87 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MOST = 16_384  # bytes of a message, its length field not counted
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
+MAX_MESSAGE_BYTES = 16_384  # bytes of a message, its length field not counted
+HEADER = struct.Struct(">HBQ")
+PARAMETER_HEADER = struct.Struct(">BH")
 
-SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD = 1, 6, 9, 12, 16
-NOTE, MOVE, TEST, TESTED = 44, 51, 52, 53
-KINDS = frozenset((SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED))
+SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE = 1, 6, 9, 12, 16
+OBSERVATION, MIGRATE, PROBE, PROBE_ANSWER = 44, 51, 52, 53
+KINDS = frozenset(
+    (SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE, OBSERVATION, MIGRATE, PROBE, PROBE_ANSWER)
+)
 
-CLASS, WAIT, TENANT, RETRY, NAME, EXTRAS, STAY_AWAY = 100, 103, 106, 109, 112, 115, 118
+CLASS, TIMEOUT, TENANT, RETRY, NAME, EXTRAS, RETRY_AFTER = 100, 103, 106, 109, 112, 115, 118
 TOPIC, REPORT, VALUE, KEY, CAUSE, DESCRIPTION = 121, 127, 136, 139, 142, 145
-RAW = frozenset((CAUSE, DESCRIPTION))  # all other parameters are text
+BINARY_PARAMETERS = frozenset((CAUSE, DESCRIPTION))  # all other parameters are text
 
-GIVEN_UP = ENDED = 16
-STOPPED, FULL, RESET, CONGESTED, ERROR, MOOT = 31, 34, 41, 42, 47, 102
-NOT_TAKEN = 100  # ours: a set-up that can't be read or used, Q.850's invalid contents
+CANCELLED = ENDED = 16
+STOPPED, REJECTED, FAILED, CONGESTED, ERROR, EXPIRED = 31, 34, 41, 42, 47, 102
+INVALID_CONTENTS = 100  # ours: a set-up that can't be read or used, Q.850's invalid contents
 
 
-class PeerError(Exception):
+class ProtocolError(Exception):
     """The peer's fault: bytes that are no message. The connection is of no further use."""
 
 
-class OurError(ValueError):
+class EncodeError(ValueError):
     """Our fault: a message that must not be sent."""
 
 
 @dataclass(slots=True)
 class PlatformMessage:
     kind: int
-    task: int
+    task_id: int
     parameters: dict[int, bytes]
 
-    def text(self, code: int) -> str | None:
-        """A parameter as text, None where it is absent; PeerError if it is not printable ASCII."""
+    def get_text(self, code: int) -> str | None:
+        """A parameter as text, None where it is absent; ProtocolError if it is not printable ASCII."""
         raw = self.parameters.get(code)
         if raw is None:
             return None
         text = raw.decode("latin-1")
         if not (text.isascii() and text.isprintable()):
-            raise PeerError(f"parameter {code} of message {self.kind} is not text")
+            raise ProtocolError(f"parameter {code} of message {self.kind} is not text")
         return text
 
     @property
     def cause(self) -> int:
-        """The cause's one byte; PeerError without it."""
+        """The cause's one byte; ProtocolError without it."""
         raw = self.parameters.get(CAUSE)
         if raw is None or len(raw) != 1:
-            raise PeerError(f"message {self.kind} without a cause of one byte")
+            raise ProtocolError(f"message {self.kind} without a cause of one byte")
         return raw[0]
 
 
 def encode(kind: int, task: int, parameters: dict[int, bytes] | None = None) -> bytes:
-    """The bytes of one message; OurError when it passes the protocol's bound.
+    """The bytes of one message; EncodeError when it passes the protocol's bound.
 
-    >>> encode(TESTED, 7, {CAUSE: b"\\x01"}).hex()
+    >>> encode(PROBE_ANSWER, 7, {CAUSE: b"\\x01"}).hex()
     '000d3500000000000000078e000101'
     """
-    body = b"".join(PARAMETER.pack(code, len(raw)) + raw for code, raw in (parameters or {}).items())
-    length = HEAD.size - 2 + len(body)
-    if length > MOST:
-        raise OurError(f"message {kind} of {length} bytes; the protocol holds {MOST}")
-    return HEAD.pack(length, kind, task) + body
+    body = b"".join(PARAMETER_HEADER.pack(code, len(raw)) + raw for code, raw in (parameters or {}).items())
+    length = HEADER.size - 2 + len(body)
+    if length > MAX_MESSAGE_BYTES:
+        raise EncodeError(f"message {kind} of {length} bytes; the protocol holds {MAX_MESSAGE_BYTES}")
+    return HEADER.pack(length, kind, task) + body
 
 
-def caused(kind: int, task: int, cause: int, more: dict[int, bytes] | None = None) -> bytes:
+def encode_with_cause(kind: int, task: int, cause: int, more: dict[int, bytes] | None = None) -> bytes:
     """A message whose main parameter is a cause, such as a release."""
     return encode(kind, task, {CAUSE: bytes((cause,)), **(more or {})})
 
 
-def whole(buffer: bytearray, at: int) -> int | None:
-    """Where the message that begins at `at` ends, None if not all of it is here; PeerError at the first byte
-    that can't be right."""
+def find_message_end(buffer: bytearray, at: int) -> int | None:
+    """Where the message that begins at `at` ends, None if not all of it is here; ProtocolError at the first
+    byte that can't be right."""
     have = len(buffer) - at
     if have < 2:
         return None
     length = buffer[at] << 8 | buffer[at + 1]
-    if not HEAD.size - 2 <= length <= MOST:
-        raise PeerError(f"a message of {length} bytes")
+    if not HEADER.size - 2 <= length <= MAX_MESSAGE_BYTES:
+        raise ProtocolError(f"a message of {length} bytes")
     if have >= 3 and buffer[at + 2] not in KINDS:
-        raise PeerError(f"a message of unknown type {buffer[at + 2]}")
+        raise ProtocolError(f"a message of unknown type {buffer[at + 2]}")
     return at + length + 2 if have >= length + 2 else None
 
 
@@ -100,7 +102,7 @@
         self.buffer = bytearray()
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """A message has begun and is not whole."""
         return bool(self.buffer)
 
@@ -108,10 +110,10 @@
         self.buffer += data
 
     def messages(self) -> Iterator[PlatformMessage]:
-        """Whole messages; PeerError at the first byte that can't be right."""
+        """Whole messages; ProtocolError at the first byte that can't be right."""
         at = 0
         try:
-            while (end := whole(self.buffer, at)) is not None:
+            while (end := find_message_end(self.buffer, at)) is not None:
                 message = decode(bytes(self.buffer[at:end]))
                 at = end
                 yield message
@@ -121,26 +123,26 @@
 
 def decode(data: bytes) -> PlatformMessage:
     """One whole message, its length and type already looked at."""
-    _, kind, task = HEAD.unpack_from(data)
-    at, parameters = HEAD.size, dict[int, bytes]()
+    _, kind, task = HEADER.unpack_from(data)
+    at, parameters = HEADER.size, dict[int, bytes]()
     while at < len(data):
-        if len(data) - at < PARAMETER.size:
-            raise PeerError(f"message {kind} ends within a parameter")
-        code, length = PARAMETER.unpack_from(data, at)
-        at += PARAMETER.size
+        if len(data) - at < PARAMETER_HEADER.size:
+            raise ProtocolError(f"message {kind} ends within a parameter")
+        code, length = PARAMETER_HEADER.unpack_from(data, at)
+        at += PARAMETER_HEADER.size
         if length > len(data) - at:
-            raise PeerError(f"parameter {code} of {length} bytes in the {len(data) - at} left")
+            raise ProtocolError(f"parameter {code} of {length} bytes in the {len(data) - at} left")
         if code in parameters:
-            raise PeerError(f"parameter {code} twice in message {kind}")
+            raise ProtocolError(f"parameter {code} twice in message {kind}")
         parameters[code] = data[at : at + length]
         at += length
     return PlatformMessage(kind, task, parameters)
 
 
-def figure(text: str) -> float:
-    """A finite number; PeerError on anything else.
+def parse_number(text: str) -> float:
+    """A finite number; ProtocolError on anything else.
 
-    >>> figure("0.25")
+    >>> parse_number("0.25")
     0.25
     """
     try:
@@ -148,16 +150,16 @@
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise PeerError(f"no figure: {text[:40]!r}")
+        raise ProtocolError(f"no figure: {text[:40]!r}")
     return value
 
 
-def fields(text: str) -> dict[str, str]:
-    """`a:1;b:2` as a mapping; PeerError on another form or a name twice."""
+def parse_fields(text: str) -> dict[str, str]:
+    """`a:1;b:2` as a mapping; ProtocolError on another form or a name twice."""
     found: dict[str, str] = {}
     for part in filter(None, text.split(";")):
         name, colon, value = part.partition(":")
         if not colon or name in found:
-            raise PeerError(f"no field: {part[:40]!r}")
+            raise ProtocolError(f"no field: {part[:40]!r}")
         found[name] = value
     return found
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -19,7 +19,7 @@
 
 from glencleat.descriptor_budget import Demand, DescriptorBudget
 from glencleat.event_loop import Loop
-from glencleat.flow_control.backoff import HOST
+from glencleat.flow_control.backoff import HOST_BACKOFF
 from glencleat.flow_control.connection_limiter import ConnectionLimiter
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.delivery import DeliveryOutcome
@@ -83,7 +83,7 @@
         self.pending_queue = PendingQueue(loop, sender=self)
         self.connected_hosts: set[Host] = set()  # those with connections, and some that have had
         self.releasing_hosts: set[Host] = set()  # those with pending releases, and some that have had
-        descriptors.freed = self.on_capacity_freed
+        descriptors.on_capacity_freed = self.on_capacity_freed
         self.maintenance = HostMaintenance(self)
 
     @property
@@ -94,7 +94,7 @@
     @exchange.setter
     def exchange(self, exchange: Exchange) -> None:
         self._exchange = exchange
-        exchange.stands = self.maintenance.on_standing_changed
+        exchange.on_placed_changed = self.maintenance.on_standing_changed
 
     @property
     def hosts_by_name(self) -> dict[str, Host]:
@@ -117,12 +117,12 @@
         """Sends an attempt to its host, at once or as soon as there is a connection."""
         host = self.registry.hosts_by_name.get(attempt.host)
         if host is None or not host.has_address:
-            self.report_outcome(attempt, DeliveryOutcome.NEVER_SENT)
+            self.report_outcome(attempt, DeliveryOutcome.NOT_SENT)
         elif self._fails_fast(host):
             # A connect has just failed, the next is due soon: the same answer, a connect's time earlier.
-            self.report_outcome(attempt, DeliveryOutcome.NEVER_UP)
+            self.report_outcome(attempt, DeliveryOutcome.CONNECT_TIMEOUT)
         elif not self._send_to_host(host, attempt, may_connect=True) and not self.pending_queue.add(attempt):
-            self.report_outcome(attempt, DeliveryOutcome.NEVER_SENT)
+            self.report_outcome(attempt, DeliveryOutcome.NOT_SENT)
 
     def _fails_fast(self, host: Host) -> bool:
         is_waiting = self.loop.now() < host.next_connect_at_ms and not host.is_connecting
@@ -130,16 +130,16 @@
 
     def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
         """Takes back an attempt and returns what is known of its delivery."""
-        connection: HostConnection | None = attempt.link
+        connection: HostConnection | None = attempt.connection
         if connection is None:
             self.pending_queue.discard(attempt)
-            return DeliveryOutcome.NEVER_SENT
+            return DeliveryOutcome.NOT_SENT
         return connection.cancel_attempt(attempt)
 
     def has_unread_bytes(self, attempt: SetupAttempt) -> bool:
         """Whether something that has not been read came on the connection that the attempt went by."""
-        connection: HostConnection | None = attempt.link
-        return connection is not None and connection.stream is not None and connection.stream.readable
+        connection: HostConnection | None = attempt.connection
+        return connection is not None and connection.stream is not None and connection.stream.is_readable
 
     def release_task(self, name: str, task: int) -> None:
         """Releases a standing task at its host, at once or as soon as the host can be reached."""
@@ -161,7 +161,7 @@
         """Writes a release. It stays pending until acknowledged: the connection may break with it unread."""
         if task in host.pending_releases:
             host.pending_releases[task] = connection
-        connection.write(m.caused(m.RELEASE, task, m.ENDED))
+        connection.write(m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
     def request_load_report(self, name: str, token: int) -> bool:
         """Asks a host for its load report. False if there is no connection to ask on."""
@@ -170,7 +170,7 @@
             return False
         for connection in host.connections:
             if connection.stream and self._is_fresh(connection):
-                connection.write(m.caused(m.TEST, token, 1))
+                connection.write(m.encode_with_cause(m.PROBE, token, 1))
                 return True
         return False
 
@@ -191,7 +191,7 @@
 
     def fail_attempt(self, attempt: SetupAttempt) -> None:
         """See `AttemptSender`."""
-        self.exchange.failed(attempt, DeliveryOutcome.NEVER_SENT)
+        self.exchange.on_attempt_failed(attempt, DeliveryOutcome.NOT_SENT)
 
     def on_capacity_freed(self) -> None:
         """A descriptor is free or worth less than before, or a connect has ended."""
@@ -200,14 +200,14 @@
     # ---- which connection an attempt goes by ----
 
     def _send_to_host(self, host: Host, attempt: SetupAttempt, *, may_connect: bool) -> bool:
-        task = attempt.call.setup.task
+        task = attempt.call.setup.task_id
         connection = self._select_connection(host, task, may_connect=may_connect)
         while connection is not None and connection.detect_close_by_host():
             connection = self._select_connection(host, task, may_connect=may_connect)
         if connection is None:
             return False
         connection.add_attempt(attempt)
-        self.descriptors.file(connection)
+        self.descriptors.update_priority(connection)
         return True
 
     def _select_connection(self, host: Host, task: int, *, may_connect: bool) -> HostConnection | None:
@@ -220,7 +220,7 @@
             and task not in connection.cancelled_task_ids
             and self._is_fresh(connection)
             # Nothing queues behind the unsent bytes of others.
-            and not (connection.stream is not None and (is_silent or connection.stream.out))
+            and not (connection.stream is not None and (is_silent or connection.stream.send_buffer))
         ]
         idle = [connection for connection in usable if not connection.open_attempt_count]
         if idle:
@@ -235,7 +235,7 @@
         if not usable:
             return self._open_connection(host) if may_connect and self._make_room(Demand.ATTEMPT) else None
         has_room = len(host.connections) < MAX_CONNECTIONS_PER_HOST
-        may_open_another = has_room and not self.connection_limiter.shared(host.address)
+        may_open_another = has_room and not self.connection_limiter.is_saturated(host.address)
         if may_open_another and may_connect and self._make_room(Demand.EXTRA):
             return self._open_connection(host)
         return min(usable, key=lambda connection: connection.open_attempt_count)
@@ -243,7 +243,7 @@
     def _is_fresh(self, connection: HostConnection) -> bool:
         """Whether it is not closed, and not idle for so long that the host may close it as we write."""
         is_recent = self.loop.now() - connection.last_used_at_ms < self.idle_ms
-        return connection.stream is None or (connection.stream.closed is None and is_recent)
+        return connection.stream is None or (connection.stream.close_reason is None and is_recent)
 
     def is_healthy(self, connection: HostConnection) -> bool:
         """Whether it is up and may be used."""
@@ -255,20 +255,20 @@
 
     def _make_room(self, demand: Demand) -> bool:
         """Whether a connection may be opened now, by the limiter and by descriptors; makes room for it."""
-        is_look = demand is Demand.LISTEN
-        is_permitted = self.connection_limiter.may(
-            self.loop.now(), hosts=len(self.registry.hosts_by_name), look=is_look
+        is_look = demand is Demand.LIVENESS_CHECK
+        is_permitted = self.connection_limiter.may_connect(
+            self.loop.now(), host_count=len(self.registry.hosts_by_name), is_liveness_check=is_look
         )
-        return is_permitted and self.descriptors.make_room(demand)
+        return is_permitted and self.descriptors.ensure_capacity(demand)
 
     def _open_connection(self, host: Host, *, is_liveness_check: bool = False) -> HostConnection:
         connection = HostConnection(self, host, is_liveness_check=is_liveness_check)
         host.connections[connection] = None
         self.connected_hosts.add(host)
-        self.descriptors.hold(connection)
+        self.descriptors.add_holder(connection)
         return connection
 
-    def reconnect(self, host: Host, demand: Demand = Demand.LISTEN) -> None:
+    def reconnect(self, host: Host, demand: Demand = Demand.LIVENESS_CHECK) -> None:
         """Opens a further connection, unless one is coming up or it is too early."""
         if host.is_connecting or not host.has_address or self.loop.now() < host.next_connect_at_ms:
             return
@@ -297,11 +297,11 @@
 
     def report_outcome(self, attempt: SetupAttempt, outcome: DeliveryOutcome) -> None:
         """Reports a failure to the exchange, once it has finished offering the attempt."""
-        self.loop.call_in(0.0, lambda: self.exchange.failed(attempt, outcome))
+        self.loop.call_in(0.0, lambda: self.exchange.on_attempt_failed(attempt, outcome))
 
     def is_warming_up(self, host: Host) -> bool:
         """Whether the host started a short time ago, by the machine list."""
-        entry = self.channel.hosts.get(host.name)
+        entry = self.channel.hosts_by_name.get(host.name)
         ready_at_ms = entry.machine.ready_at_ms if entry is not None else None
         return ready_at_ms is not None and self.loop.now() < ready_at_ms + self.warm_up_ms
 
@@ -311,7 +311,7 @@
         self.on_host_heard(host)
         for task in host.unsent_releases:
             self._write_release(host, connection, task)
-        self.refile_connections(host)
+        self.update_eviction_priorities(host)
         self.on_capacity_freed()
 
     def on_connect_failed(self, host: Host, *, refused: bool) -> None:
@@ -325,17 +325,17 @@
                 f" heard {quiet_ms:.0f} ms ago"
             )
         host.record_connect_failure(now_ms, refused=refused, disconnected=host.is_disconnected)
-        host.next_connect_at_ms = now_ms + host.backoff.again()
+        host.next_connect_at_ms = now_ms + host.backoff.next_delay_ms()
         if host.is_unreachable(self.connect_ms, disconnected=host.is_disconnected):
             host.is_reported_unreachable = True
-            self.exchange.reached(host.name, up=False)
+            self.exchange.on_reachability_changed(host.name, is_reachable=False)
         self.on_capacity_freed()
 
     def on_host_heard(self, host: Host) -> None:
         """The host was heard, or a connection to it came up."""
         if host.is_reported_unreachable:
             host.is_reported_unreachable = False
-            self.exchange.reached(host.name, up=True)
+            self.exchange.on_reachability_changed(host.name, is_reachable=True)
 
     def on_connection_lost(self, host: Host, connection: HostConnection, reason: str) -> None:
         """A connection that we had not begun to close has ended.
@@ -351,10 +351,10 @@
         if has_process_ended:
             host.next_connect_at_ms = now_ms  # earlier refusals, as of a draining host, say nothing of this
         lifetime_ms = now_ms - connection.connected_at_ms
-        if lifetime_ms < HOST.steady_ms:
+        if lifetime_ms < HOST_BACKOFF.reset_after_ms:
             # A host that takes connections and ends them at once would be asked as fast as the loop runs.
-            host.next_connect_at_ms = now_ms + host.backoff.again(lifetime_ms)
-        if standing := self.exchange.standing.get(host.name):
+            host.next_connect_at_ms = now_ms + host.backoff.next_delay_ms(lifetime_ms)
+        if standing := self.exchange.placed_calls_by_host.get(host.name):
             left = f"{len(standing)} tasks stand, {len(host.connections)} links left"
             self.log(f"host {host.name}: link ended, {reason}; {left}")
             self.reconnect(host)
@@ -367,11 +367,11 @@
 
     def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
         """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
-        ended_count = self.exchange.host_lost(host.name, before_ms)
+        ended_count = self.exchange.declare_tasks_lost(host.name, before_ms)
         if ended_count:
             self.log(f"host {host.name}: {ended_count} tasks over, {reason}")
 
-    def refile_connections(self, host: Host) -> None:
+    def update_eviction_priorities(self, host: Host) -> None:
         """Files a host's connections in the descriptor budget by what they are worth now."""
         for connection in list(host.connections):
-            self.descriptors.file(connection)
+            self.descriptors.update_priority(connection)
--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-WINDOW_MS = 700.0  # after SIGTERM: the page lets new requests come for so long
-UNDELIVERED_MS = 1_000.0  # beyond it: a release is due within a second
-UNHANDLED_MS = 2_500.0  # beyond it: one who goes on sending, or reads nothing; a half message has 2 s
+DRAIN_WINDOW_MS = 700.0  # after SIGTERM: the page lets new requests come for so long
+UNDELIVERED_TIMEOUT_MS = 1_000.0  # beyond it: a release is due within a second
+UNHANDLED_TIMEOUT_MS = 2_500.0  # beyond it: one who goes on sending, or reads nothing; a half message has 2 s
 
 
 class ShutdownState(Enum):
@@ -33,9 +33,11 @@
 class ShutdownObservation:
     """What one look found."""
 
-    unanswered: bool  # open calls
-    unhandled: bool  # connections or bytes that came since the look before or wait their turn, unsent answers
-    undelivered: bool  # releases owed to clients or hosts, for which there is no connection
+    has_unanswered_calls: bool  # open calls
+    has_unhandled_data: (
+        bool  # connections or bytes that came since the look before or wait their turn, unsent answers
+    )
+    has_undelivered_releases: bool  # releases owed to clients or hosts, for which there is no connection
 
 
 class GracefulShutdown:
@@ -43,29 +45,29 @@
     >>> shutdown, nothing = GracefulShutdown(), ShutdownObservation(False, False, False)
     >>> shutdown.begin(0.0), shutdown.begin(5.0)
     (True, False)
-    >>> [shutdown.look(at, nothing).value for at in (0.0, 700.0, 710.0)]
+    >>> [shutdown.update_state(at, nothing).value for at in (0.0, 700.0, 710.0)]
     ['draining', 'closing', 'closed']
     """
 
     def __init__(self) -> None:
         self.state = ShutdownState.SERVING
-        self.over_at = float("inf")  # the window's end
+        self.drain_until_ms = float("inf")  # the window's end
 
     def begin(self, now: float) -> bool:
         """SIGTERM; False if it came before."""
         if self.state is not ShutdownState.SERVING:
             return False
-        self.state, self.over_at = ShutdownState.DRAINING, now + WINDOW_MS
+        self.state, self.drain_until_ms = ShutdownState.DRAINING, now + DRAIN_WINDOW_MS
         return True
 
-    def look(self, now: float, seen: ShutdownObservation) -> ShutdownState:
-        if self.state is ShutdownState.DRAINING and now >= self.over_at:
+    def update_state(self, now: float, seen: ShutdownObservation) -> ShutdownState:
+        if self.state is ShutdownState.DRAINING and now >= self.drain_until_ms:
             self.state = (
                 ShutdownState.CLOSING
             )  # what was in the backlog is in: the next look finds what it says
         elif self.state is ShutdownState.CLOSING:
-            held = seen.undelivered and now < self.over_at + UNDELIVERED_MS
-            held |= seen.unhandled and now < self.over_at + UNHANDLED_MS
-            if not (seen.unanswered or held):
+            held = seen.has_undelivered_releases and now < self.drain_until_ms + UNDELIVERED_TIMEOUT_MS
+            held |= seen.has_unhandled_data and now < self.drain_until_ms + UNHANDLED_TIMEOUT_MS
+            if not (seen.has_unanswered_calls or held):
                 self.state = ShutdownState.CLOSED
         return self.state
--- a/glencleat/platform_server/host_maintenance.py
+++ b/glencleat/platform_server/host_maintenance.py
@@ -10,7 +10,7 @@
 
 from glencleat.descriptor_budget import Demand, DescriptorBudget, EvictionPriority
 from glencleat.event_loop import Loop
-from glencleat.flow_control.connection_limiter import look_ms
+from glencleat.flow_control.connection_limiter import quiet_limit_ms
 from glencleat.index.dirty_set import DirtySet
 from glencleat.index.due_queue import DueQueue
 from glencleat.platform_protocol.exchange import Exchange
@@ -25,7 +25,7 @@
 STANDSTILL_MS = 1_000.0
 """A tick that comes so long after the one before shows that our process stood still."""
 
-SURPLUS_MS = 4_000.0
+SURPLUS_IDLE_MS = 4_000.0
 """A connection not needed for so long is closed if another is up; clients keep theirs as long."""
 
 
@@ -47,13 +47,13 @@
     def on_capacity_freed(self) -> None:
         """A connection may be opened for an attempt that waits."""
 
-    def reconnect(self, host: Host, demand: Demand = Demand.LISTEN) -> None:
+    def reconnect(self, host: Host, demand: Demand = Demand.LIVENESS_CHECK) -> None:
         """Opens a further connection, if one may be opened now."""
 
     def is_healthy(self, connection: HostConnection) -> bool:
         """Whether the connection is up and may be used."""
 
-    def refile_connections(self, host: Host) -> None:
+    def update_eviction_priorities(self, host: Host) -> None:
         """Files a host's connections in the descriptor budget by what they are worth now."""
 
     def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
@@ -67,7 +67,7 @@
         """Schedules the first tick."""
         self.pool = pool
         # The longest unheard first: where there are more hosts than descriptors they take turns.
-        self.due_hosts = DirtySet[Host](order=lambda host: (host.last_heard_at_ms, host.creation_number))
+        self.due_hosts = DirtySet[Host](sort_key=lambda host: (host.last_heard_at_ms, host.creation_number))
         self.unlisted_host_names: dict[str, None] = {}  # where tasks came to stand, and no list names it
         self.tick_count = 0
         self.last_tick_at_ms = pool.loop.now()
@@ -75,7 +75,7 @@
 
     def mark_changed(self, host: Host) -> None:
         """Something has happened that may bring forward the time at which the host is due."""
-        self.due_hosts.mark(host)
+        self.due_hosts.mark_dirty(host)
 
     def on_standing_changed(self, name: str) -> None:
         """The first task has come to stand at a host, or the last one has ended."""
@@ -95,10 +95,10 @@
         self.tick_count += 1
         self.pool.on_capacity_freed()  # a moment ago the limiter may have permitted none
         self._add_unlisted_hosts(now_ms)
-        if DueQueue.checked:
+        if DueQueue.is_self_checking:
             self._check_skipped_hosts(now_ms)
         hosts_by_name = self.pool.registry.hosts_by_name
-        for host in self.due_hosts.take(now_ms):
+        for host in self.due_hosts.iterate_ready(now_ms):
             if hosts_by_name.get(host.name) is host:
                 self._maintain_host(host, now_ms)
             if hosts_by_name.get(host.name) is host:
@@ -113,17 +113,17 @@
         for name in names:
             if name in registry.hosts_by_name:
                 self.mark_changed(registry.hosts_by_name[name])
-            elif name in self.pool.exchange.standing:
+            elif name in self.pool.exchange.placed_calls_by_host:
                 registry.add_host(name).record_removed(now_ms)
 
     def _maintain_host(self, host: Host, now_ms: float) -> None:
         """Does all that has to be done at a host by now."""
-        if host.name in self.pool.exchange.standing:
+        if host.name in self.pool.exchange.placed_calls_by_host:
             self._assess_host(host, now_ms)
         elif host.unsent_releases:
             self.pool.reconnect(host, Demand.ATTEMPT)
         self._close_unneeded(host, now_ms)
-        self.pool.refile_connections(host)
+        self.pool.update_eviction_priorities(host)
         if not host.connections:
             self.pool.connected_hosts.discard(host)
         if not host.pending_releases:
@@ -137,17 +137,17 @@
     def _next_maintenance_ms(self, host: Host) -> float:
         """When a host is due if nothing happens on it before; a time in the past is that of the next tick.
 
-        Each line answers one of `_assess_host`, `reconnect`, `_close_unneeded` and `refile_connections`;
-        `_check_skipped_hosts` verifies that.
+        Each line answers one of `_assess_host`, `reconnect`, `_close_unneeded` and
+        `update_eviction_priorities`; `_check_skipped_hosts` verifies that.
         """
-        has_standing_tasks = host.name in self.pool.exchange.standing
+        has_standing_tasks = host.name in self.pool.exchange.placed_calls_by_host
         connections = host.connections
         due_ms = NEVER
         if has_standing_tasks:
             due_ms = host.next_assessment_ms(
                 has_address=host.has_address,
                 has_connection=bool(connections),
-                quiet_limit_ms=look_ms(self.pool.allocator_count),
+                quiet_limit_ms=quiet_limit_ms(self.pool.allocator_count),
             )
         elif host.unsent_releases and host.has_address and not host.is_connecting:
             due_ms = host.next_connect_at_ms
@@ -167,24 +167,24 @@
                 return -NEVER
         else:
             if len(host.connections) > 1:
-                due_ms = connection.last_used_at_ms + SURPLUS_MS
+                due_ms = connection.last_used_at_ms + SURPLUS_IDLE_MS
             if not (has_standing_tasks and host.is_draining):
                 due_ms = min(due_ms, connection.last_used_at_ms + self.pool.idle_ms)
-        if self.pool.descriptors.filed.get(connection) is EvictionPriority.LISTENING:
+        if self.pool.descriptors.priorities_by_holder.get(connection) is EvictionPriority.NEW_ONLY_CONNECTION:
             due_ms = min(due_ms, connection.connected_at_ms + host_connection.LIVENESS_CHECK_MS)
         return due_ms
 
     def _check_skipped_hosts(self, now_ms: float) -> None:
         """Verifies the plain way that hosts which are not due need nothing. Tests switch this on."""
-        due_hosts = self.due_hosts.gather(now_ms)
-        filed = self.pool.descriptors.filed
+        due_hosts = self.due_hosts.collect_ready(now_ms)
+        filed = self.pool.descriptors.priorities_by_holder
         for host in self.pool.registry.hosts_by_name.values():
             if host not in due_hosts:
                 due_ms = self._next_maintenance_ms(host)
                 assert due_ms > now_ms, (host.name, now_ms, due_ms, vars(host))
                 for connection in host.connections:
                     priority = filed.get(connection)
-                    assert priority in (None, connection.worth()), (host.name, vars(connection))
+                    assert priority in (None, connection.eviction_priority()), (host.name, vars(connection))
             assert host in self.pool.connected_hosts or not host.connections
             assert host in self.pool.releasing_hosts or not host.pending_releases
 
@@ -194,7 +194,7 @@
             now_ms,
             has_address=host.has_address,
             has_connection=bool(host.connections),
-            quiet_limit_ms=look_ms(self.pool.allocator_count),
+            quiet_limit_ms=quiet_limit_ms(self.pool.allocator_count),
         )
         if assessment.action is DetectorAction.DECLARE_DEAD:
             self.pool.declare_tasks_lost(host, assessment.reason)
@@ -206,14 +206,18 @@
 
     def _close_unneeded(self, host: Host, now_ms: float) -> None:
         """Closes connections that nobody needs, and removes a host that the machine list has removed."""
-        has_standing_tasks = host.name in self.pool.exchange.standing
+        has_standing_tasks = host.name in self.pool.exchange.placed_calls_by_host
         by_need = sorted(
             host.connections, key=lambda other: (not other.is_unresponsive, other.last_used_at_ms)
         )
         for connection in by_need:
             if connection.is_idle:
                 self._close_if_unneeded(host, connection, now_ms, has_standing_tasks)
-        if host.is_removed and host.name not in self.pool.exchange.standing and not host.has_open_attempts:
+        if (
+            host.is_removed
+            and host.name not in self.pool.exchange.placed_calls_by_host
+            and not host.has_open_attempts
+        ):
             host.abort_connections("its host is gone")
             self.pool.registry.remove_host(host)
 
@@ -221,7 +225,7 @@
         self, host: Host, connection: HostConnection, now_ms: float, has_standing_tasks: bool
     ) -> None:
         idle_ms = 0.0 if connection.is_liveness_check else now_ms - connection.last_used_at_ms
-        if idle_ms > SURPLUS_MS and self._has_other_healthy(host, connection):
+        if idle_ms > SURPLUS_IDLE_MS and self._has_other_healthy(host, connection):
             connection.close_gracefully("another is enough")
             if has_standing_tasks:
                 # At once: a host that begins to drain later takes no connection for its releases.
--- a/glencleat/platform_server/host_registry.py
+++ b/glencleat/platform_server/host_registry.py
@@ -7,7 +7,7 @@
 
 from glencleat import interface as api
 from glencleat.event_loop import Loop
-from glencleat.platform_protocol.command_channel import HostEntry, ListChange, when
+from glencleat.platform_protocol.command_channel import HostEntry, ListChange, estimate_start_ms
 from glencleat.platform_server.failure_detector import NEVER
 from glencleat.platform_server.host_connection import Host
 from glencleat.platform_server.pooled_host import NO_ADDRESS, PooledHost
@@ -68,7 +68,7 @@
     def apply_list_change(self, change: ListChange) -> None:
         """Takes in a snapshot or a delta of the machine list."""
         names = {entry.machine.name for entry in change.hosts}
-        for name, host in self.hosts_by_name.items() if change.whole else ():
+        for name, host in self.hosts_by_name.items() if change.is_snapshot else ():
             if name not in names:
                 host.record_removed(self.loop.now())
         for entry in change.hosts:
@@ -89,7 +89,7 @@
         self.host_names_by_address[entry.address] = name
         if previous_name != name and previous_name in self.hosts_by_name:
             self._handle_address_taken(self.hosts_by_name[previous_name])
-        self._apply_process_start(host, entry.started_ms)
+        self._apply_process_start(host, entry.started_unix_ms)
 
     def _apply_process_start(self, host: Host, started_unix_ms: float) -> None:
         previous_unix_ms = host.process_started_unix_ms
@@ -98,7 +98,7 @@
             # A start that was reported before says nothing new: by a clock that is behind it lies ahead for
             # ever.
             return
-        started_at_ms = when(started_unix_ms - self.channel.ahead_ms, self.loop.now())
+        started_at_ms = estimate_start_ms(started_unix_ms - self.channel.clock_offset_ms, self.loop.now())
         self.observer.declare_tasks_lost(host, "a later start is in the list", started_at_ms)
 
     def _handle_address_taken(self, host: Host) -> None:
--- a/glencleat/platform_server/pooled_host.py
+++ b/glencleat/platform_server/pooled_host.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Generic, Protocol, TypeVar
 
-from glencleat.flow_control.backoff import HOST, Backoff
+from glencleat.flow_control.backoff import HOST_BACKOFF, Backoff
 from glencleat.platform_server.failure_detector import FailureDetector
 
 NO_ADDRESS: tuple[str, int] = ("", 0)
@@ -59,7 +59,7 @@
         self.name = name
         self.creation_number = creation_number
         self.on_change = on_change
-        self.backoff = Backoff(HOST, random)  # between two connects while the host can't be reached
+        self.backoff = Backoff(HOST_BACKOFF, random)  # between two connects while the host can't be reached
         self.address = NO_ADDRESS
         self.process_started_unix_ms: float | None = None  # as the machine list said last
         self.connections: dict[ConnectionT, None] = {}  # in the order of their creation
--- a/glencleat/platform_server/rate_limited_log.py
+++ b/glencleat/platform_server/rate_limited_log.py
@@ -8,27 +8,41 @@
 import select
 import time
 
-MOST, WIDTH = 20, 400  # lines a second, the rest are counted; characters of a line
+MAX_LINES_PER_S, MAX_LINE_LENGTH = 20, 400  # lines a second, the rest are counted; characters of a line
 
 
 class RateLimitedLog:
-    def __init__(self, name: str, fd: int = 2, most: int = MOST, width: int = WIDTH) -> None:
-        self.name, self.fd, self.most, self.width = name, fd, most, width
-        self.second, self.lines, self.dropped = 0, 0, 0
+    def __init__(
+        self,
+        name: str,
+        fd: int = 2,
+        max_lines_per_s: int = MAX_LINES_PER_S,
+        max_line_length: int = MAX_LINE_LENGTH,
+    ) -> None:
+        self.name, self.fd, self.max_lines_per_s, self.max_line_length = (
+            name,
+            fd,
+            max_lines_per_s,
+            max_line_length,
+        )
+        self.current_second, self.line_count, self.dropped_count = 0, 0, 0
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, text: str) -> None:
         now = time.time()
-        if int(now) != self.second:
-            self.second, self.lines = int(now), 0
-        self.lines += 1
-        if self.lines > self.most or not self.poll.poll(0):
-            self.dropped += 1
+        if int(now) != self.current_second:
+            self.current_second, self.line_count = int(now), 0
+        self.line_count += 1
+        if self.line_count > self.max_lines_per_s or not self.poll.poll(0):
+            self.dropped_count += 1
             return
-        more = f" (and {self.dropped} lines not written)" if self.dropped else ""
-        self.dropped = 0
+        more = f" (and {self.dropped_count} lines not written)" if self.dropped_count else ""
+        self.dropped_count = 0
         try:
-            os.write(self.fd, f"{now:.3f} {self.name} {text[: self.width]}{more}\n".encode(errors="replace"))
+            os.write(
+                self.fd,
+                f"{now:.3f} {self.name} {text[: self.max_line_length]}{more}\n".encode(errors="replace"),
+            )
         except OSError:
-            self.dropped += 1
+            self.dropped_count += 1
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from glencleat.platform_protocol.exchange import SetupCall
 
-DULL = (
+ROUTINE_EVENTS = (
     api.TimerFired,
     api.MachineListUpdated,
     api.TaskObserved,
@@ -23,22 +23,22 @@
 
 
 class Trace:
-    """A module around the real one, which it asks; `message` is for what passes on the sockets."""
+    """A module around the real one, which it asks; `record_message` is for what passes on the sockets."""
 
     def __init__(
-        self, module: DecisionModule, calls: dict[int, SetupCall], line: Callable[[str], None]
+        self, module: DecisionModule, calls: dict[int, SetupCall], write_line: Callable[[str], None]
     ) -> None:
-        self.module, self.calls, self.line = module, calls, line
+        self.module, self.calls, self.write_line = module, calls, write_line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         actions = self.module.handle(now_ms, event)
-        if isinstance(event, DULL) and all(isinstance(action, api.SetTimer) for action in actions):
+        if isinstance(event, ROUTINE_EVENTS) and all(isinstance(action, api.SetTimer) for action in actions):
             return actions
         calls = [self.calls.get(getattr(said, "call", -1)) for said in (event, *actions)]
-        pairs = {f"{call.setup.task:016x}" for call in calls if call is not None}
+        pairs = {f"{call.setup.task_id:016x}" for call in calls if call is not None}
         told = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
-        self.line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
+        self.write_line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
         return actions
 
-    def message(self, where: str, message: m.PlatformMessage) -> None:
-        self.line(f"{where} pair {message.task:016x}: {message.kind} {message.parameters}")
+    def record_message(self, where: str, message: m.PlatformMessage) -> None:
+        self.write_line(f"{where} pair {message.task_id:016x}: {message.kind} {message.parameters}")
--- a/glencleat/policy/attempts.py
+++ b/glencleat/policy/attempts.py
@@ -37,7 +37,7 @@
 MIN_REQUEST = 1e-6  # of cores and memory: a request is divided by
 MIN_TIME_LEFT_MS = 1.0  # the least time-out that is sent
 TIMEOUT_DIGITS = 3  # decimals of a time-out, in ms
-NO_EFFECT = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # known not to have run
+NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # known not to have run
 
 
 def is_final(state: PolicyState, task: TrackedTask) -> bool:
@@ -152,7 +152,7 @@
             self.registry.forget(task)
             return
         task.ended_at_ms_by_machine[attempt_machine.name] = self.state.now_ms
-        if event.outcome not in NO_EFFECT and task.first_uncertain_attempt is None:
+        if event.outcome not in NEVER_RAN and task.first_uncertain_attempt is None:
             task.first_uncertain_attempt = UncertainAttempt(task.sent_at_ms, attempt_machine)
         self.try_attempt(task)
 
@@ -189,7 +189,7 @@
         """Sends the task if a machine is found; else holds it, or answers where holding can't help."""
         state = self.state
         if is_final(state, task):
-            self.answer(task)
+            self.answer_call(task)
             return False
         machine = self.placement.choose_machine(task)
         if machine is None or self._awaits_probe(machine, task):
@@ -231,7 +231,7 @@
             timeout_ms = min(MAX_TIMEOUT_MS, max(floor_ms, expected_ms))
         return round(min(timeout_ms, left_ms), TIMEOUT_DIGITS)
 
-    def answer(self, task: TrackedTask) -> None:
+    def answer_call(self, task: TrackedTask) -> None:
         """Ends the call: a rejection promises that nothing ran or that it did no harm, a failure nothing."""
         if is_harmless_to_repeat(task):
             self.state.actions.append(Reject(task.call_id))
@@ -239,7 +239,7 @@
             self.state.actions.append(Fail(task.call_id))
         self.registry.forget(task)
 
-    def try_held(self, max_waited_share: float = NOT_DUE_MS) -> None:
+    def try_held_tasks(self, max_waited_share: float = NOT_DUE_MS) -> None:
         """Tries held tasks that waited up to this share of their latency objective, by precedence."""
         now_ms = self.state.now_ms
         held = [
@@ -250,7 +250,7 @@
         failed_tries = 0
         for task in sorted(held, key=self._precedence):
             if is_final(self.state, task):
-                self.answer(task)
+                self.answer_call(task)
             elif failed_tries < MAX_FAILED_TRIES:
                 failed_tries += not self.try_attempt(task)
 
--- a/glencleat/policy/capacity.py
+++ b/glencleat/policy/capacity.py
@@ -52,7 +52,7 @@
         if now_ms - machine.sums_updated_at_ms < MAX_SUMS_AGE_MS:
             return machine
         machine.sums_updated_at_ms = now_ms
-        free = self.told_free_capacity(machine)
+        free = self.known_free_capacity(machine)
         self._sum_own_tasks(machine)
         if (
             free is None
@@ -105,7 +105,7 @@
             mean[1] + FLEET_MEAN_WEIGHT * (memory_load - mean[1]),
         )
 
-    def told_free_capacity(self, machine: MachineState) -> Resources | None:
+    def known_free_capacity(self, machine: MachineState) -> Resources | None:
         """Cores and memory that nobody has asked for, by list or report, whichever tells it; None if neither.
 
         Notes on the machine up to when own binds are contained in it.
@@ -188,7 +188,7 @@
     def remaining_capacity(self, machine: MachineState) -> Resources:
         """Requests that the machine would still take, as far as it is told, newer own binds taken off."""
         size = machine.size
-        free = self.told_free_capacity(machine) or size
+        free = self.known_free_capacity(machine) or size
         unlisted = self.update_sums(machine).unlisted_requests
         cores = size[0] * (self.settings.cores_overcommit - 1.0)
         memory = size[1] * (self.settings.memory_overcommit - 1.0)
--- a/glencleat/policy/cluster_state.py
+++ b/glencleat/policy/cluster_state.py
@@ -5,7 +5,7 @@
 from dataclasses import InitVar, dataclass, field
 from itertools import count
 
-from glencleat.index.rendezvous import hashed
+from glencleat.index.rendezvous import hash_text
 from glencleat.interface import LoadReport, Machine, MachinePhase, MachineSize, TaskClass
 from glencleat.policy.resources import NEVER_MS, NO_RESOURCES, NOT_DUE_MS, Resources
 
@@ -117,7 +117,7 @@
     def __post_init__(self, known_size: MachineSize | None) -> None:
         """Derives what stays for as long as the machine is known."""
         self.name = self.entry.name
-        self.hash = hashed(self.name)
+        self.hash = hash_text(self.name)
         self.is_size_known = known_size is not None
         if known_size is not None:
             self.size = known_size.cores, known_size.memory
--- a/glencleat/policy/machine_list.py
+++ b/glencleat/policy/machine_list.py
@@ -40,7 +40,7 @@
     def __init__(self, state: PolicyState) -> None:
         self.state = state
         self.retry_at_ms = 0.0 if state.settings.watch_on_request else NOT_DUE_MS
-        self.retry_ms = RETRY_LIST_MS
+        self.retry_delay_ms = RETRY_LIST_MS
 
     def watch_if_due(self) -> None:
         """Asks for the list if the time for it has come."""
@@ -53,7 +53,7 @@
         if event.kind is ListUpdateKind.FAILED:
             self._schedule_retry()
             return
-        self.retry_ms = RETRY_LIST_MS
+        self.retry_delay_ms = RETRY_LIST_MS
         machines = self.state.machines
         now_ms = self.state.now_ms
         entries = {entry.name: entry for entry in event.machines}
@@ -70,8 +70,10 @@
         self._forget_removed()
 
     def _schedule_retry(self) -> None:
-        self.retry_at_ms = self.state.now_ms + self.retry_ms * self.state.random.uniform(*RETRY_LIST_JITTER)
-        self.retry_ms = min(MAX_RETRY_LIST_MS, 2.0 * self.retry_ms)
+        self.retry_at_ms = self.state.now_ms + self.retry_delay_ms * self.state.random.uniform(
+            *RETRY_LIST_JITTER
+        )
+        self.retry_delay_ms = min(MAX_RETRY_LIST_MS, 2.0 * self.retry_delay_ms)
         self.state.log("list", "the machine list failed, asking again")
 
     def _add(self, entry: Machine, known: MachineState | None) -> MachineState:
@@ -87,7 +89,9 @@
         """Sets the machine's list entry, and whether it takes new tasks."""
         machine.entry = entry
         phase = entry.phase  # a list may hold all machines: read once, not by the properties
-        self.state.serving.put(machine, machine.is_size_known and phase is MachinePhase.SERVING)
+        self.state.serving_machines.set_present(
+            machine, machine.is_size_known and phase is MachinePhase.SERVING
+        )
         if phase is MachinePhase.REMOVED:
             self.state.removal_candidates[machine.name] = None
 
--- a/glencleat/policy/placement.py
+++ b/glencleat/policy/placement.py
@@ -100,8 +100,8 @@
         names = [other.machine.name for other in running if other.machine]
         names += self.starts.machines_kept_warm(task.service)
         warm = {name: state.machines[name] for name in names if name in state.machines}
-        order = state.serving.order(task.service)
-        listed = [machine for machine in warm.values() if machine in state.serving]
+        order = state.serving_machines.get_order(task.service)
+        listed = [machine for machine in warm.values() if machine in state.serving_machines]
         total = len(warm) + len(order) - len(listed)
         others = order.without(listed)
         machines = chain(warm.values(), (machine for machine in order if machine.name not in warm))
--- a/glencleat/policy/policy_state.py
+++ b/glencleat/policy/policy_state.py
@@ -20,7 +20,7 @@
     settings: Settings
     random: Random
     task_classes: dict[str, TaskClass]  # by name
-    serving: RendezvousIndex[MachineState]  # machines that take tasks, in each service's hash order
+    serving_machines: RendezvousIndex[MachineState]  # machines that take tasks, in each service's hash order
     now_ms: float = 0.0
     started_at_ms: float = NOT_DUE_MS  # of the first event
     actions: list[Action] = field(default_factory=list)  # what the event in hand is answered with
--- a/glencleat/policy/program_starts.py
+++ b/glencleat/policy/program_starts.py
@@ -28,7 +28,7 @@
     def __init__(self, state: PolicyState) -> None:
         self.state = state
         self.last_held_at_ms: dict[str, dict[str, float]] = {}  # by service, then machine
-        self.start_ms: dict[tuple[str, int], float] = {}  # by class name and program warmth
+        self.mean_start_ms: dict[tuple[str, int], float] = {}  # by class name and program warmth
 
     def machines_kept_warm(self, service: str) -> dict[str, float]:
         """Names of machines where our tasks held the program, with the last time."""
@@ -54,25 +54,25 @@
             return PROGRAM_KEPT
         if machine.tasks and any(task.service == service for task in machine.tasks.values()):
             return PROGRAM_KEPT
-        is_early = machine in self.state.serving.order(service)[:LIKELY_WARM_MACHINES]
+        is_early = machine in self.state.serving_machines.get_order(service)[:LIKELY_WARM_MACHINES]
         return PROGRAM_LIKELY if is_early else PROGRAM_ABSENT
 
     def record_start(self, task: TrackedTask) -> None:
         """Takes in how long the task's start took; only of one that had no other of ours before it."""
         key = (task.task_class.name, task.program_warmth)
         spent_ms = self.state.now_ms - task.sent_at_ms
-        known_ms = self.start_ms.get(key, INITIAL_START_MS[task.program_warmth])
-        self.start_ms[key] = known_ms + START_TIME_WEIGHT * (spent_ms - known_ms)
+        known_ms = self.mean_start_ms.get(key, INITIAL_START_MS[task.program_warmth])
+        self.mean_start_ms[key] = known_ms + START_TIME_WEIGHT * (spent_ms - known_ms)
 
     def predict_start_ms(self, machine: MachineState, task: TrackedTask, warmth: int) -> float:
         """Time to the start there: own starts due, in a few lanes, then its own, slower while it is cold."""
-        own_ms = self.start_ms.get((task.task_class.name, warmth), INITIAL_START_MS[warmth])
+        own_ms = self.mean_start_ms.get((task.task_class.name, warmth), INITIAL_START_MS[warmth])
         due_ms = 0.0
         if machine.starting_tasks:
             now_ms = self.state.now_ms
             predicted = (
                 (
-                    self.start_ms.get(
+                    self.mean_start_ms.get(
                         (other.task_class.name, other.program_warmth), INITIAL_START_MS[other.program_warmth]
                     ),
                     other.sent_at_ms,
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -66,7 +66,7 @@
             settings=settings,
             random=random.Random(seed),
             task_classes={task_class.name: task_class for task_class in settings.classes},
-            serving=serving,
+            serving_machines=serving,
         )
         self.usage = UsageEstimate()
         self.profiles = UsageProfiles(self.state)
@@ -125,7 +125,7 @@
             self.timer_at_ms = NOT_DUE_MS
         self.attempts.wake_at_ms = NOT_DUE_MS
         self.machine_list.watch_if_due()
-        self.attempts.try_held()
+        self.attempts.try_held_tasks()
 
     def on_task_observed(self, event: TaskObserved) -> None:
         """Takes in what was measured of a running task and its machine."""
@@ -167,7 +167,7 @@
         elif event.outcome is not Outcome.COMPLETED:
             self.outliers.suspect(machine, 1)
         # Not all held tasks: each try probes again, and so fed itself.
-        self.attempts.try_held(PROBE_WAIT_SHARE)
+        self.attempts.try_held_tasks(PROBE_WAIT_SHARE)
 
 
 def check_settings(settings: Settings) -> None:
--- a/glencleat/policy/usage.py
+++ b/glencleat/policy/usage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from glencleat.index.rendezvous import Columns
+from glencleat.index.rendezvous import ColumnSums
 from glencleat.policy.cluster_state import TrackedTask
 from glencleat.policy.profiles import MIN_SAMPLES
 from glencleat.policy.resources import Resources
@@ -15,17 +15,17 @@
 
     def __init__(self) -> None:
         self.ratio = INITIAL_USAGE_RATIO
-        self.observed = Columns(4)  # use and request of each observed task, cores and memory
+        self.observed = ColumnSums(4)  # use and request of each observed task, cores and memory
 
     def observe(self, task: TrackedTask) -> None:
         """Takes in what the task uses now, or leaves it out where it runs nowhere or is not observed."""
         is_observed = task.machine is not None and task.usage[0] and task.usage[1]
-        self.observed.put(task.arrival_number, (*task.usage, *task.requested) if is_observed else None)
+        self.observed.put_row(task.arrival_number, (*task.usage, *task.requested) if is_observed else None)
 
     def update_ratio(self) -> None:
         """Brings the mean ratio up to date; of few tasks it would be noise."""
         if len(self.observed) >= MIN_SAMPLES:
-            cores, memory, cores_requested, memory_requested = self.observed.sums()
+            cores, memory, cores_requested, memory_requested = self.observed.sum_columns()
             self.ratio = cores / cores_requested, memory / memory_requested
 
     def estimate(self, task: TrackedTask) -> Resources:
--- a/glencleat/rest/openapi.py
+++ b/glencleat/rest/openapi.py
@@ -17,7 +17,7 @@
 
 def document(routes: Iterable[Route], classes: Iterable[str]) -> dict[str, Any]:
     """The whole document as plain values; `classes`: those of this allocator's configuration."""
-    models = [*s.KINDS.values(), s.JobList, s.TaskList, s.MachineList, s.ServiceList]
+    models = [*s.TYPES_BY_KIND.values(), s.JobList, s.TaskList, s.MachineList, s.ServiceList]
     models += [s.NewJob, s.LabelPatch, s.WatchEvent, s.Problem, s.Query]
     _, schemas = msgspec.json.schema_components(models, ref_template=REF)
     query = schemas.pop("Query")
@@ -50,7 +50,7 @@
         kind = MERGE if route.method == "PATCH" else "application/json"
         told["requestBody"] = {"required": True, "content": {kind: _schema(route.body)}}
     answers: dict[str, Any] = {}
-    for status, model, text in route.answers:
+    for status, model, text in route.responses:
         answers[str(status)] = {"description": text}
         if model is not None:
             answers[str(status)]["content"] = {"application/json": _schema(model)}
@@ -58,7 +58,7 @@
             answers[str(status)]["content"] = {"application/json": {"schema": {"type": "object"}}}
         if model is not None and route.handler == "list":
             answers[str(status)]["content"]["application/x-ndjson"] = _schema(s.WatchEvent)
-    for status in sorted({*route.problems, 429, 503}):
+    for status in sorted({*route.error_statuses, 429, 503}):
         answers[str(status)] = {
             "description": "Not now; Retry-After says when." if status in (429, 503) else "A problem.",
             "content": {"application/problem+json": _schema(s.Problem)},
--- a/glencleat/rest/routes.py
+++ b/glencleat/rest/routes.py
@@ -10,17 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """`path` has `{name}` for a part that the client fills in; `key`: the parts that name the resource."""
+    """`path` has `{name}` for a part that the client fills in; `key_parameters`: the parts that name the
+    resource."""
 
     method: str
     path: str
     handler: str
     summary: str
     kind: str = ""
-    key: tuple[str, ...] = ()
+    key_parameters: tuple[str, ...] = ()
     body: type[Any] | None = None
-    answers: tuple[tuple[int, type[Any] | None, str], ...] = ()
-    problems: tuple[int, ...] = ()
+    responses: tuple[tuple[int, type[Any] | None, str], ...] = ()
+    error_statuses: tuple[int, ...] = ()
 
     def match(self, path: list[str]) -> dict[str, str] | None:
         """The filled-in parts, decoded; None: another route."""
@@ -64,7 +65,7 @@
         ("machines", "/v1/machines/{name}"),
     ):
         route = Route("GET", path, "get", f"Get one of the {kind}", kind)
-        answers = ((200, s.KINDS[kind], "The resource."), (304, None, "As If-None-Match has it."))
+        answers = ((200, s.TYPES_BY_KIND[kind], "The resource."), (304, None, "As If-None-Match has it."))
         made.append(
             Route(
                 "GET", path, "get", route.summary, kind, tuple(route.parameters()), None, answers, (400, 404)
@@ -73,9 +74,9 @@
     return made
 
 
-JOB, TASK = "/v1/tenants/{tenant}/jobs/{name}", "/v1/tenants/{tenant}/tasks/{framework}/{name}"
+JOB_PATH, TASK_PATH = "/v1/tenants/{tenant}/jobs/{name}", "/v1/tenants/{tenant}/tasks/{framework}/{name}"
 ROUTES: tuple[Route, ...] = (
-    Route("GET", "/openapi.json", "openapi", "This document", answers=((200, None, "OpenAPI 3.1."),)),
+    Route("GET", "/openapi.json", "openapi", "This document", responses=((200, None, "OpenAPI 3.1."),)),
     *_lists(),
     *_gets(),
     Route(
@@ -91,7 +92,7 @@
     ),
     Route(
         "DELETE",
-        JOB,
+        JOB_PATH,
         "deleteJob",
         "Cancel a job: its tasks are stopped, and it is gone once they are over",
         "jobs",
@@ -102,7 +103,7 @@
     ),
     Route(
         "PATCH",
-        JOB,
+        JOB_PATH,
         "patchJob",
         "Change a job's labels by a merge patch",
         "jobs",
@@ -113,7 +114,7 @@
     ),
     Route(
         "DELETE",
-        TASK,
+        TASK_PATH,
         "deleteTask",
         "Cancel one task, of a job or of a framework",
         "tasks",
--- a/glencleat/rest/schema.py
+++ b/glencleat/rest/schema.py
@@ -10,16 +10,18 @@
 import msgspec
 from msgspec import Meta
 
-NAME = r"^[A-Za-z0-9]([A-Za-z0-9_.-]{0,126}[A-Za-z0-9])?$"
-TENANT = r"[A-Za-z0-9]([A-Za-z0-9_./-]*[A-Za-z0-9])?"
+NAME_PATTERN = r"^[A-Za-z0-9]([A-Za-z0-9_.-]{0,126}[A-Za-z0-9])?$"
+TENANT_PATTERN = r"[A-Za-z0-9]([A-Za-z0-9_./-]*[A-Za-z0-9])?"
 LABEL_KEY = r"^[A-Za-z0-9]([A-Za-z0-9_./-]{0,62}[A-Za-z0-9])?$"
 LABEL_VALUE = r"^([A-Za-z0-9]([A-Za-z0-9_.-]{0,62}[A-Za-z0-9])?)?$"
 
-Name = Annotated[str, Meta(pattern=NAME, max_length=128, description="Letters, digits, `_`, `.`, `-`.")]
-LABELS_MOST, LABEL_CHARS = 32, 64  # of one resource, and of a key or value
-LabelKey = Annotated[str, Meta(pattern=LABEL_KEY, max_length=LABEL_CHARS)]
-LabelValue = Annotated[str, Meta(pattern=LABEL_VALUE, max_length=LABEL_CHARS)]
-Labels = Annotated[dict[LabelKey, LabelValue], Meta(max_length=LABELS_MOST)]
+Name = Annotated[
+    str, Meta(pattern=NAME_PATTERN, max_length=128, description="Letters, digits, `_`, `.`, `-`.")
+]
+MAX_LABELS, MAX_LABEL_CHARACTERS = 32, 64  # of one resource, and of a key or value
+LabelKey = Annotated[str, Meta(pattern=LABEL_KEY, max_length=MAX_LABEL_CHARACTERS)]
+LabelValue = Annotated[str, Meta(pattern=LABEL_VALUE, max_length=MAX_LABEL_CHARACTERS)]
+Labels = Annotated[dict[LabelKey, LabelValue], Meta(max_length=MAX_LABELS)]
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
 Millis = Annotated[float, Meta(ge=1, le=86_400_000, description="Milliseconds.")]
 
@@ -78,7 +80,7 @@
 class LabelPatch(Strict, frozen=True, kw_only=True):
     """A merge patch (RFC 7396) of a job's labels; null takes one away."""
 
-    labels: Annotated[dict[LabelKey, LabelValue | None], Meta(max_length=LABELS_MOST)]
+    labels: Annotated[dict[LabelKey, LabelValue | None], Meta(max_length=MAX_LABELS)]
 
 
 class Cause(Camel, frozen=True, kw_only=True):
@@ -171,7 +173,7 @@
 
 
 Resource = Job | Task | Machine | Service
-KINDS: dict[str, type[Any]] = {"jobs": Job, "tasks": Task, "machines": Machine, "services": Service}
+TYPES_BY_KIND: dict[str, type[Any]] = {"jobs": Job, "tasks": Task, "machines": Machine, "services": Service}
 
 
 class Listing(Camel, frozen=True, kw_only=True):
@@ -240,7 +242,7 @@
 ENCODER = msgspec.json.Encoder()
 
 
-BODIES: dict[type[Any], msgspec.json.Decoder[Any]] = {
+BODY_DECODERS: dict[type[Any], msgspec.json.Decoder[Any]] = {
     kind: msgspec.json.Decoder(kind) for kind in (NewJob, LabelPatch)
 }
 
@@ -249,6 +251,6 @@
     return ENCODER.encode(value)
 
 
-def stamped(value: Any, version: str) -> bytes:
+def encode_at_version(value: Any, version: str) -> bytes:
     """A resource's JSON at a version; it is kept without one, so that equal states compare equal."""
     return b'{"resourceVersion":"%b",%b' % (version.encode(), encode(value)[1:])
--- a/glencleat/rest/selector.py
+++ b/glencleat/rest/selector.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 
 TERMS_MOST, VALUES_MOST = 16, 32
-KEY = r"\.?[A-Za-z0-9](?:[A-Za-z0-9_./-]*[A-Za-z0-9])?"
-VALUE = r"[A-Za-z0-9_.:*/-]*"
+KEY_PATTERN = r"\.?[A-Za-z0-9](?:[A-Za-z0-9_./-]*[A-Za-z0-9])?"
+VALUE_PATTERN = r"[A-Za-z0-9_.:*/-]*"
 TERM = re.compile(
-    rf"\s*(?:(?P<no>!)\s*(?P<absent>{KEY})"
-    rf"|(?P<key>{KEY})\s*(?:(?P<op>==|!=|=)\s*(?P<value>{VALUE})"
+    rf"\s*(?:(?P<no>!)\s*(?P<absent>{KEY_PATTERN})"
+    rf"|(?P<key>{KEY_PATTERN})\s*(?:(?P<op>==|!=|=)\s*(?P<value>{VALUE_PATTERN})"
     rf"|\s(?P<set>in|notin)\s*\((?P<values>[^()]*)\))?)\s*(?:,|$)"
 )
 FIELDS = (
@@ -38,23 +38,23 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Term:
-    """`values` empty: the key must be there (or, `wanted` false, must not)."""
+    """`values` empty: the key must be there (or, `must_match` false, must not)."""
 
     key: str
-    wanted: bool
+    must_match: bool
     values: tuple[str, ...] = ()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
         value = labels.get(self.key)
         if not self.values:
-            return (value is not None) is self.wanted
-        return (value in self.values) is self.wanted
+            return (value is not None) is self.must_match
+        return (value in self.values) is self.must_match
 
 
 Selector = tuple[Term, ...]  # all must match; sorted, so that equal ones compare equal
 
 
-def parse(text: str) -> Selector:
+def parse_selector(text: str) -> Selector:
     """The terms; raises BadSelector."""
     terms, at = list[Term](), 0
     while at < len(text):
@@ -82,7 +82,7 @@
         return Term(key, match["op"] != "!=", (match["value"],))
     if match["set"]:
         values = tuple(sorted({part.strip() for part in match["values"].split(",")}))
-        if len(values) > VALUES_MOST or not all(re.fullmatch(VALUE, value) for value in values):
+        if len(values) > VALUES_MOST or not all(re.fullmatch(VALUE_PATTERN, value) for value in values):
             raise SelectorError(f"labelSelector: {key[:40]}: expected at most {VALUES_MOST} plain values")
         return Term(key, match["set"] == "in", values)
     return Term(key, True)
@@ -92,6 +92,6 @@
     return all(term.matches(labels) for term in selector)
 
 
-def anchors(selector: Selector) -> list[tuple[str, str]]:
+def index_terms(selector: Selector) -> list[tuple[str, str]]:
     """The terms that an index can find the selector by: a key with one wanted value."""
-    return [(term.key, term.values[0]) for term in selector if term.wanted and len(term.values) == 1]
+    return [(term.key, term.values[0]) for term in selector if term.must_match and len(term.values) == 1]
--- a/glencleat/scale/arrivals.py
+++ b/glencleat/scale/arrivals.py
@@ -14,23 +14,23 @@
     """`call` at each instant. `random` is the caller's, who may draw from it in `call`."""
 
     def __init__(self, loop: Loop, random: Random, call: Callable[[], None]) -> None:
-        self.loop, self.random, self.call = loop, random, call
-        self.rate, self.next_at = 0.0, 0.0
+        self.loop, self.random, self.on_arrival = loop, random, call
+        self.rate_per_s, self.next_at = 0.0, 0.0
 
-    def at_rate(self, rate: float) -> None:
+    def set_rate(self, rate: float) -> None:
         """So many a second from now on; 0 ends it."""
-        begin, self.rate = self.rate == 0.0 < rate, rate
+        begin, self.rate_per_s = self.rate_per_s == 0.0 < rate, rate
         if begin:
             self.next_at = self.loop.now()
             self._next()
 
     def _next(self) -> None:
         """By the instants drawn, not by those at which we come to it: a late loop would call less often."""
-        if self.rate > 0.0:
-            self.next_at += 1e3 * self.random.expovariate(self.rate)
+        if self.rate_per_s > 0.0:
+            self.next_at += 1e3 * self.random.expovariate(self.rate_per_s)
             self.loop.call_in(self.next_at - self.loop.now(), self._arrives)
 
     def _arrives(self) -> None:
-        if self.rate > 0.0:
+        if self.rate_per_s > 0.0:
             self._next()
-            self.call()
+            self.on_arrival()
--- a/glencleat/scale/compare.py
+++ b/glencleat/scale/compare.py
@@ -5,23 +5,23 @@
 from __future__ import annotations
 
 from glencleat.scale.measure import MeasuredPhase
-from glencleat.scale.report import rates, table
+from glencleat.scale.report import format_table, rates
 
-FEW = 800  # messages counted in all: below, chance alone may make 10% of difference
-WITHIN = 0.1
+MIN_MESSAGES = 800  # messages counted in all: below, chance alone may make 10% of difference
+TOLERANCE = 0.1
 
 
-def verdict(one: float, other: float, counted: float) -> tuple[str, str]:
+def judge_ratio(one: float, other: float, counted: float) -> tuple[str, str]:
     """The second's part of the first, and whether that is within 10%."""
     if not one:
-        return "", "too few to tell" if counted < FEW else "no"
+        return "", "too few to tell" if counted < MIN_MESSAGES else "no"
     part = other / one
-    if counted < FEW:
+    if counted < MIN_MESSAGES:
         return f"{part:.3f}", "too few to tell"
-    return f"{part:.3f}", "yes" if abs(part - 1.0) <= WITHIN else "no"
+    return f"{part:.3f}", "yes" if abs(part - 1.0) <= TOLERANCE else "no"
 
 
-def against(phases: list[MeasuredPhase]) -> list[str]:
+def compare_hollow(phases: list[MeasuredPhase]) -> list[str]:
     """Messages and bytes at the hosts, a second and allocator: real ones, hollow ones, hollow of real."""
     rows = []
     for phase in (phase for phase in phases if phase.hollow and phase.name != "whole run"):
@@ -32,9 +32,9 @@
             each = real / len(reals) / seconds, hollow / len(hollows) / seconds
             messages = name.removesuffix(" bytes")
             counted = sum(counts.get(messages, 0) for counts in [*reals, *hollows])
-            rows.append([phase.name, name, f"{each[0]:.2f}", f"{each[1]:.2f}", *verdict(*each, counted)])
+            rows.append([phase.name, name, f"{each[0]:.2f}", f"{each[1]:.2f}", *judge_ratio(*each, counted)])
     head = ["phase", "counted at the hosts, a second", "real", "hollow", "hollow / real", "within 10%"]
-    return table(head, rows) if rows else []
+    return format_table(head, rows) if rows else []
 
 
 def _figures(phases: list[MeasuredPhase]) -> dict[str, float]:
@@ -64,7 +64,7 @@
     return found
 
 
-def beside(one: list[MeasuredPhase], other: list[MeasuredPhase], names: tuple[str, str]) -> list[str]:
+def compare_runs(one: list[MeasuredPhase], other: list[MeasuredPhase], names: tuple[str, str]) -> list[str]:
     """Phase by phase, what both runs have; of several allocators the mean, of extremes the largest."""
     rows = []
     keys = dict.fromkeys((phase.hosts, phase.name) for phase in one)
@@ -79,4 +79,4 @@
             part = f"{second[what] / value:.2f}" if value else ""
             rows.append([f"{hosts}", name, what, f"{value:.4g}", f"{second[what]:.4g}", part])
     head = ["hosts", "phase", "figure", *names, f"{names[1]} / {names[0]}"]
-    return table(head, rows)
+    return format_table(head, rows)
--- a/glencleat/scale/hosts.py
+++ b/glencleat/scale/hosts.py
@@ -14,14 +14,14 @@
 from random import Random
 from typing import Any
 
-from glencleat.emulators.proxy import reset
+from glencleat.emulators.proxy import reset_stream
 from glencleat.event_loop import Loop, Stream, StreamClosedError
 from glencleat.event_loop.loop import READ, Coroutine
 from glencleat.platform_protocol import messages as m
 from glencleat.scale.message_counters import MessageCounters
 
-BACKLOG = 512
-BOUND = 64  # connections taken in one round of the loop
+LISTEN_BACKLOG = 512
+MAX_ACCEPTS_PER_ROUND = 64  # connections taken in one round of the loop
 
 
 def listen_on_loopback() -> socket.socket:
@@ -30,7 +30,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo\0")
         sock.bind(("0.0.0.0", 0))  # of the loopback device alone, by the line before
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
     except OSError:
         sock.close()
         raise
@@ -38,25 +38,25 @@
     return sock
 
 
-class Held:
+class HeldTask:
     """A task on a host: of which allocator, and the connection of its set-up."""
 
-    __slots__ = ("allocator", "link", "stands")
+    __slots__ = ("allocator", "link", "is_placed")
 
     def __init__(self, allocator: int, link: Stream | None, stands: bool) -> None:
-        self.allocator, self.link, self.stands = allocator, link, stands
+        self.allocator, self.link, self.is_placed = allocator, link, stands
 
 
 class HollowHost:
-    """`up`: takes connections; it may be draining, silent or away (see `drain`, `fall_silent`, `vanish`)."""
+    """`up`: takes connections; it may be draining, silent or away (see `drain`, `fall_silent`, `crash`)."""
 
     def __init__(self, group: HostGroup, name: str) -> None:
         self.group, self.loop, self.name = group, group.loop, name
-        self.links: dict[int, set[Stream]] = {}  # by allocator
-        self.held: dict[int, Held] = {}
-        self.owed: dict[int, int] = {}  # releases not heard yet: task, allocator
-        self.silent = False
-        self.blockers: list[socket.socket] = []
+        self.links_by_allocator: dict[int, set[Stream]] = {}  # by allocator
+        self.tasks_by_id: dict[int, HeldTask] = {}
+        self.unacknowledged_releases: dict[int, int] = {}  # releases not heard yet: task, allocator
+        self.is_silent = False
+        self.blocking_sockets: list[socket.socket] = []
         self.sock: socket.socket | None = listen_on_loopback()
         self.port = int(self.sock.getsockname()[1])
         self.loop.poller.watch(self.sock.fileno(), READ, self._came)
@@ -64,7 +64,7 @@
     # ---- connections ----
 
     def _came(self, _: int) -> None:
-        for _ in range(BOUND):
+        for _ in range(MAX_ACCEPTS_PER_ROUND):
             if self.sock is None:
                 return
             try:
@@ -73,115 +73,118 @@
                 return
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             allocator = int(sock.getsockname()[0].split(".")[2])
-            self.group.tally.count(allocator, "connections")
+            self.group.counters.count(allocator, "connections")
             stream = Stream(self.loop, sock)
-            self.links.setdefault(allocator, set()).add(stream)
+            self.links_by_allocator.setdefault(allocator, set()).add(stream)
             self.loop.spawn(self._serve(stream, allocator), "hollow host")
 
     def _serve(self, stream: Stream, allocator: int) -> Coroutine:
         decoder = m.MessageDecoder()
         try:
-            for task in [task for task, whose in self.owed.items() if whose == allocator]:
-                self._say(stream, allocator, m.caused(m.RELEASE, task, m.ENDED))
+            for task in [task for task, whose in self.unacknowledged_releases.items() if whose == allocator]:
+                self._say(stream, allocator, m.encode_with_cause(m.RELEASE, task, m.ENDED))
             while data := (yield from stream.read()):
-                if self.silent:
+                if self.is_silent:
                     continue
                 decoder.feed(data)
                 for message in decoder.messages():
-                    self.group.tally.got(allocator, message)
+                    self.group.counters.count_received(allocator, message)
                     self._message(stream, allocator, message)
-        except (StreamClosedError, m.PeerError):
+        except (StreamClosedError, m.ProtocolError):
             pass
         finally:
             self._gone(stream, allocator)
 
     def _gone(self, stream: Stream, allocator: int) -> None:
         """What is open on it is given up, what stands goes on."""
-        self.links.get(allocator, set()).discard(stream)
-        for task, held in list(self.held.items()):
+        self.links_by_allocator.get(allocator, set()).discard(stream)
+        for task, held in list(self.tasks_by_id.items()):
             if held.link is stream:
                 held.link = None
-                if not held.stands:
-                    del self.held[task]
+                if not held.is_placed:
+                    del self.tasks_by_id[task]
         stream.close("it ended")
 
     def _say(self, stream: Stream | None, allocator: int, data: bytes) -> bool:
-        if self.silent or stream is None or not stream.put(data):
+        if self.is_silent or stream is None or not stream.try_send(data):
             return False
-        self.group.tally.sent(allocator, data)
+        self.group.counters.count_sent(allocator, data)
         return True
 
     def _message(self, stream: Stream, allocator: int, message: m.PlatformMessage) -> None:
-        task = message.task
+        task = message.task_id
         if message.kind == m.SETUP:
-            self.held[task] = Held(allocator, stream, stands=False)
+            self.tasks_by_id[task] = HeldTask(allocator, stream, stands=False)
             self.loop.call_in(self.group.decide_ms, lambda: self._stands(task))
         elif message.kind == m.RELEASE:
-            if self.held.pop(task, None) is not None and message.cause != m.GIVEN_UP:
-                self.group.tally.count(allocator, "cut")
-            self._say(stream, allocator, m.encode(m.RELEASE_HEARD, task))
-        elif message.kind == m.RELEASE_HEARD:
-            self.owed.pop(task, None)
-        elif message.kind == m.TEST:
-            self._say(stream, allocator, m.caused(m.TESTED, task, 1))
+            if self.tasks_by_id.pop(task, None) is not None and message.cause != m.CANCELLED:
+                self.group.counters.count(allocator, "cut")
+            self._say(stream, allocator, m.encode(m.RELEASE_COMPLETE, task))
+        elif message.kind == m.RELEASE_COMPLETE:
+            self.unacknowledged_releases.pop(task, None)
+        elif message.kind == m.PROBE:
+            self._say(stream, allocator, m.encode_with_cause(m.PROBE_ANSWER, task, 1))
 
     # ---- tasks ----
 
     def _stands(self, task: int) -> None:
-        held = self.held.get(task)
-        if held is None or held.stands:
+        held = self.tasks_by_id.get(task)
+        if held is None or held.is_placed:
             return
         if not self._say(held.link, held.allocator, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"})):
-            del self.held[task]
+            del self.tasks_by_id[task]
             return
-        held.stands = True
+        held.is_placed = True
         self._note(task, "runs", "1")
         self._live(task, held)
 
-    def hold(self, task: int, allocator: int) -> None:
+    def adopt_task(self, task: int, allocator: int) -> None:
         """Runs there already, as tasks do that an allocator is handed by `at`."""
-        held = self.held[task] = Held(allocator, None, stands=True)
+        held = self.tasks_by_id[task] = HeldTask(allocator, None, stands=True)
         self._live(task, held)
 
-    def _live(self, task: int, held: Held) -> None:
+    def _live(self, task: int, held: HeldTask) -> None:
         drawn = self.group.random.expovariate(1.0 / self.group.life_ms)
-        life = drawn if self.group.drawn else self.group.life_ms
+        life = drawn if self.group.has_random_life else self.group.life_ms
         self.loop.call_in(life, lambda: self._end(task, held))
         first = self.group.random.uniform(0.0, self.group.note_ms)
         if life > first > 0.0:
             self.loop.call_in(first, lambda: self._noted(task, held))
 
-    def _noted(self, task: int, held: Held) -> None:
-        if self.held.get(task) is held:
+    def _noted(self, task: int, held: HeldTask) -> None:
+        if self.tasks_by_id.get(task) is held:
             self._note(task, "cores", f"{self.group.random.random():.2f}")
             self.loop.call_in(self.group.note_ms, lambda: self._noted(task, held))
 
     def _note(self, task: int, topic: str, value: str) -> None:
-        held = self.held[task]
-        note = m.encode(m.NOTE, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
+        held = self.tasks_by_id[task]
+        note = m.encode(m.OBSERVATION, task, {m.TOPIC: topic.encode(), m.VALUE: value.encode()})
         self._say(self._way(held), held.allocator, note)
 
-    def _way(self, held: Held) -> Stream | None:
+    def _way(self, held: HeldTask) -> Stream | None:
         """The connection of its set-up, or else any open one of its allocator."""
-        if held.link is not None and held.link.closed is None:
+        if held.link is not None and held.link.close_reason is None:
             return held.link
-        return next((link for link in self.links.get(held.allocator, ()) if link.closed is None), None)
+        return next(
+            (link for link in self.links_by_allocator.get(held.allocator, ()) if link.close_reason is None),
+            None,
+        )
 
-    def _end(self, task: int, held: Held) -> None:
-        if self.held.get(task) is not held:
+    def _end(self, task: int, held: HeldTask) -> None:
+        if self.tasks_by_id.get(task) is not held:
             return  # cut, or the host fell since
-        del self.held[task]
-        self.group.tally.count(held.allocator, "ended")
-        self.owed[task] = held.allocator
-        self._say(self._way(held), held.allocator, m.caused(m.RELEASE, task, m.ENDED))
+        del self.tasks_by_id[task]
+        self.group.counters.count(held.allocator, "ended")
+        self.unacknowledged_releases[task] = held.allocator
+        self._say(self._way(held), held.allocator, m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
     # ---- troubles ----
 
     def fall_silent(self, power: bool) -> None:
         """Says nothing more, open connections stay open, new ones never come up. `power`: tasks are cut."""
-        if self.silent or self.sock is None:
+        if self.is_silent or self.sock is None:
             return
-        self.silent = True
+        self.is_silent = True
         if power:
             self._cut_all()
         self.loop.poller.forget(self.sock.fileno())
@@ -189,39 +192,39 @@
         blocker = socket.socket()
         blocker.setblocking(False)
         blocker.connect_ex(("127.0.0.1", self.port))
-        self.blockers.append(blocker)
+        self.blocking_sockets.append(blocker)
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         """After a silence; what was open before is reset, as by a machine that started anew."""
-        if not self.silent or self.sock is None:
+        if not self.is_silent or self.sock is None:
             return
-        for blocker in self.blockers:
+        for blocker in self.blocking_sockets:
             blocker.close()
-        self.blockers.clear()
+        self.blocking_sockets.clear()
         self._reset_all()
-        self.silent = False
-        self.sock.listen(BACKLOG)
+        self.is_silent = False
+        self.sock.listen(LISTEN_BACKLOG)
         self.loop.poller.watch(self.sock.fileno(), READ, self._came)
 
     def _cut_all(self) -> None:
         """No release will tell of what ran here, nor tell again of what has ended."""
-        for held in self.held.values():
-            self.group.tally.count(held.allocator, "fell" if held.stands else "fell before the answer")
-        for allocator in self.owed.values():
-            self.group.tally.count(allocator, "fell unheard")
-        self.held.clear()
-        self.owed.clear()
+        for held in self.tasks_by_id.values():
+            self.group.counters.count(held.allocator, "fell" if held.is_placed else "fell before the answer")
+        for allocator in self.unacknowledged_releases.values():
+            self.group.counters.count(allocator, "fell unheard")
+        self.tasks_by_id.clear()
+        self.unacknowledged_releases.clear()
 
     def _reset_all(self) -> None:
-        for streams in list(self.links.values()):
+        for streams in list(self.links_by_allocator.values()):
             for stream in list(streams):
-                reset(stream, "its host fell")
+                reset_stream(stream, "its host fell")
 
     def drain(self) -> None:
         """Takes no new connection; what runs goes on."""
         self._unlisten()
 
-    def vanish(self) -> None:
+    def crash(self) -> None:
         """Its process dies: connections are reset, tasks cut, new connections refused."""
         self._unlisten()
         self._cut_all()
@@ -229,7 +232,7 @@
 
     def _unlisten(self) -> None:
         if self.sock is not None:
-            if not self.silent:
+            if not self.is_silent:
                 self.loop.poller.forget(self.sock.fileno())
             self.sock.close()
             self.sock = None
@@ -239,43 +242,43 @@
     """The hosts of one process. Lives and notes are drawn from `seed`."""
 
     def __init__(self, loop: Loop, names: list[str], seed: int, shape: dict[str, float]) -> None:
-        self.loop, self.random, self.tally = loop, Random(seed), MessageCounters()
+        self.loop, self.random, self.counters = loop, Random(seed), MessageCounters()
         self.life_ms, self.note_ms = 1e3 * shape["life_s"], 1e3 * shape["note_s"]
-        self.decide_ms, self.drawn = shape["decide_ms"], bool(shape["drawn"])
+        self.decide_ms, self.has_random_life = shape["decide_ms"], bool(shape["drawn"])
         self.hosts = {name: HollowHost(self, name) for name in names}
 
-    def begun(self) -> dict[str, int]:
+    def startup_info(self) -> dict[str, int]:
         return {name: host.port for name, host in self.hosts.items()}
 
-    def hold(self, tasks: list[tuple[int, str, int]]) -> None:
+    def adopt_tasks(self, tasks: list[tuple[int, str, int]]) -> None:
         """Tasks that run already: number, host, allocator."""
         for task, name, allocator in tasks:
-            self.hosts[name].hold(task, allocator)
+            self.hosts[name].adopt_task(task, allocator)
 
-    def lose(self, names: list[str], power: bool) -> None:
+    def fail_hosts(self, names: list[str], power: bool) -> None:
         for name in names:
             self.hosts[name].fall_silent(power)
 
-    def restore(self, names: list[str]) -> None:
+    def restore_hosts(self, names: list[str]) -> None:
         for name in names:
-            self.hosts[name].come_back()
+            self.hosts[name].recover()
 
     def counts(self) -> dict[str, int]:
-        return dict(self.tally.counts)
+        return dict(self.counters.counts)
 
-    def standing(self, allocator: int) -> dict[str, int]:
+    def count_held(self, allocator: int) -> dict[str, int]:
         """Tasks, hosts with tasks, connections: as they are now."""
-        all_held = [host.held.values() for host in self.hosts.values()]
-        mine = [sum(held.allocator == allocator and held.stands for held in some) for some in all_held]
-        links = sum(len(host.links.get(allocator, ())) for host in self.hosts.values())
+        all_held = [host.tasks_by_id.values() for host in self.hosts.values()]
+        mine = [sum(held.allocator == allocator and held.is_placed for held in some) for some in all_held]
+        links = sum(len(host.links_by_allocator.get(allocator, ())) for host in self.hosts.values())
         return {"tasks": sum(mine), "hosts with tasks": sum(map(bool, mine)), "links": links}
 
     def close(self) -> None:
         for host in self.hosts.values():
-            host.vanish()
+            host.crash()
 
 
-def settings_of(shape: Any) -> dict[str, float]:
+def group_settings(shape: Any) -> dict[str, float]:
     """What a group needs of a size."""
     told = {"life_s": shape.life_s, "note_s": shape.note_s, "decide_ms": shape.decide_ms}
     return {**told, "drawn": float(shape.lives == "exponential")}
--- a/glencleat/scale/measure.py
+++ b/glencleat/scale/measure.py
@@ -14,8 +14,8 @@
 from hdrh.histogram import HdrHistogram
 
 SAMPLE_S = 1.0
-UNIT = 100  # counts of the histogram in a millisecond: 10 us
-LONGEST_MS = 60_000
+COUNTS_PER_MS = 100  # counts of the histogram in a millisecond: 10 us
+MAX_WAIT_MS = 60_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
@@ -51,11 +51,11 @@
 
     def __init__(self, processes: dict[int, psutil.Process]) -> None:
         self.processes = processes
-        self.began = self.last_at = time.monotonic()
-        self.first = self.last = {k: self._cpu(k) for k in processes}
-        self.busiest = dict.fromkeys(processes, 0.0)
-        self.most = dict.fromkeys(processes, 0.0)
-        self.rss = dict.fromkeys(processes, 0.0)
+        self.started_at = self.last_at = time.monotonic()
+        self.first_cpu_s = self.last_cpu_s = {k: self._cpu(k) for k in processes}
+        self.busiest_cpu_share = dict.fromkeys(processes, 0.0)
+        self.max_rss_mb = dict.fromkeys(processes, 0.0)
+        self.rss_mb = dict.fromkeys(processes, 0.0)
 
     def _cpu(self, k: int) -> float:
         times = self.processes[k].cpu_times()
@@ -66,12 +66,14 @@
         passed = now - self.last_at
         for k, process in self.processes.items():
             if passed >= 0.5 * SAMPLE_S:
-                self.busiest[k] = max(self.busiest[k], (seen[k] - self.last[k]) / passed)
-            self.rss[k] = process.memory_info().rss / (1 << 20)
-            self.most[k] = max(self.most[k], self.rss[k])
-        self.last, self.last_at = seen, now
-
-    def run(self, seconds: float) -> None:
+                self.busiest_cpu_share[k] = max(
+                    self.busiest_cpu_share[k], (seen[k] - self.last_cpu_s[k]) / passed
+                )
+            self.rss_mb[k] = process.memory_info().rss / (1 << 20)
+            self.max_rss_mb[k] = max(self.max_rss_mb[k], self.rss_mb[k])
+        self.last_cpu_s, self.last_at = seen, now
+
+    def sample_for(self, seconds: float) -> None:
         end = time.monotonic() + seconds
         while (left := end - time.monotonic()) > 0.0:
             time.sleep(min(SAMPLE_S, left))
@@ -79,9 +81,16 @@
 
     def costs(self) -> list[Cost]:
         self.sample()
-        passed = self.last_at - self.began
+        passed = self.last_at - self.started_at
         return [
-            Cost(k, passed, self.last[k] - self.first[k], self.busiest[k], self.rss[k], self.most[k])
+            Cost(
+                k,
+                passed,
+                self.last_cpu_s[k] - self.first_cpu_s[k],
+                self.busiest_cpu_share[k],
+                self.rss_mb[k],
+                self.max_rss_mb[k],
+            )
             for k in self.processes
         ]
 
@@ -94,31 +103,31 @@
     """
     if not waits:
         return {}
-    histogram = HdrHistogram(1, LONGEST_MS * UNIT, 3)
+    histogram = HdrHistogram(1, MAX_WAIT_MS * COUNTS_PER_MS, 3)
     for wait in waits:
-        histogram.record_value(min(LONGEST_MS * UNIT, max(1, round(wait * UNIT))))
-    found = {f"p{p:g}": histogram.get_value_at_percentile(p) / UNIT for p in PERCENTILES}
+        histogram.record_value(min(MAX_WAIT_MS * COUNTS_PER_MS, max(1, round(wait * COUNTS_PER_MS))))
+    found = {f"p{p:g}": histogram.get_value_at_percentile(p) / COUNTS_PER_MS for p in PERCENTILES}
     return {**found, "count": float(len(waits))}
 
 
-def difference(after: dict[str, int], before: dict[str, int]) -> dict[str, int]:
+def subtract_counts(after: dict[str, int], before: dict[str, int]) -> dict[str, int]:
     """What was counted between.
 
-    >>> difference({"a": 3, "b": 1}, {"a": 1, "b": 1})
+    >>> subtract_counts({"a": 3, "b": 1}, {"a": 1, "b": 1})
     {'a': 2}
     """
     less = {name: count - before.get(name, 0) for name, count in after.items()}
     return {name: count for name, count in less.items() if count}
 
 
-def total(parts: list[dict[str, int]]) -> dict[str, int]:
+def sum_counts(parts: list[dict[str, int]]) -> dict[str, int]:
     found: Counter[str] = Counter()
     for part in parts:
         found.update(part)
     return dict(found)
 
 
-def snapshot_names(counts: dict[str, int], side: str) -> dict[str, Any]:
+def label_counts(counts: dict[str, int], side: str) -> dict[str, Any]:
     """`3 in release` of a side as `3 host in release`."""
     return {
         f"{number} {side} {what}": count
--- a/glencleat/scale/message_counters.py
+++ b/glencleat/scale/message_counters.py
@@ -1,7 +1,8 @@
 """Messages and bytes by kind, counted where a hollow part reads and writes them.
 
-Imports `isup.messages`. Hollow hosts, owners and allocators hold a Tally. Bytes are those handed to and taken
-from TCP; headers, handshakes and acknowledgements are not among them, connections are counted beside them."""
+Imports `isup.messages`. Hollow hosts, owners and allocators hold a MessageCounters. Bytes are those handed to
+and taken from TCP; headers, handshakes and acknowledgements are not among them, connections are counted
+beside them."""
 
 from __future__ import annotations
 
@@ -9,16 +10,16 @@
 
 from glencleat.platform_protocol import messages as m
 
-NAMES = {
+MESSAGE_NAMES = {
     m.SETUP: "set-up",
     m.PROGRESS: "progress",
     m.ANSWER: "answer",
     m.RELEASE: "release",
-    m.RELEASE_HEARD: "release heard",
-    m.NOTE: "note",
-    m.MOVE: "move",
-    m.TEST: "test",
-    m.TESTED: "tested",
+    m.RELEASE_COMPLETE: "release heard",
+    m.OBSERVATION: "note",
+    m.MIGRATE: "move",
+    m.PROBE: "test",
+    m.PROBE_ANSWER: "tested",
 }
 Counts = dict[str, int]
 
@@ -26,17 +27,17 @@
 def wire_size(message: m.PlatformMessage) -> int:
     """Bytes of a message on the wire.
 
-    >>> wire_size(m.PlatformMessage(m.TESTED, 7, {m.CAUSE: b"x"}))
+    >>> wire_size(m.PlatformMessage(m.PROBE_ANSWER, 7, {m.CAUSE: b"x"}))
     15
     """
-    return m.HEAD.size + sum(m.PARAMETER.size + len(raw) for raw in message.parameters.values())
+    return m.HEADER.size + sum(m.PARAMETER_HEADER.size + len(raw) for raw in message.parameters.values())
 
 
 class MessageCounters:
     """Counts by allocator: `3 in release` are messages of allocator 3, `3 in release bytes` their bytes.
 
     >>> tally = MessageCounters()
-    >>> tally.sent(0, m.encode(m.RELEASE_HEARD, 5))
+    >>> tally.count_sent(0, m.encode(m.RELEASE_COMPLETE, 5))
     >>> tally.counts
     Counter({'0 out release heard bytes': 11, '0 out release heard': 1})
     """
@@ -44,14 +45,14 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
-    def sent(self, allocator: int, data: bytes) -> None:
+    def count_sent(self, allocator: int, data: bytes) -> None:
         """One whole message."""
-        name = f"{allocator} out {NAMES[data[2]]}"
+        name = f"{allocator} out {MESSAGE_NAMES[data[2]]}"
         self.counts[name] += 1
         self.counts[name + " bytes"] += len(data)
 
-    def got(self, allocator: int, message: m.PlatformMessage) -> None:
-        name = f"{allocator} in {NAMES[message.kind]}"
+    def count_received(self, allocator: int, message: m.PlatformMessage) -> None:
+        name = f"{allocator} in {MESSAGE_NAMES[message.kind]}"
         self.counts[name] += 1
         self.counts[name + " bytes"] += wire_size(message)
 
@@ -59,7 +60,7 @@
         self.counts[f"{allocator} {what}"] += by
 
 
-def of_allocator(counts: Counts, allocator: int) -> Counts:
-    """What a Tally's counts say of one allocator, without its number."""
+def allocator_counts(counts: Counts, allocator: int) -> Counts:
+    """What a MessageCounters' counts say of one allocator, without its number."""
     begin = f"{allocator} "
     return {name[len(begin) :]: count for name, count in counts.items() if name.startswith(begin)}
--- a/glencleat/scale/report.py
+++ b/glencleat/scale/report.py
@@ -13,9 +13,9 @@
 from glencleat.scale.measure import Cost, MeasuredPhase
 from glencleat.scale.run_size import RunSize
 
-VERSION = 1
-WRONG = ("no answer", "second answer", "answer to nothing", "second release", "release of nothing")
-HEAD = (
+RESULTS_VERSION = 1
+WRONG_OUTCOMES = ("no answer", "second answer", "answer to nothing", "second release", "release of nothing")
+TABLE_HEAD = (
     "hosts", "phase", "allocator", "CPU %", "busiest s %", "MB", "most MB", "standing", "links",
     "to hosts msg/s", "B/s", "from hosts msg/s", "B/s", "conn/s", "list B/s", "asked/s",
     "p50 ms", "p99 ms", "max ms", "refused", "failed", "lost", "not one answer",
@@ -61,12 +61,12 @@
     return messages / cost.seconds, size / cost.seconds
 
 
-def wrong(counts: dict[str, int]) -> int:
+def count_wrong(counts: dict[str, int]) -> int:
     """Requests that did not have exactly one answer, and ends told twice or of nothing."""
-    return sum(counts.get(f"owner {name}", 0) for name in WRONG)
+    return sum(counts.get(f"owner {name}", 0) for name in WRONG_OUTCOMES)
 
 
-def row(phase: MeasuredPhase, cost: Cost) -> list[str]:
+def make_row(phase: MeasuredPhase, cost: Cost) -> list[str]:
     to_hosts, from_hosts = rates(cost, "host", "in"), rates(cost, "host", "out")
     counts, waits, notes = cost.counts, cost.waits_ms, phase.notes
 
@@ -82,19 +82,20 @@
         f"{counts.get('host connections', 0) / cost.seconds:.1f}",
         f"{counts.get('channel bytes', 0) / cost.seconds:.0f}",
         f"{counts.get('owner asked', 0) / cost.seconds:.1f}", wait("p50"), wait("p99"), wait("p100"),
-        *(f"{counts.get('owner ' + name, 0)}" for name in ("refused", "failed", "lost")), f"{wrong(counts)}",
+        *(f"{counts.get('owner ' + name, 0)}" for name in ("refused", "failed", "lost")),
+        f"{count_wrong(counts)}",
         f"{notes.get('busiest hollow process, CPU %', 0.0):.0f}", f"{notes.get('machine, CPU %', 0.0):.0f}",
     ]  # fmt: skip
 
 
-def table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> list[str]:
+def format_table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> list[str]:
     names = list(head)
     lines = ["| " + " | ".join(names) + " |", "| " + " | ".join("---" for _ in names) + " |"]
     return lines + ["| " + " | ".join(cells) + " |" for cells in rows]
 
 
-def phases_table(phases: list[MeasuredPhase]) -> list[str]:
-    return table(HEAD, [row(phase, cost) for phase in phases for cost in phase.allocators])
+def format_phases(phases: list[MeasuredPhase]) -> list[str]:
+    return format_table(TABLE_HEAD, [make_row(phase, cost) for phase in phases for cost in phase.allocators])
 
 
 # ---- lines over the number of hosts ----
@@ -106,7 +107,7 @@
     return sum(c.cpu_s for c in costs) / max(1e-9, sum(c.seconds for c in costs))
 
 
-def figures(phases: list[MeasuredPhase]) -> dict[tuple[str, str], list[tuple[float, float]]]:
+def line_points(phases: list[MeasuredPhase]) -> dict[tuple[str, str], list[tuple[float, float]]]:
     """The points of each line: (what, unit) to (hosts, figure)."""
 
     def event_ms(phase: MeasuredPhase, cost: Cost) -> float:
@@ -125,17 +126,17 @@
     return found
 
 
-def fits(phases: list[MeasuredPhase]) -> list[Fit]:
+def fit_lines(phases: list[MeasuredPhase]) -> list[Fit]:
     """Of every figure with points at three numbers of hosts or more; loaded phases give none."""
     wide = {
         name: points
-        for name, points in figures(phases).items()
+        for name, points in line_points(phases).items()
         if len({hosts for hosts, _ in points}) >= 3 and len(points) >= 4
     }
-    return [line_through(what, unit, points) for (what, unit), points in wide.items()]
+    return [fit_line(what, unit, points) for (what, unit), points in wide.items()]
 
 
-def line_through(what: str, unit: str, points: list[tuple[float, float]]) -> Fit:
+def fit_line(what: str, unit: str, points: list[tuple[float, float]]) -> Fit:
     """By least squares; the slope's interval by Student's t with two degrees of freedom less than points."""
     from scipy import stats
 
@@ -145,7 +146,7 @@
     return Fit(what, unit, points, slope, slope - half, slope + half, float(line.intercept), r2)
 
 
-def fits_table(found: list[Fit]) -> list[str]:
+def format_fits(found: list[Fit]) -> list[str]:
     head = ["figure", "unit", "at 0 hosts", "of 1,000 hosts more", "95% from", "to", "r2", "points"]
     rows = [
         [
@@ -154,10 +155,10 @@
         ]
         for fit in found
     ]  # fmt: skip
-    return table(head, rows)
+    return format_table(head, rows)
 
 
-def chart(path: Path, series: dict[str, list[Fit]]) -> None:
+def draw_chart(path: Path, series: dict[str, list[Fit]]) -> None:
     """One panel a figure, one colour a series (as before and after)."""
     import matplotlib
 
@@ -188,7 +189,7 @@
 # ---- files ----
 
 
-def write(
+def write_results(
     folder: Path, name: str, results: Results, more: list[str], earlier: dict[str, list[MeasuredPhase]]
 ) -> list[str]:
     """The files of a run, also of one that was broken off; gives the page's lines.
@@ -199,24 +200,24 @@
     (folder / f"{name}.json").write_bytes(data + b"\n")
     lines = [f"# {name}" + (f" (*partial*: {results.partial})" if results.partial else ""), ""]
     lines += [f"{results.machine}. Program: {results.program}. Seed {results.size.seed}.", ""]
-    lines += [*phases_table(results.phases), *more]
-    found = fits(results.phases)
+    lines += [*format_phases(results.phases), *more]
+    found = fit_lines(results.phases)
     if found:
-        lines += ["", "Straight lines over the number of hosts:", "", *fits_table(found)]
-        chart(
+        lines += ["", "Straight lines over the number of hosts:", "", *format_fits(found)]
+        draw_chart(
             folder / f"{name}.png",
-            {**{label: fits(phases) for label, phases in earlier.items()}, name: found},
+            {**{label: fit_lines(phases) for label, phases in earlier.items()}, name: found},
         )
     (folder / f"{name}.md").write_text("\n".join(lines) + "\n")
     return lines
 
 
-def load(path: Path) -> Results:
+def load_results(path: Path) -> Results:
     """Results written before; BadResults if this can't read them."""
     try:
         found = msgspec.json.decode(path.read_bytes(), type=Results)
     except (OSError, msgspec.DecodeError) as error:
         raise ResultsError(f"{path}: {error}") from None
-    if found.version != VERSION:
-        raise ResultsError(f"{path}: version {found.version}, this reads {VERSION}")
+    if found.version != RESULTS_VERSION:
+        raise ResultsError(f"{path}: version {found.version}, this reads {RESULTS_VERSION}")
     return found
--- a/glencleat/scale/run_size.py
+++ b/glencleat/scale/run_size.py
@@ -14,15 +14,15 @@
 import psutil
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
-Some = Annotated[int, msgspec.Meta(ge=1)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=600.0)]
 Rate = Annotated[float, msgspec.Meta(ge=0.0, le=2_000.0)]
 
 HOST_DESCRIPTORS = 2  # a listener, and one that blocks it while the host is silent
-ASIDE_DESCRIPTORS = 200  # of a process, for all else
+RESERVED_DESCRIPTORS = 200  # of a process, for all else
 HOST_KB, LINK_KB, PART_MB, NODE_MB, HOLLOW_KB = 8, 6, 40, 64, 400  # resident, with room to spare
-MOST_PROCESSES = 200
-PORTS = 28_000  # that the system gives to who asks for any
+MAX_PROCESSES = 200
+MAX_PORTS = 28_000  # that the system gives to who asks for any
 
 
 class RunSizeError(Exception):
@@ -38,7 +38,7 @@
     kind: Literal["one-host", "whole-list", "rack-lost", "zone-lost"]
     seconds: Seconds = 20.0
     back_seconds: Seconds = 20.0
-    count: Some = 20  # one-host: events; whole-list: times
+    count: PositiveCount = 20  # one-host: events; whole-list: times
     told_s: Annotated[float, msgspec.Meta(ge=0.0)] = 5.0
     power: bool = True
 
@@ -47,7 +47,7 @@
     """One run for each number of `hosts`; tasks and starts are of one real allocator."""
 
     hosts: list[Annotated[int, msgspec.Meta(ge=1, le=20_000)]]
-    real: Some = 1
+    real: PositiveCount = 1
     hollow: Count = 0
     reuse: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.0  # part of hollow set-ups to a linked host
     peers: Count = 0  # allocators as the settings tell; 0: real and hollow together
@@ -57,19 +57,19 @@
     lives: Literal["exponential", "fixed"] = "exponential"
     note_s: Annotated[float, msgspec.Meta(ge=0.0)] = 30.0  # between two notes on a task's use; 0: none
     decide_ms: Annotated[float, msgspec.Meta(ge=0.0)] = 5.0
-    zones: Some = 7
-    rack_hosts: Some = 40
+    zones: PositiveCount = 7
+    rack_hosts: PositiveCount = 40
     host: Literal["hollow", "stand-in"] = "hollow"
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1_024  # descriptor limit of an allocator
     idle_s: Seconds = 20.0
-    repeats: Some = 1  # of the idle phase
+    repeats: PositiveCount = 1  # of the idle phase
     standing_s: Seconds = 20.0
     load_s: Seconds = 30.0
     settle_s: Seconds = 5.0
     events: list[RunEvent] = []
     seed: Count = 1
-    groups: Some = 4  # processes of hosts
-    hollow_groups: Some = 4  # processes of hollow allocators, where there are any
+    groups: PositiveCount = 4  # processes of hosts
+    hollow_groups: PositiveCount = 4  # processes of hollow allocators, where there are any
     limit_s: Annotated[float, msgspec.Meta(gt=0.0, le=3_600.0)] = 900.0
     out: str = "scale-out"
 
@@ -82,14 +82,14 @@
     processes: int
     ports: int
 
-    def line(self) -> str:
+    def describe(self) -> str:
         return (
             f"{self.descriptors} descriptors in one process, {self.memory_mb} MB,"
             f" {self.processes} processes, {self.ports} ports"
         )
 
 
-def read(path: Path) -> RunSize:
+def read_size(path: Path) -> RunSize:
     """BadSize says what is wrong with it, by name."""
     try:
         raw = tomllib.loads(path.read_text())
@@ -112,13 +112,13 @@
     return size
 
 
-def needs(size: RunSize, hosts: int) -> Needs:
+def compute_needs(size: RunSize, hosts: int) -> Needs:
     """Links: at most as many as allocators may hold, spread over the processes of hosts."""
     links = (size.real + size.hollow) * min(size.sockets, 2 * hosts)
     parts = size.groups + 2 + min(size.hollow, size.hollow_groups)
-    host_side = (HOST_DESCRIPTORS * hosts + links) // size.groups + ASIDE_DESCRIPTORS
+    host_side = (HOST_DESCRIPTORS * hosts + links) // size.groups + RESERVED_DESCRIPTORS
     in_one = -(-size.hollow // size.hollow_groups)
-    hollow_side = in_one * min(size.sockets, 2 * hosts) + ASIDE_DESCRIPTORS
+    hollow_side = in_one * min(size.sockets, 2 * hosts) + RESERVED_DESCRIPTORS
     memory_kb = HOST_KB * hosts + 2 * LINK_KB * links + HOLLOW_KB * size.hollow
     return Needs(
         descriptors=max(host_side, hollow_side),
@@ -128,17 +128,17 @@
     )
 
 
-def check(size: RunSize) -> None:
+def check_size(size: RunSize) -> None:
     """Before anything is started: BadSize if the machine has no room for the largest."""
-    need = needs(size, max(size.hosts))
+    need = compute_needs(size, max(size.hosts))
     descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     memory = psutil.virtual_memory()
     room = min(memory.total // 2, memory.available) >> 20
     for have, want, what in (
         (descriptors, need.descriptors, "descriptors in one process"),
         (room, need.memory_mb, "MB, half of the machine's memory or what is left of it"),
-        (MOST_PROCESSES, need.processes, "processes"),
-        (PORTS, need.ports, "ports"),
+        (MAX_PROCESSES, need.processes, "processes"),
+        (MAX_PORTS, need.ports, "ports"),
     ):
         if want > have:
-            raise RunSizeError(f"{max(size.hosts)} hosts need {need.line()}; there are {have} {what}")
+            raise RunSizeError(f"{max(size.hosts)} hosts need {need.describe()}; there are {have} {what}")
--- a/glencleat/scale/worker_processes.py
+++ b/glencleat/scale/worker_processes.py
@@ -15,18 +15,18 @@
 from glencleat.event_loop import Loop
 from glencleat.event_loop.loop import READ
 
-JOIN_S = 5.0
+JOIN_TIMEOUT_S = 5.0
 
 
 class WorkerFailedError(Exception):
     """A part ended, or answered an order with an error."""
 
 
-class StartError(WorkerFailedError):
+class WorkerStartError(WorkerFailedError):
     """The system has no port, descriptor or memory for a part."""
 
 
-def serve(pipe: Connection, make: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
+def serve_calls(pipe: Connection, make: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
     """The part's process: makes it, then obeys."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # an interrupt reaches the whole group; the runner ends us
     loop = Loop()
@@ -35,7 +35,7 @@
     except OSError as error:
         pipe.send((None, f"{type(error).__name__}: {error}"))
         return
-    pipe.send((part.begun(), None))
+    pipe.send((part.startup_info(), None))
 
     def ordered(_: int) -> None:
         try:
@@ -54,26 +54,26 @@
 
 
 class WorkerProcess:
-    """One of these processes, from outside. `begun`: what it told of itself."""
+    """One of these processes, from outside. `startup_info`: what it told of itself."""
 
     def __init__(self, make: Callable[..., Any], *arguments: Any) -> None:
         spawn = multiprocessing.get_context("spawn")
         self.pipe, theirs = spawn.Pipe()
         self.name = make.__name__
-        self.process = spawn.Process(target=serve, args=(theirs, make, arguments), daemon=True)
+        self.process = spawn.Process(target=serve_calls, args=(theirs, make, arguments), daemon=True)
         self.process.start()
         theirs.close()
-        self.begun: Any = None
+        self.startup_info: Any = None
 
     def start(self) -> Any:
-        """What it tells of itself once it stands; CantStart if the system refuses it something."""
+        """What it tells of itself once it stands; WorkerStartError if the system refuses it something."""
         try:
-            self.begun = self.wait()
+            self.startup_info = self.wait_result()
         except WorkerFailedError as error:
-            raise StartError(str(error)) from None
-        return self.begun
+            raise WorkerStartError(str(error)) from None
+        return self.startup_info
 
-    def wait(self) -> Any:
+    def wait_result(self) -> Any:
         """The answer to the last order."""
         try:
             value, error = self.pipe.recv()
@@ -83,38 +83,38 @@
             raise WorkerFailedError(f"{self.name}: {error}")
         return value
 
-    def order(self, name: str, *given: Any) -> None:
-        """Without waiting: `wait` has to follow."""
+    def start_call(self, name: str, *given: Any) -> None:
+        """Without waiting: `wait_result` has to follow."""
         self.pipe.send((name, given))
 
     def call(self, name: str, *given: Any) -> Any:
-        self.order(name, *given)
-        return self.wait()
+        self.start_call(name, *given)
+        return self.wait_result()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.pipe.close()
-        self.process.join(JOIN_S)
+        self.process.join(JOIN_TIMEOUT_S)
         if self.process.is_alive():
             self.process.kill()
             self.process.join()
 
 
-class Parts:
+class WorkerProcesses:
     """All that a run has started, ended in any case."""
 
     def __init__(self) -> None:
-        self.all: list[WorkerProcess] = []
+        self.workers: list[WorkerProcess] = []
 
-    def __enter__(self) -> Parts:
+    def __enter__(self) -> WorkerProcesses:
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, at: TracebackType | None
     ) -> None:
-        for part in self.all:
-            part.end()
+        for part in self.workers:
+            part.stop()
 
-    def start(self, make: Callable[..., Any], *arguments: Any) -> WorkerProcess:
+    def start_worker(self, make: Callable[..., Any], *arguments: Any) -> WorkerProcess:
         part = WorkerProcess(make, *arguments)
-        self.all.append(part)
+        self.workers.append(part)
         return part
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -16,18 +16,18 @@
 from glencleat.event_loop.streams import connect
 from glencleat.flow_control.backoff import Backoff
 from glencleat.mesos import messages as m
-from glencleat.mesos.http import ClientConnection, End, Head, HttpError
+from glencleat.mesos.http import ClientConnection, HttpError, ResponseEnd, ResponseHead
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
 TARGET = "/api/v1"
-CONNECT_MS = 1_000.0
-RETRY_AFTER_MOST_MS = 60_000.0  # of what a directory may say; a wrong word would else keep us blind
+CONNECT_TIMEOUT_MS = 1_000.0
+MAX_RETRY_AFTER_MS = 60_000.0  # of what a directory may say; a wrong word would else keep us blind
 
 
 def retry_after_ms(headers: Mapping[str, str]) -> float:
     """The seconds that a Retry-After names (RFC 9110, 10.2.3), as milliseconds; 0 for a date or nonsense."""
     told = headers.get("retry-after", "").strip()
-    return min(RETRY_AFTER_MOST_MS, 1e3 * int(told)) if told.isdecimal() and len(told) < 10 else 0.0
+    return min(MAX_RETRY_AFTER_MS, 1e3 * int(told)) if told.isdecimal() and len(told) < 10 else 0.0
 
 
 class DirectoryClient:
@@ -37,18 +37,18 @@
         address: tuple[str, int],
         tell: Callable[[api.MachineListUpdated], None],
         asking: Backoff,
-        silence_ms: float = 45_000.0,
+        silence_timeout_ms: float = 45_000.0,
         record_most: int = 16 << 20,
         log: Callable[..., None] = lambda event, **more: None,
     ) -> None:
-        self.loop, self.address, self.tell, self.log = loop, address, tell, log
-        self.asking = asking
-        self.next_at = loop.now() + asking.first()  # not before this
-        self.up_at: float | None = None  # since when this subscription tells something
-        self.told_ms = 0.0  # the directory's own word of when to come again
-        self.tries = 0
-        self.asked = False  # a Watch is not answered yet
-        self.silence_ms, self.record_most = silence_ms, record_most
+        self.loop, self.address, self.on_update, self.log = loop, address, tell, log
+        self.backoff = asking
+        self.next_try_at_ms = loop.now() + asking.first_delay_ms()  # not before this
+        self.subscribed_at_ms: float | None = None  # since when this subscription tells something
+        self.server_retry_after_ms = 0.0  # the directory's own word of when to come again
+        self.try_count = 0
+        self.is_watch_pending = False  # a Watch is not answered yet
+        self.silence_timeout_ms, self.max_record_bytes = silence_timeout_ms, record_most
         self.listing = MachineListing()
         self.task: LoopTask | None = None
 
@@ -56,23 +56,23 @@
         """Subscribes, and holds the subscription from then on; one ListTold answers, WHOLE or FAILED.
 
         While it is held what is known is the answer. While a try waits for its turn it is this ask's too."""
-        self.asked = True
+        self.is_watch_pending = True
         if self.task is None:
             self.task = self.loop.spawn(self._run(), "directory")
-        elif self.up_at is not None:
+        elif self.subscribed_at_ms is not None:
             self._told(self.listing.snapshot())
 
     def _run(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(max(0.0, self.next_at - self.loop.now()))
-            self.tries += 1
+            yield from self.loop.sleep(max(0.0, self.next_try_at_ms - self.loop.now()))
+            self.try_count += 1
             yield from self._try()
 
     def _try(self) -> Coroutine:
         stream: Stream | None = None
-        self.told_ms = 0.0
+        self.server_retry_after_ms = 0.0
         try:
-            stream = yield from connect(self.loop, self.address, CONNECT_MS)
+            stream = yield from connect(self.loop, self.address, CONNECT_TIMEOUT_MS)
             yield from self._subscribed(stream)
             why = "the directory ended the stream"
         except (StreamClosedError, HttpError, RecordError, m.MessageError) as error:
@@ -80,34 +80,34 @@
         finally:
             if stream is not None:
                 stream.close("done")
-        up_at, self.up_at = self.up_at, None
+        up_at, self.subscribed_at_ms = self.subscribed_at_ms, None
         lasted = 0.0 if up_at is None else self.loop.now() - up_at
-        self.next_at = self.loop.now() + self.asking.again(lasted, self.told_ms)
-        self.log("directory failed", why=why, tries=self.tries)
-        if self.asked or up_at is not None:
+        self.next_try_at_ms = self.loop.now() + self.backoff.next_delay_ms(lasted, self.server_retry_after_ms)
+        self.log("directory failed", why=why, tries=self.try_count)
+        if self.is_watch_pending or up_at is not None:
             self._told(api.MachineListUpdated(api.ListUpdateKind.FAILED))
 
     def _told(self, event: api.MachineListUpdated) -> None:
         if event.kind is not api.ListUpdateKind.DELTA:
-            self.asked = False
-        self.tell(event)
+            self.is_watch_pending = False
+        self.on_update(event)
 
     def _subscribed(self, stream: Stream) -> Coroutine:
-        http, decoder = ClientConnection(), RecordDecoder(self.record_most)
+        http, decoder = ClientConnection(), RecordDecoder(self.max_record_bytes)
         headers = {"content-type": "application/json", "accept": "application/json"}
         body = m.encode(m.OperatorCall("SUBSCRIBE"))
-        stream.send(http.request("POST", TARGET, "directory", headers, body))
-        silence = self.loop.call_in(self.silence_ms, lambda: stream.close("no heartbeat"))
+        stream.send(http.encode_request("POST", TARGET, "directory", headers, body))
+        silence = self.loop.call_in(self.silence_timeout_ms, lambda: stream.close("no heartbeat"))
         try:
             while True:
                 data = yield from stream.read()
                 silence.cancel()
-                silence = self.loop.call_in(self.silence_ms, lambda: stream.close("no heartbeat"))
+                silence = self.loop.call_in(self.silence_timeout_ms, lambda: stream.close("no heartbeat"))
                 for event in http.feed(data):
-                    if isinstance(event, Head) and event.status != 200:
-                        self.told_ms = retry_after_ms(event.headers)
+                    if isinstance(event, ResponseHead) and event.status != 200:
+                        self.server_retry_after_ms = retry_after_ms(event.headers)
                         raise HttpError(event.status, f"the directory answered {event.status}")
-                    if isinstance(event, End):
+                    if isinstance(event, ResponseEnd):
                         return
                     for record in decoder.feed(event) if isinstance(event, bytes) else ():
                         self._event(m.decode(m.OperatorEvent, record))
@@ -128,6 +128,6 @@
         elif event.type == "AGENT_REMOVED" and event.agent_removed is not None:
             told = self.listing.record_removal(event.agent_removed.agent_id.value)
         if told is not None:
-            if self.up_at is None:
-                self.up_at = now
+            if self.subscribed_at_ms is None:
+                self.subscribed_at_ms = now
             self._told(told)
--- a/glencleat/servers/endpoint_snapshot_file.py
+++ b/glencleat/servers/endpoint_snapshot_file.py
@@ -16,8 +16,10 @@
 from glencleat.allocator.endpoint_list import MachineListing
 from glencleat.event_loop import Loop
 
-ANEW_MS = 30_000.0  # between two whole files; a list that stays the same has its age renewed by it
-MOST = 64 << 20  # bytes of a file that is read
+REWRITE_INTERVAL_MS = (
+    30_000.0  # between two whole files; a list that stays the same has its age renewed by it
+)
+MAX_FILE_BYTES = 64 << 20  # bytes of a file that is read
 
 
 class EndpointSnapshotFile:
@@ -30,21 +32,21 @@
         listing: MachineListing,
         log: Callable[..., None],
     ) -> None:
-        self.loop, self.path, self.pool, self.most_age_ms = loop, path, pool, most_age_ms
+        self.loop, self.path, self.pool, self.max_age_ms = loop, path, pool, most_age_ms
         self.listing, self.log = listing, log
         self.file: BinaryIO | None = None  # that changes are added to
-        self.phases: dict[str, api.MachinePhase] = {}
-        self.live = False  # the directory tells the list just now
+        self.phase_by_machine: dict[str, api.MachinePhase] = {}
+        self.is_list_live = False  # the directory tells the list just now
 
     def load(self) -> tuple[api.Machine, ...]:
         """What it holds, if that may be used; else nothing, and the log says why."""
         try:
             with self.path.open("rb") as file:
-                data = file.read(MOST)
-            found = endpoint_snapshot.read(data)
+                data = file.read(MAX_FILE_BYTES)
+            found = endpoint_snapshot.decode_snapshot(data)
             wall = self.loop.clock.wall()
-            why = endpoint_snapshot.usable(found, self.pool, wall, self.most_age_ms)
-            told = endpoint_snapshot.machines(found, self.loop.now(), wall) if why is None else ()
+            why = endpoint_snapshot.unusable_reason(found, self.pool, wall, self.max_age_ms)
+            told = endpoint_snapshot.restore_machines(found, self.loop.now(), wall) if why is None else ()
         except FileNotFoundError:
             return ()
         except OSError as error:
@@ -58,28 +60,28 @@
             self.log("kept list used", file=str(self.path), machines=len(told), age_s=age)
         return told
 
-    def told(self, event: api.MachineListUpdated) -> None:
+    def record_update(self, event: api.MachineListUpdated) -> None:
         """News of the directory, before anybody else hears of it."""
         if event.kind is api.ListUpdateKind.FAILED:
-            self.live = False
+            self.is_list_live = False
         elif event.kind is api.ListUpdateKind.SNAPSHOT:
-            self.live = True
+            self.is_list_live = True
             self._anew()
         elif self.file is not None:
             self._add(event.machines)
 
     def start(self) -> None:
         """Renews the file from time to time, while the list is live."""
-        self.loop.call_in(ANEW_MS, self.start)
-        if self.live:
+        self.loop.call_in(REWRITE_INTERVAL_MS, self.start)
+        if self.is_list_live:
             self._anew()
 
     def _add(self, machines: tuple[api.Machine, ...]) -> None:
         now, wall, lines = self.loop.now(), self.loop.clock.wall(), b""
         for machine in machines:
-            if self.phases.get(machine.name) is not machine.phase:
-                self.phases[machine.name] = machine.phase
-                lines += endpoint_snapshot.change(machine, now, wall)
+            if self.phase_by_machine.get(machine.name) is not machine.phase:
+                self.phase_by_machine[machine.name] = machine.phase
+                lines += endpoint_snapshot.encode_change(machine, now, wall)
         if lines and self.file is not None:
             try:
                 self.file.write(lines)
@@ -98,14 +100,16 @@
             file = beside.open("wb")
             self.file = file
             file.write(
-                endpoint_snapshot.whole(self.pool, machines.values(), self.loop.now(), self.loop.clock.wall())
+                endpoint_snapshot.encode_snapshot(
+                    self.pool, machines.values(), self.loop.now(), self.loop.clock.wall()
+                )
             )
             file.flush()
             os.replace(beside, self.path)
         except OSError as error:
             self._untrue(error)
             return
-        self.phases = {name: machine.phase for name, machine in machines.items()}
+        self.phase_by_machine = {name: machine.phase for name, machine in machines.items()}
 
     def _untrue(self, error: OSError) -> None:
         """What the file holds may lack a drain by now. Harm: the next start has no list until it is told."""
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -12,50 +12,50 @@
 from glencleat.allocator.core import Core
 from glencleat.mesos import messages as m
 from glencleat.mesos.http import HttpError, Request, Response
-from glencleat.servers.http_server import RecordLink, Subscribe, json_call, need, unreadable
+from glencleat.servers.http_server import RecordLink, SessionResponse, json_call, parse_failure, require_field
 
 TARGET = "/api/v1/executor"
 HEARTBEAT = m.encode(m.ExecutorEvent("HEARTBEAT"))
 TYPES = ("SUBSCRIBE", "UPDATE", "MESSAGE", "HEARTBEAT")
-ID_MOST = 256
+MAX_ID_CHARACTERS = 256
 
 
 class ExecutorApi:
     def __init__(self, core: Core) -> None:
         self.core = core
 
-    def handle(self, request: Request) -> Response | Subscribe:
+    def handle(self, request: Request) -> Response | SessionResponse:
         call = json_call(request, TARGET, m.ExecutorCall)
         try:
-            if not call.executor_id.value or len(call.executor_id.value) > ID_MOST:
-                raise HttpError(400, f"executor_id: expected 1 to {ID_MOST} characters")
+            if not call.executor_id.value or len(call.executor_id.value) > MAX_ID_CHARACTERS:
+                raise HttpError(400, f"executor_id: expected 1 to {MAX_ID_CHARACTERS} characters")
             if call.type == "SUBSCRIBE":
                 return self._subscribe(call)
             self._call(call)
         except m.MessageError as error:
-            raise unreadable(error) from None
+            raise parse_failure(error) from None
         except NotSubscribedError as error:
             raise HttpError(403, f"Executor is not subscribed: {error}") from None
         return Response(202)
 
-    def _subscribe(self, call: m.ExecutorCall) -> Subscribe:
+    def _subscribe(self, call: m.ExecutorCall) -> SessionResponse:
         def begin(link: RecordLink) -> Callable[[str], None]:
             try:
-                agent = self.core.agents.subscribe(call, link)
+                agent = self.core.agent_sessions.subscribe(call, link)
             except (AgentLimitError, m.MessageError, NotSubscribedError) as error:
                 link.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(str(error)))))
                 link.close(str(error))
                 return lambda why: None
-            return lambda why: self.core.agents.close_session(agent, link, why)
+            return lambda why: self.core.agent_sessions.close_session(agent, link, why)
 
-        return Subscribe({}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
+        return SessionResponse({}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
 
     def _call(self, call: m.ExecutorCall) -> None:
-        agents, name = self.core.agents, call.executor_id.value
+        agents, name = self.core.agent_sessions, call.executor_id.value
         if call.type == "UPDATE":
-            agents.handle_update(name, need(call.update, "update").status)
+            agents.handle_update(name, require_field(call.update, "update").status)
         elif call.type == "MESSAGE":
-            agents.handle_message(name, m.unpack(need(call.message, "message").data))
+            agents.handle_message(name, m.decode_payload(require_field(call.message, "message").data))
         elif call.type == "HEARTBEAT":
             agents.record_heartbeat(name)
         else:
--- a/glencleat/servers/http_server.py
+++ b/glencleat/servers/http_server.py
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    connections: int = 10_000
-    body: int = 1 << 20  # bytes
-    unsent: int = 1 << 20  # bytes that a slow reader may leave
-    request_ms: float = 10_000.0  # from a request's first byte to its last
-    idle_ms: float = 60_000.0  # between requests
+    max_connections: int = 10_000
+    max_body_bytes: int = 1 << 20  # bytes
+    max_unsent_bytes: int = 1 << 20  # bytes that a slow reader may leave
+    request_timeout_ms: float = 10_000.0  # from a request's first byte to its last
+    idle_timeout_ms: float = 60_000.0  # between requests
 
 
 class RecordLink:
@@ -36,24 +36,24 @@
 
     def __init__(self, connection: ServerConnection, stream: Stream) -> None:
         self.connection, self.stream = connection, stream
-        self.ended: Callable[[str], None] = lambda why: None
-        self.beat: Timer | None = None
+        self.on_end: Callable[[str], None] = lambda why: None
+        self.heartbeat_timer: Timer | None = None
 
     def send(self, record: bytes) -> tuple[int, int]:
-        begin = self.stream.queued
-        if self.stream.closed is not None:
+        begin = self.stream.queued_bytes
+        if self.stream.close_reason is not None:
             return begin, begin + 1
         framed = self.connection.chunk(recordio.encode(record))
-        with contextlib.suppress(StreamClosedError):  # its on_close tells whom it concerns
+        with contextlib.suppress(StreamClosedError):  # its close_callbacks tell whom it concerns
             self.stream.send(framed)
         return begin, begin + len(framed) - 2  # the chunk's own line end comes after the record's last byte
 
-    def written(self) -> int:
-        return self.stream.written
+    def written_bytes(self) -> int:
+        return self.stream.written_bytes
 
     def close(self, why: str) -> None:
         """Ends the response, as far as the socket takes it, and the connection."""
-        if self.stream.closed is None:
+        if self.stream.close_reason is None:
             try:
                 self.stream.send(self.connection.end_stream())
             except StreamClosedError:
@@ -62,13 +62,13 @@
 
 
 @dataclass(slots=True)
-class Subscribe:
+class SessionResponse:
     """A handler's answer that turns the connection into a session."""
 
     headers: dict[str, str]
-    begin: Callable[[RecordLink], Callable[[str], None]]  # gives what is called at the session's end
+    open_session: Callable[[RecordLink], Callable[[str], None]]  # gives what is called at the session's end
     heartbeat: bytes
-    every_ms: float
+    heartbeat_interval_ms: float
 
 
 class Sink:
@@ -78,11 +78,11 @@
         self.connection, self.stream = connection, stream
 
     @property
-    def closed(self) -> bool:
-        return self.stream.closed is not None
+    def is_closed(self) -> bool:
+        return self.stream.close_reason is not None
 
     def on_close(self, call: Callable[[], None]) -> None:
-        self.stream.on_close.append(lambda _: call())
+        self.stream.close_callbacks.append(lambda _: call())
 
     def send(self, data: bytes) -> Coroutine:
         """Hands over a piece at once; what it gives waits until the socket has taken it. Raises
@@ -90,7 +90,7 @@
         self.stream.send(self.connection.chunk(data))
         return self.stream.flush()
 
-    def last(self, data: bytes, why: str, within_ms: float) -> Coroutine:
+    def send_last(self, data: bytes, why: str, within_ms: float) -> Coroutine:
         """A last piece, as far as the reader takes it in time; then the connection ends."""
         loop = self.stream.loop
         timer = loop.call_in(within_ms, lambda: self.stream.close(why))
@@ -103,27 +103,27 @@
 
 
 @dataclass(slots=True)
-class Pour:
-    """A handler's answer that is a stream without an end of its own; `fill` runs until it is over."""
+class StreamResponse:
+    """A handler's answer that is a stream without an end of its own; `write_body` runs until it is over."""
 
     content_type: str
-    fill: Callable[[Sink], Coroutine]
-    undo: Callable[[], None]  # called instead of `fill` where the stream can't begin
+    write_body: Callable[[Sink], Coroutine]
+    abort: Callable[[], None]  # called instead of `write_body` where the stream can't begin
 
 
-Handler = Callable[[Request], Response | Subscribe | Pour]
+Handler = Callable[[Request], Response | SessionResponse | StreamResponse]
 
 
-def plain(error: HttpError) -> Response:
+def plain_response(error: HttpError) -> Response:
     return Response(error.status, (error.text + "\n").encode())
 
 
 class RequestIntake(Protocol):
     """Decides how many requests there is time for; `rest.overload` has one."""
 
-    def count(self, now: float, idle_ms: float) -> int: ...
-    def spent(self, ms: float) -> None: ...
-    def crowded(self, waiting: int) -> bool: ...
+    def allowed_count(self, now: float, idle_ms: float) -> int: ...
+    def record_cost(self, ms: float) -> None: ...
+    def is_overloaded(self, waiting: int) -> bool: ...
 
 
 class RequestThrottle:
@@ -131,25 +131,25 @@
 
     def __init__(self, loop: Loop, intake: RequestIntake) -> None:
         self.loop, self.intake = loop, intake
-        self.waiting: dict[LoopTask, None] = {}
-        self.looking = False
+        self.waiting_tasks: dict[LoopTask, None] = {}
+        self.is_look_scheduled = False
 
-    def count(self) -> int:
-        return self.intake.count(self.loop.now(), self.loop.poller.idle_ms)
+    def allowed_count(self) -> int:
+        return self.intake.allowed_count(self.loop.now(), self.loop.poller.idle_ms)
 
-    def enter(self) -> Coroutine:
+    def wait_turn(self) -> Coroutine:
         """Waits for a turn; gives False, at once, where that would take too long."""
-        if not self.waiting and self.count():
+        if not self.waiting_tasks and self.allowed_count():
             return True
-        if self.intake.crowded(len(self.waiting)):
+        if self.intake.is_overloaded(len(self.waiting_tasks)):
             return False
 
         def arm(task: LoopTask) -> Callable[[], None]:
-            self.waiting[task] = None
+            self.waiting_tasks[task] = None
             self._look_soon()
 
             def disarm() -> None:
-                self.waiting.pop(task, None)
+                self.waiting_tasks.pop(task, None)
 
             return disarm
 
@@ -157,16 +157,16 @@
         return True
 
     def _look_soon(self) -> None:
-        if not self.looking:
-            self.looking = True
+        if not self.is_look_scheduled:
+            self.is_look_scheduled = True
             self.loop.call_in(0.0, self._look)
 
     def _look(self) -> None:
-        self.looking = False
-        for task in list(islice(self.waiting, self.count())):
-            del self.waiting[task]
+        self.is_look_scheduled = False
+        for task in list(islice(self.waiting_tasks, self.allowed_count())):
+            del self.waiting_tasks[task]
             self.loop.wake(task)
-        if self.waiting:
+        if self.waiting_tasks:
             self._look_soon()
 
 
@@ -186,15 +186,29 @@
         handler: Handler,
         limits: ServerLimits,
         log: Callable[..., None] = lambda event, **more: None,
-        problem: Callable[[HttpError], Response] = plain,
+        error_response: Callable[[HttpError], Response] = plain_response,
         intake: RequestIntake | None = None,
     ) -> None:
-        self.turnstile = RequestThrottle(loop, intake) if intake is not None else None
-        self.loop, self.handler, self.limits, self.log, self.problem = loop, handler, limits, log, problem
-        self.refused = 0
-        self.unproven: dict[Stream, None] = {}  # connections that have not made a whole request, oldest first
+        self.throttle = RequestThrottle(loop, intake) if intake is not None else None
+        self.loop, self.handler, self.limits, self.log, self.error_response = (
+            loop,
+            handler,
+            limits,
+            log,
+            error_response,
+        )
+        self.refused_count = 0
+        self.connections_without_request: dict[
+            Stream, None
+        ] = {}  # connections that have not made a whole request, oldest first
         self.listener = Listener(
-            loop, address, self._accept, limits.connections, limits.unsent, self._dropped, self._make_room
+            loop,
+            address,
+            self._accept,
+            limits.max_connections,
+            limits.max_unsent_bytes,
+            self._dropped,
+            self._make_room,
         )
 
     @property
@@ -202,15 +216,17 @@
         return self.listener.address
 
     def _dropped(self, why: str) -> None:
-        self.refused += 1
-        if self.refused & (self.refused - 1) == 0:  # 1, 2, 4, 8 ...: a storm must not fill the log
-            self.log("connection refused", why=why, so_far=self.refused)
+        self.refused_count += 1
+        if (
+            self.refused_count & (self.refused_count - 1) == 0
+        ):  # 1, 2, 4, 8 ...: a storm must not fill the log
+            self.log("connection refused", why=why, so_far=self.refused_count)
 
     def _make_room(self) -> bool:
         """Full: the oldest connection that has not yet made a request goes.
 
         A crowd that only connects must not keep out the calls of owners and agents that are subscribed."""
-        oldest = next(iter(self.unproven), None)
+        oldest = next(iter(self.connections_without_request), None)
         if oldest is None:
             return False
         self._dropped("made room for a newcomer")
@@ -218,22 +234,22 @@
         return True
 
     def _accept(self, stream: Stream) -> None:
-        self.unproven[stream] = None
+        self.connections_without_request[stream] = None
 
         def forget(_: str) -> None:
-            self.unproven.pop(stream, None)
+            self.connections_without_request.pop(stream, None)
 
-        stream.on_close.append(forget)
+        stream.close_callbacks.append(forget)
         self.loop.spawn(self._serve(stream), "connection")
 
     def _serve(self, stream: Stream) -> Coroutine:
-        connection = ServerConnection(self.limits.body)
-        clock = Patience(self.loop, stream, self.limits)
+        connection = ServerConnection(self.limits.max_body_bytes)
+        clock = PeerTimeout(self.loop, stream, self.limits)
         try:
-            while stream.closed is None:
-                clock.waits(connection.waits())
+            while stream.close_reason is None:
+                clock.start_wait(connection.has_partial_request())
                 data = yield from stream.read()
-                if self.turnstile is not None and not (yield from self.turnstile.enter()):
+                if self.throttle is not None and not (yield from self.throttle.wait_turn()):
                     self._dropped("too many requests wait to be read")
                     stream.send(BUSY % (len(BUSY_BODY), BUSY_BODY))
                     yield from self._linger(stream)
@@ -241,18 +257,18 @@
                 began = self.loop.now()
                 requests = connection.feed(data)
                 if requests:
-                    self.unproven.pop(stream, None)
+                    self.connections_without_request.pop(stream, None)
                 while requests:
                     link = yield from self._answer(connection, stream, requests[0], clock, began)
                     if link is not None:
                         clock.stop()
                         yield from self._hold(stream)
                         return
-                    if self.turnstile is not None and connection.waits():
-                        yield from self.turnstile.enter()  # what came behind it takes a turn of its own
+                    if self.throttle is not None and connection.has_partial_request():
+                        yield from self.throttle.wait_turn()  # what came behind it takes a turn of its own
                     began = self.loop.now()
-                    requests = requests[1:] or connection.more()
-                if data == b"" or connection.ended():
+                    requests = requests[1:] or connection.parse_pipelined()
+                if data == b"" or connection.must_close():
                     break
         except HttpError as error:
             self._complain(connection, stream, error)
@@ -269,9 +285,9 @@
         timer = self.loop.call_in(LINGER_MS, lambda: stream.close("done"))
         try:
             yield from stream.flush()
-            stream.shut()
+            stream.shutdown_write()
             left = LINGER_BYTES
-            while left > 0 and stream.closed is None:
+            while left > 0 and stream.close_reason is None:
                 data = yield from stream.read()
                 left -= len(data) or left
         except StreamClosedError:
@@ -282,63 +298,63 @@
     def _complain(self, connection: ServerConnection, stream: Stream, error: HttpError) -> None:
         self.log("bad request", status=error.status, why=error.text[:200])
         with contextlib.suppress(StreamClosedError):
-            stream.send(connection.refuse(error, self.problem(error)))
+            stream.send(connection.refuse(error, self.error_response(error)))
 
     def _answer(
         self,
         connection: ServerConnection,
         stream: Stream,
         request: Request,
-        clock: Patience,
+        clock: PeerTimeout,
         began: float,
     ) -> Coroutine:
-        request.origin = stream
+        request.connection = stream
         try:
             told = self.handler(request)
         except HttpError as error:
-            told = self.problem(error)
+            told = self.error_response(error)
         if isinstance(told, Response):
-            stream.send(connection.answer(told))
-            if self.turnstile is not None:
-                self.turnstile.intake.spent(self.loop.now() - began)
-            if stream.out:
-                clock.waits(True)  # the response, too, is to be taken in that time
+            stream.send(connection.encode_response(told))
+            if self.throttle is not None:
+                self.throttle.intake.record_cost(self.loop.now() - began)
+            if stream.send_buffer:
+                clock.start_wait(True)  # the response, too, is to be taken in that time
                 yield from stream.flush()
-            if told.pause_ms:
-                yield from self.loop.sleep(told.pause_ms)
+            if told.read_pause_ms:
+                yield from self.loop.sleep(told.read_pause_ms)
             return None
-        if isinstance(told, Pour):
+        if isinstance(told, StreamResponse):
             clock.stop()
             try:
                 stream.send(connection.open_stream({}, told.content_type))
             except (HttpError, StreamClosedError):
-                told.undo()
+                told.abort()
                 raise
-            self.loop.spawn(self._hold(stream), "watch", self.loop.current)
-            yield from told.fill(Sink(connection, stream))
+            self.loop.spawn(self._hold(stream), "watch", self.loop.current_task)
+            yield from told.write_body(Sink(connection, stream))
             return None
         stream.send(connection.open_stream(told.headers))
         return self._subscribe(connection, stream, told)
 
-    def _subscribe(self, connection: ServerConnection, stream: Stream, told: Subscribe) -> RecordLink:
+    def _subscribe(self, connection: ServerConnection, stream: Stream, told: SessionResponse) -> RecordLink:
         link = RecordLink(connection, stream)
 
         def beat() -> None:
-            if stream.closed is None:
+            if stream.close_reason is None:
                 link.send(told.heartbeat)
-                link.beat = self.loop.call_in(told.every_ms, beat)
+                link.heartbeat_timer = self.loop.call_in(told.heartbeat_interval_ms, beat)
 
-        link.beat = self.loop.call_in(told.every_ms, beat)
+        link.heartbeat_timer = self.loop.call_in(told.heartbeat_interval_ms, beat)
 
         def closed(why: str) -> None:
-            if link.beat is not None:
-                link.beat.cancel()
-            link.ended(why)
-
-        stream.on_close.append(closed)
-        link.ended = told.begin(link)
-        if stream.closed is not None:  # it was cut off while it began
-            link.ended(stream.closed)
+            if link.heartbeat_timer is not None:
+                link.heartbeat_timer.cancel()
+            link.on_end(why)
+
+        stream.close_callbacks.append(closed)
+        link.on_end = told.open_session(link)
+        if stream.close_reason is not None:  # it was cut off while it began
+            link.on_end(stream.close_reason)
         return link
 
     @staticmethod
@@ -358,44 +374,44 @@
         self.listener.close()
 
 
-class Patience:
+class PeerTimeout:
     """How long a peer may take with a request, or stay idle; one timer a connection, set anew only when due.
 
     Dripping a byte now and then does not help a slow sender: the limit runs from the request's first byte."""
 
     def __init__(self, loop: Loop, stream: Stream, limits: ServerLimits) -> None:
         self.loop, self.stream, self.limits = loop, stream, limits
-        self.busy, self.since = False, loop.now()
+        self.is_in_request, self.waiting_since_ms = False, loop.now()
         self.timer: Timer | None = None
-        self._arm(limits.idle_ms)
+        self._arm(limits.idle_timeout_ms)
 
-    def waits(self, busy: bool) -> None:
+    def start_wait(self, busy: bool) -> None:
         """Called as often as the peer is waited for; `busy`: it has begun something and not ended it."""
-        if busy and self.busy:
+        if busy and self.is_in_request:
             return
-        self.since = self.loop.now()
-        if busy != self.busy:
-            self.busy = busy
-            self._arm(self.limits.request_ms if busy else self.limits.idle_ms)
+        self.waiting_since_ms = self.loop.now()
+        if busy != self.is_in_request:
+            self.is_in_request = busy
+            self._arm(self.limits.request_timeout_ms if busy else self.limits.idle_timeout_ms)
 
     def _arm(self, in_ms: float) -> None:
         self.stop()
         self.timer = self.loop.call_in(in_ms, self._due)
 
     def _due(self) -> None:
-        limit = self.limits.request_ms if self.busy else self.limits.idle_ms
-        left = self.since + limit - self.loop.now()
+        limit = self.limits.request_timeout_ms if self.is_in_request else self.limits.idle_timeout_ms
+        left = self.waiting_since_ms + limit - self.loop.now()
         if left > 1.0:
             self._arm(left)
         else:
-            self.stream.close("request too slow" if self.busy else "idle")
+            self.stream.close("request too slow" if self.is_in_request else "idle")
 
     def stop(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
 
-def unreadable(error: m.MessageError) -> HttpError:
+def parse_failure(error: m.MessageError) -> HttpError:
     return HttpError(400, f"Failed to parse body into Call: {error}")
 
 
@@ -414,10 +430,10 @@
     try:
         return m.decode(kind, request.body)
     except m.MessageError as error:
-        raise unreadable(error) from None
+        raise parse_failure(error) from None
 
 
-def need(part: m.T | None, name: str) -> m.T:
+def require_field(part: m.T | None, name: str) -> m.T:
     if part is None:
         raise HttpError(400, f"Expecting '{name}' to be present")
     return part
