--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -14,9 +14,9 @@
 from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer
 from glencleat.rest import jobs, overload, reasons, watches
 from glencleat.rest import schema as s
-from glencleat.rest.jobs import Bucket, JobState, JobStep, Keys, RoundRobin, Slot
-from glencleat.rest.selector import SelectorError, Term, anchors, matches, parse
-from glencleat.rest.version_store import VersionGoneError, Versions
+from glencleat.rest.jobs import IdempotencyKeys, JobState, JobStep, JobTask, RoundRobin, TokenBucket
+from glencleat.rest.selector import SelectorError, Term, index_terms, matches, parse_selector
+from glencleat.rest.version_store import VersionGoneError, VersionStore
 
 # ---- selectors ----
 
@@ -45,7 +45,7 @@
     ],
 )
 def test_selectors_match_as_those_of_kubernetes(text, labels, fits):
-    assert matches(parse(text), labels) is fits
+    assert matches(parse_selector(text), labels) is fits
 
 
 @pytest.mark.parametrize(
@@ -53,20 +53,20 @@
 )
 def test_a_bad_selector_says_where(text):
     with pytest.raises(SelectorError, match="labelSelector: .*(expected|no field)"):
-        parse(text)
+        parse_selector(text)
 
 
 def test_a_selector_has_bounds():
     with pytest.raises(SelectorError, match="17 terms"):
-        parse(",".join(f"a{i}=b" for i in range(17)))
+        parse_selector(",".join(f"a{i}=b" for i in range(17)))
     with pytest.raises(SelectorError, match="at most 32"):
-        parse(f"a in ({','.join(f'v{i}' for i in range(33))})")
+        parse_selector(f"a in ({','.join(f'v{i}' for i in range(33))})")
 
 
 def test_equal_selectors_share_a_channel_and_the_anchor_is_one_value():
-    assert parse("b=1,a=2") == parse("a==2, b=1, a=2")
-    assert anchors(parse("!x,a in (b),c,d=e")) == [("a", "b"), ("d", "e")]
-    assert anchors(parse("a!=b,c in (d,e),f")) == []
+    assert parse_selector("b=1,a=2") == parse_selector("a==2, b=1, a=2")
+    assert index_terms(parse_selector("!x,a in (b),c,d=e")) == [("a", "b"), ("d", "e")]
+    assert index_terms(parse_selector("a!=b,c in (d,e),f")) == []
 
 
 # ---- versions and watches: one model for both ----
@@ -100,8 +100,8 @@
 
 
 def listed(versions, selector, tenant=None, version=None):
-    records, _ = versions.page(
-        "k", versions.number if version is None else version, selector, 99, None, tenant
+    records, _ = versions.read_page(
+        "k", versions.current_version if version is None else version, selector, 99, None, tenant
     )
     return {r.key: r.value.waiting for r in records}
 
@@ -110,9 +110,11 @@
 @given(CHANGES, st.sampled_from(SELECTORS), st.sampled_from([None, "t1"]), st.integers(3, 12), st.data())
 def test_any_list_and_watch_folds_to_the_servers_state(changes, text, tenant, kept, data):
     """Watches begin, stop and resume anywhere, take at any pace, over a log that forgets: no gap, no repeat."""
-    versions = Versions("e", {"k": kept})
-    hub = watches.WatchChannels(watches.WatchLimits(lines=kept, piece=1), versions.told)
-    selector = parse(text)
+    versions = VersionStore("e", {"k": kept})
+    hub = watches.WatchChannels(
+        watches.WatchLimits(max_lines=kept, max_chunk_bytes=1), versions.format_version
+    )
+    selector = parse_selector(text)
     seen, watcher, resume, past = {}, None, None, {}
     for key, change in changes:
         event = (
@@ -122,48 +124,59 @@
         )
         if event is not None:
             hub.publish(event, 0.0)
-        past[versions.number] = listed(versions, selector, tenant)
+        past[versions.current_version] = listed(versions, selector, tenant)
         for version, old in past.items():  # every version that the log still holds can be read as it was
-            if version >= versions.kinds["k"].compacted:
+            if version >= versions.stores_by_kind["k"].compacted_version:
                 assert listed(versions, selector, tenant, version) == old
         action = data.draw(st.sampled_from(["nothing", "take", "begin", "stop"]))
         if action == "begin" and watcher is None:
             if resume is not None:
                 try:
-                    events = versions.since("k", resume)
+                    events = versions.events_since("k", resume)
                 except VersionGoneError:
                     resume = None
             if resume is None:
-                seen, early, resume = listed(versions, selector, tenant), None, versions.number
+                seen, early, resume = listed(versions, selector, tenant), None, versions.current_version
             else:
                 kinds = [
                     (e, e.type_for(selector)) for e in events if tenant is None or e.record.key[0] == tenant
                 ]
-                early = iter([watches.line(e, kind, versions.told) for e, kind in kinds if kind is not None])
-            watcher = hub.join(("k", tenant, selector), early, 0.0)
+                early = iter(
+                    [
+                        watches.event_line(e, kind, versions.format_version)
+                        for e, kind in kinds
+                        if kind is not None
+                    ]
+                )
+            watcher = hub.add_watcher(("k", tenant, selector), early, 0.0)
         elif action in ("take", "stop") and watcher is not None:
             lines = []
-            while data_ := hub.take(watcher, 0.0):
+            while data_ := hub.take_chunk(watcher, 0.0):
                 lines.append(data_)
             fold(seen, lines)
-            if watcher.cut is None:
+            if watcher.close_reason is None:
                 assert seen == listed(versions, selector, tenant)
-                resume = versions.number
+                resume = versions.current_version
             else:
                 resume = None
-            if action == "stop" or watcher.cut is not None:
-                hub.leave(watcher)
+            if action == "stop" or watcher.close_reason is not None:
+                hub.remove_watcher(watcher)
                 watcher = None
     counted = Counter()
-    for record in versions.kinds["k"].records.values():
+    for record in versions.stores_by_kind["k"].records.values():
         while record is not None:
             counted.update((label, record.key) for label in record.labels.items() if record.value is not None)
-            record = record.before
-    index = versions.kinds["k"].by_label
+            record = record.previous
+    index = versions.stores_by_kind["k"].keys_by_label
     assert counted == {(label, key): n for label, keys in index.items() for key, n in keys.items()}
     if watcher is not None:
-        hub.leave(watcher)
-    assert hub.count == 0 and not hub.channels and not hub.by_tenant and not hub.awake
+        hub.remove_watcher(watcher)
+    assert (
+        hub.watcher_count == 0
+        and not hub.channels_by_key
+        and not hub.watcher_counts_by_tenant
+        and not hub.ready_watchers
+    )
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -171,10 +184,11 @@
     CHANGES, st.lists(st.tuples(st.sampled_from(SELECTORS), st.sampled_from([None, "t1", "t2"])), max_size=6)
 )
 def test_the_index_tells_whom_a_filter_over_all_would(changes, wheres):
-    versions = Versions("e", {"k": 1_000})
-    hub = watches.WatchChannels(watches.WatchLimits(piece=1 << 20), versions.told)
+    versions = VersionStore("e", {"k": 1_000})
+    hub = watches.WatchChannels(watches.WatchLimits(max_chunk_bytes=1 << 20), versions.format_version)
     watchers = [
-        (hub.join(("k", tenant, parse(text)), None, 0.0), parse(text), tenant, []) for text, tenant in wheres
+        (hub.add_watcher(("k", tenant, parse_selector(text)), None, 0.0), parse_selector(text), tenant, [])
+        for text, tenant in wheres
     ]
     for key, change in changes:
         event = (
@@ -188,32 +202,32 @@
         for _, selector, tenant, wanted in watchers:
             kind = event.type_for(selector)
             if kind is not None and tenant in (None, key[0]):
-                wanted.append(watches.line(event, kind, versions.told))
+                wanted.append(watches.event_line(event, kind, versions.format_version))
     for watcher, _, _, wanted in watchers:
-        assert hub.take(watcher, 0.0) == b"".join(wanted)
+        assert hub.take_chunk(watcher, 0.0) == b"".join(wanted)
 
 
 def test_pages_show_one_instant_while_resources_change():
-    versions = Versions("e", {"k": 100})
+    versions = VersionStore("e", {"k": 100})
     for i in range(10):
         versions.put("k", ("t", f"{i:02}"), value(("t", f"{i:02}"), i), {})
-    at = versions.number
-    first, after = versions.page("k", at, (), 4)
+    at = versions.current_version
+    first, after = versions.read_page("k", at, (), 4)
     versions.delete("k", ("t", "05"))
     versions.put("k", ("t", "06"), value(("t", "06"), 99), {})
     versions.put("k", ("t", "04a"), value(("t", "04a"), 1), {})
-    second, rest = versions.page("k", at, (), 99, after)
+    second, rest = versions.read_page("k", at, (), 99, after)
     assert rest is None and [r.value.waiting for r in first + second] == list(range(10))
 
 
 def test_a_page_looks_at_a_bounded_number_of_keys(monkeypatch):
-    monkeypatch.setattr("glencleat.rest.version_store.SCANNED", 5)
-    versions = Versions("e", {"k": 100})
+    monkeypatch.setattr("glencleat.rest.version_store.MAX_SCANNED_KEYS", 5)
+    versions = VersionStore("e", {"k": 100})
     for i in range(12):
         versions.put("k", ("t", f"{i:02}"), value(("t", f"{i:02}"), i), {"x": "1"} if i == 11 else {})
     found, after, pages = [], None, 0
     while True:
-        records, after = versions.page("k", versions.number, parse("x"), 4, after)
+        records, after = versions.read_page("k", versions.current_version, parse_selector("x"), 4, after)
         found, pages = found + records, pages + 1
         if after is None:
             break
@@ -222,48 +236,52 @@
 
 @pytest.mark.parametrize("text", ["", "x", "e-", "-1", "e--1", "e-1x", "e-²", "e-" + "9" * 19, "e-7"])
 def test_a_version_that_was_never_told_is_a_clients_mistake(text):
-    versions = Versions("e", {"k": 10})
+    versions = VersionStore("e", {"k": 10})
     versions.put("k", ("t", "a"), value(("t", "a"), 1), {})
     with pytest.raises(ValueError, match="resourceVersion"):
-        versions.read(text)
+        versions.parse_version(text)
 
 
 def test_another_processs_version_is_gone():
     with pytest.raises(VersionGoneError):
-        Versions("e", {"k": 10}).read("f-3")
+        VersionStore("e", {"k": 10}).parse_version("f-3")
 
 
 def test_a_slow_watcher_is_cut_and_costs_nothing_meanwhile():
-    versions = Versions("e", {"k": 100_000})
-    hub = watches.WatchChannels(watches.WatchLimits(lines=100, stall_ms=1_000.0), versions.told)
-    slow, quick = (hub.join(("k", None, ()), None, 0.0) for _ in range(2))
-    hub.take(slow, 0.0), hub.take(quick, 0.0)
+    versions = VersionStore("e", {"k": 100_000})
+    hub = watches.WatchChannels(
+        watches.WatchLimits(max_lines=100, stall_timeout_ms=1_000.0), versions.format_version
+    )
+    slow, quick = (hub.add_watcher(("k", None, ()), None, 0.0) for _ in range(2))
+    hub.take_chunk(slow, 0.0), hub.take_chunk(quick, 0.0)
     for i in range(300):
         hub.publish(versions.put("k", ("t", "a"), value(("t", "a"), i), {}), 60_000.0)
         if i % 50 == 0:
-            assert hub.take(quick, 60_000.0)
-    assert len(slow.channel.lines) <= 100 and hub.stalled(60_500.0) == []
-    assert hub.take(slow, 60_500.0) == b"" and "no longer kept" in slow.cut
-    while hub.take(quick, 60_500.0):
+            assert hub.take_chunk(quick, 60_000.0)
+    assert len(slow.channel.lines) <= 100 and hub.mark_stalled(60_500.0) == []
+    assert hub.take_chunk(slow, 60_500.0) == b"" and "no longer kept" in slow.close_reason
+    while hub.take_chunk(quick, 60_500.0):
         pass
-    assert quick.cut is None
-    idle = hub.join(("k", None, ()), None, 60_500.0)
-    hub.take(idle, 60_500.0)
+    assert quick.close_reason is None
+    idle = hub.add_watcher(("k", None, ()), None, 60_500.0)
+    hub.take_chunk(idle, 60_500.0)
     hub.publish(versions.put("k", ("t", "a"), value(("t", "a"), -1), {}), 99_000.0)
-    assert hub.stalled(99_500.0) == [], "its time begins with the news, not with when it last took something"
-    assert idle in hub.stalled(100_500.0) and "nothing was read" in idle.cut
+    assert hub.mark_stalled(99_500.0) == [], (
+        "its time begins with the news, not with when it last took something"
+    )
+    assert idle in hub.mark_stalled(100_500.0) and "nothing was read" in idle.close_reason
 
 
 def test_watches_are_bounded_in_all_and_by_tenant():
-    hub = watches.WatchChannels(watches.WatchLimits(watchers=3, each=2), lambda n: "v")
-    joined = [hub.join(("k", "t", ()), None, 0.0) for _ in range(2)]
+    hub = watches.WatchChannels(watches.WatchLimits(max_watchers=3, max_watchers_per_tenant=2), lambda n: "v")
+    joined = [hub.add_watcher(("k", "t", ()), None, 0.0) for _ in range(2)]
     with pytest.raises(watches.WatchLimitError, match="of t are open"):
-        hub.join(("k", "t", ()), None, 0.0)
-    hub.join(("k", "u", ()), None, 0.0)
+        hub.add_watcher(("k", "t", ()), None, 0.0)
+    hub.add_watcher(("k", "u", ()), None, 0.0)
     with pytest.raises(watches.WatchLimitError, match="3 watches"):
-        hub.join(("k", "v", ()), None, 0.0)
-    hub.leave(joined[0]), hub.leave(joined[0])
-    assert hub.count == 2
+        hub.add_watcher(("k", "v", ()), None, 0.0)
+    hub.remove_watcher(joined[0]), hub.remove_watcher(joined[0])
+    assert hub.watcher_count == 2
 
 
 # ---- jobs ----
@@ -279,7 +297,7 @@
         task_class=effect.value, service="svc", tasks=tasks, cores=1.0, memory=1.0, wait_ms=wait, **more
     )
     made = JobState(tenant, name, "u", spec, CLASSES[effect], {}, 0.0)
-    made.slots = [Slot(made, i, wait, JobStep.ASKED, rounds=1) for i in range(tasks)]
+    made.tasks = [JobTask(made, i, wait, JobStep.IN_ROUND, round_count=1) for i in range(tasks)]
     return made
 
 
@@ -292,41 +310,41 @@
 @pytest.mark.parametrize(
     ("effect", "given", "answer", "now", "cancelled", "step"),
     [
-        (S, FinalAnswer.SERVED, DROPPED, 0.0, False, JobStep.PLACED),
-        (S, FinalAnswer.SERVED, DROPPED, 0.0, True, JobStep.PLACED),
-        (S, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
-        (U, FinalAnswer.REFUSED, DROPPED, 0.0, False, JobStep.PAUSED),
-        (S, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
-        (K, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.PAUSED),
-        (U, FinalAnswer.REFUSED, MAYBE, 0.0, False, JobStep.OVER),  # it may have run
-        (S, FinalAnswer.REFUSED, DROPPED, 19_500.0, False, JobStep.OVER),  # no time for another round
-        (S, FinalAnswer.REFUSED, DROPPED, 0.0, True, JobStep.OVER),
+        (S, FinalAnswer.PLACED, DROPPED, 0.0, False, JobStep.PLACED),
+        (S, FinalAnswer.PLACED, DROPPED, 0.0, True, JobStep.PLACED),
+        (S, FinalAnswer.REJECTED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REJECTED, DROPPED, 0.0, False, JobStep.PAUSED),
+        (S, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (K, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.PAUSED),
+        (U, FinalAnswer.REJECTED, MAYBE, 0.0, False, JobStep.TERMINAL),  # it may have run
+        (S, FinalAnswer.REJECTED, DROPPED, 19_500.0, False, JobStep.TERMINAL),  # no time for another round
+        (S, FinalAnswer.REJECTED, DROPPED, 0.0, True, JobStep.TERMINAL),
         (
             S,
-            FinalAnswer.REFUSED,
+            FinalAnswer.REJECTED,
             StatusAnswer(status_mapping.TaskState.ERROR, RetryAdvice.NEVER),
             0.0,
             False,
-            JobStep.OVER,
+            JobStep.TERMINAL,
         ),
-        (U, FinalAnswer.FAILED, LOST, 0.0, False, JobStep.OVER),
-        (S, FinalAnswer.FAILED, DROPPED, 0.0, False, JobStep.OVER),
+        (U, FinalAnswer.FAILED, LOST, 0.0, False, JobStep.TERMINAL),
+        (S, FinalAnswer.FAILED, DROPPED, 0.0, False, JobStep.TERMINAL),
     ],
 )
 def test_what_follows_a_round(effect, given, answer, now, cancelled, step):
-    slot = job(effect).slots[0]
-    slot.cancelled = cancelled
+    slot = job(effect).tasks[0]
+    slot.is_cancelled = cancelled
     then = jobs.after_round(slot, given, answer, now, Random(1))
     assert then.step is step and (then.pause_ms > 0.0) is (step is JobStep.PAUSED)
 
 
 def test_pauses_grow_and_leave_time_for_a_last_round():
-    slot = job(wait=60_000.0).slots[0]
+    slot = job(wait=60_000.0).tasks[0]
     pauses = []
-    for slot.rounds in range(1, 9):
-        pauses.append(jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 0.0, Random(1)).pause_ms)
-    assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.PAUSE_MOST_MS
-    near = jobs.after_round(slot, FinalAnswer.REFUSED, DROPPED, 58_900.0, Random(1))
+    for slot.round_count in range(1, 9):
+        pauses.append(jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 0.0, Random(1)).pause_ms)
+    assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.MAX_RETRY_PAUSE_MS
+    near = jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 58_900.0, Random(1))
     assert near.step is JobStep.PAUSED and near.pause_ms <= 600.0
     assert (
         jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0)
@@ -340,10 +358,10 @@
     [
         (S, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
         (K, "again", status_mapping.TaskState.FAILED, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
-        (U, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
-        (S, "leave", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.OVER),
-        (S, "again", status_mapping.TaskState.FINISHED, RetryAdvice.NEVER, False, JobStep.OVER),
-        (S, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, True, JobStep.OVER),
+        (U, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.TERMINAL),
+        (S, "leave", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, False, JobStep.TERMINAL),
+        (S, "again", status_mapping.TaskState.FINISHED, RetryAdvice.NEVER, False, JobStep.TERMINAL),
+        (S, "again", status_mapping.TaskState.KILLED, RetryAdvice.HARMLESS, True, JobStep.TERMINAL),
         (S, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PAUSED),
         (S, "leave", status_mapping.TaskState.UNREACHABLE, RetryAdvice.HARMLESS, False, JobStep.PLACED),
         (K, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
@@ -351,32 +369,32 @@
     ],
 )
 def test_what_follows_a_placed_tasks_end(effect, lost, state, retry, cancelled, step):
-    slot = job(effect, when_lost=lost).slots[0]
-    slot.cancelled = cancelled
+    slot = job(effect, when_lost=lost).tasks[0]
+    slot.is_cancelled = cancelled
     assert jobs.after_end(slot, StatusAnswer(state, retry)).step is step
 
 
 def test_turns_go_round_the_tenants():
     turns = RoundRobin()
-    for slot in job(tasks=100, tenant="greedy").slots + job(tasks=3, tenant="small").slots:
-        turns.queue(slot)
+    for slot in job(tasks=100, tenant="greedy").tasks + job(tasks=3, tenant="small").tasks:
+        turns.enqueue(slot)
     got = [turns.pop().job.tenant for _ in range(8)]
-    assert Counter(got) == {"greedy": 5, "small": 3} and turns.queued == 95
+    assert Counter(got) == {"greedy": 5, "small": 3} and turns.queued_count == 95
 
 
 def test_a_tenants_returns_have_a_budget_and_others_do_not_wait_for_it():
     turns = RoundRobin(retries_rate=10.0, retries_burst=5.0)
-    for slot in job(tasks=50, tenant="a").slots + job(tasks=2, tenant="b").slots:
+    for slot in job(tasks=50, tenant="a").tasks + job(tasks=2, tenant="b").tasks:
         turns.pause(slot, 100.0)
-    turns.wake(99.0)
-    assert turns.pop() is None and turns.due() == 100.0
-    turns.wake(100.0)
+    turns.enqueue_due(99.0)
+    assert turns.pop() is None and turns.next_due_ms() == 100.0
+    turns.enqueue_due(100.0)
     got = Counter()
     while (slot := turns.pop()) is not None:
         got[slot.job.tenant] += 1
     assert got == {"a": 5, "b": 2}
     for now in range(101, 5_200):
-        turns.wake(float(now))
+        turns.enqueue_due(float(now))
     got = 0
     while turns.pop() is not None:
         got += 1
@@ -384,31 +402,31 @@
 
 
 def test_a_cancelled_task_in_the_queue_is_passed_over():
-    turns, slots = RoundRobin(), job(tasks=2).slots
+    turns, slots = RoundRobin(), job(tasks=2).tasks
     for slot in slots:
-        turns.queue(slot)
-    slots[0].step = JobStep.OVER
-    assert turns.pop() is slots[1] and turns.pop() is None and turns.queued == 0
+        turns.enqueue(slot)
+    slots[0].step = JobStep.TERMINAL
+    assert turns.pop() is slots[1] and turns.pop() is None and turns.queued_count == 0
 
 
 def test_keys_are_never_forgotten_while_they_count():
-    keys, one = Keys(most=2, keep_ms=1_000.0), job()
-    keys.note("t", "k1", 1, one, 0.0)
+    keys, one = IdempotencyKeys(max_keys=2, retention_ms=1_000.0), job()
+    keys.record_key("t", "k1", 1, one, 0.0)
     done = job(name="done")
-    done.slots[0].step = JobStep.OVER
-    keys.note("t", "k2", 2, done, 0.0)
-    assert not keys.room(500.0), "both still count"
-    assert keys.room(1_500.0) and keys.find("t", "k1") == (1, one) and keys.find("t", "k2") is None
+    done.tasks[0].step = JobStep.TERMINAL
+    keys.record_key("t", "k2", 2, done, 0.0)
+    assert not keys.ensure_capacity(500.0), "both still count"
+    assert keys.ensure_capacity(1_500.0) and keys.find("t", "k1") == (1, one) and keys.find("t", "k2") is None
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.floats(0, 500), st.floats(0.1, 20)), max_size=60))
 def test_a_bucket_never_gives_more_than_rate_and_burst(steps):
-    bucket, now, paid = Bucket(10.0, 5.0, 0.0), 0.0, 0.0
+    bucket, now, paid = TokenBucket(10.0, 5.0, 0.0), 0.0, 0.0
     for wait, cost in steps:
         now += wait
-        if bucket.wait(cost, now) == 0.0:
-            bucket.pay(cost)
+        if bucket.wait_ms(cost, now) == 0.0:
+            bucket.consume(cost)
             paid += cost
     assert paid <= 10.0 * now / 1_000.0 + 5.0 + 20.0 + 1e-6
 
@@ -417,16 +435,16 @@
 
 
 def gate(**more):
-    return overload.Gate(overload.OverloadLimits(**more), overload.AdmissionPace())
+    return overload.RequestGate(overload.OverloadLimits(**more), overload.AdmissionPace())
 
 
 @pytest.mark.parametrize(
     ("limits", "asked", "status", "text"),
     [
-        ({"waiting_each": 10}, {"waiting_here": 9}, 429, "9 tasks of t wait, 2 come"),
-        ({"waiting": 10}, {"waiting": 9}, 503, "9 tasks wait"),
-        ({"jobs": 5}, {"jobs": 5}, 503, "5 jobs"),
-        ({"first_round_ms": 100.0}, {"queued": 500}, 503, "first round"),
+        ({"max_waiting_per_tenant": 10}, {"waiting_here": 9}, 429, "9 tasks of t wait, 2 come"),
+        ({"max_waiting": 10}, {"waiting": 9}, 503, "9 tasks wait"),
+        ({"max_jobs": 5}, {"jobs": 5}, 503, "5 jobs"),
+        ({"max_first_round_wait_ms": 100.0}, {"queued": 500}, 503, "first round"),
         ({"tenant_rate": 1.0, "tenant_burst": 1.0}, {"paid": 1.0}, 429, "more than 1 tasks/s"),
     ],
 )
@@ -435,19 +453,19 @@
     paid = asked.pop("paid", 0.0)
     told = {"waiting_here": 0, "waiting": 0, "jobs": 0, "queued": 0} | asked
     if paid:
-        assert made.create("t", 1, now=0.0, **told) is None
-    turned = made.create("t", 2, now=0.0, **told)
-    assert turned.status == status and text in turned.text and turned.retry_ms >= 50.0
-    assert sum(made.counts.values()) == 1
+        assert made.admit_job("t", 1, now=0.0, **told) is None
+    turned = made.admit_job("t", 2, now=0.0, **told)
+    assert turned.status == status and text in turned.text and turned.retry_after_ms >= 50.0
+    assert sum(made.rejections_by_reason.values()) == 1
     if paid:
-        assert made.create("u", 1, now=0.0, **told) is None, "another tenant has its own"
+        assert made.admit_job("u", 1, now=0.0, **told) is None, "another tenant has its own"
 
 
 def test_a_connection_that_ignores_refusals_is_not_read_for_a_while():
-    made = gate(connection_rate=10.0, connection_burst=2.0, ignored=3)
-    bucket = made.connection(0.0)
-    assert [made.request(bucket, 1.0, 0.0) is None for _ in range(3)] == [True, True, False]
-    assert made.request(bucket, 1.0, 101.0) is None
+    made = gate(connection_rate=10.0, connection_burst=2.0, max_ignored_rejections=3)
+    bucket = made.connection_bucket(0.0)
+    assert [made.admit_request(bucket, 1.0, 0.0) is None for _ in range(3)] == [True, True, False]
+    assert made.admit_request(bucket, 1.0, 101.0) is None
     assert (
         made.pause_ms(3, 500.0) == 0.0
         and made.pause_ms(4, 500.0) == 500.0
@@ -456,35 +474,37 @@
 
 
 def test_creations_take_less_of_a_loop_that_runs_late():
-    pace = overload.AdmissionPace(least_ms=1.0, most_ms=8.0, late_ms=10.0)
-    assert pace.begins(100.0, 99.0) == 8.0
-    budgets = [pace.begins(200.0, 100.0) for _ in range(5)]
+    pace = overload.AdmissionPace(min_budget_ms=1.0, max_budget_ms=8.0, max_lateness_ms=10.0)
+    assert pace.begin_turn(100.0, 99.0) == 8.0
+    budgets = [pace.begin_turn(200.0, 100.0) for _ in range(5)]
     assert budgets == [4.0, 2.0, 1.0, 1.0, 1.0]
-    grown = [pace.begins(100.0, 100.0) for _ in range(20)]
+    grown = [pace.begin_turn(100.0, 100.0) for _ in range(20)]
     assert grown == sorted(grown) and grown[-1] == 8.0
 
 
 def test_the_rate_of_rounds_is_learned_only_while_more_wait():
     pace = overload.AdmissionPace()
     for turn in range(400):
-        pace.ends(10.0 * turn, 4 * (turn % 2), left=50)  # nothing could be told in every other turn
-    assert pace.rate == pytest.approx(200.0, rel=0.05) and pace.wait_ms(100) == pytest.approx(500.0, rel=0.05)
-    pace.ends(1_000.0, 1, left=0)
-    rate = pace.rate
-    pace.ends(99_000.0, 1, left=0)
-    assert pace.rate == rate, "an idle front is not a slow one"
+        pace.end_turn(10.0 * turn, 4 * (turn % 2), left=50)  # nothing could be told in every other turn
+    assert pace.rounds_per_s == pytest.approx(200.0, rel=0.05) and pace.estimate_wait_ms(
+        100
+    ) == pytest.approx(500.0, rel=0.05)
+    pace.end_turn(1_000.0, 1, left=0)
+    rate = pace.rounds_per_s
+    pace.end_turn(99_000.0, 1, left=0)
+    assert pace.rounds_per_s == rate, "an idle front is not a slow one"
 
 
 def test_telling_watchers_takes_a_share_of_the_time():
-    fan = overload.Fan(share=0.1, burst_ms=2.0)
+    fan = overload.WakeBudget(share=0.1, burst_ms=2.0)
     woken, now = 0, 1_000.0
     while now < 3_000.0:
-        for _ in range(fan.count(now)):
-            fan.spent(0.05)
+        for _ in range(fan.allowed_count(now)):
+            fan.record_cost(0.05)
             woken += 1
         now += 1.0
     assert woken * 0.05 == pytest.approx(200.0, rel=0.05), "a tenth of two seconds"
-    assert overload.Fan().count(9_000.0) > 50, "few are told at once"
+    assert overload.WakeBudget().allowed_count(9_000.0) > 50, "few are told at once"
 
 
 def test_requests_take_a_share_of_a_busy_loop_and_all_of_an_idle_one():
@@ -492,36 +512,38 @@
         intake, read, now = overload.OverloadIntake(share=0.4, burst_ms=20.0), 0, 0.0
         while now < 1_000.0:
             now += 1.0
-            for _ in range(min(1, intake.count(now, idle_share * now))):
-                intake.spent(0.9)
+            for _ in range(min(1, intake.allowed_count(now, idle_share * now))):
+                intake.record_cost(0.9)
                 read += 1
         assert read * 0.9 == pytest.approx(expected, rel=0.1)
-    assert not intake.crowded(400) and intake.crowded(500), "at 0.9 ms each and a share of 0.4"
+    assert not intake.is_overloaded(400) and intake.is_overloaded(500), "at 0.9 ms each and a share of 0.4"
 
 
 def test_attempts_out_are_bounded_by_how_fast_machines_answer():
     pace = overload.AdmissionPace()
     for _ in range(300):
-        pace.answered(10.0)
-    assert not pace.full(250) and pace.window > 256.0, "it grows while it is used and answers are quick"
+        pace.record_latency(10.0)
+    assert not pace.is_window_full(250) and pace.window > 256.0, (
+        "it grows while it is used and answers are quick"
+    )
     for _ in range(100):
-        pace.answered(500.0)
-        pace.full(250)
-    assert pace.window < 64.0 and pace.full(64)
+        pace.record_latency(500.0)
+        pace.is_window_full(250)
+    assert pace.window < 64.0 and pace.is_window_full(64)
     for _ in range(2_000):
-        pace.full(64)
-    assert pace.window == overload.WINDOW_LEAST
+        pace.is_window_full(64)
+    assert pace.window == overload.MIN_WINDOW
     for _ in range(300):
-        pace.answered(12.0)
-        pace.full(16)
-    assert pace.window > overload.WINDOW_LEAST, "and comes back"
+        pace.record_latency(12.0)
+        pace.is_window_full(16)
+    assert pace.window > overload.MIN_WINDOW, "and comes back"
 
 
 def test_tenants_with_a_rate_of_their_own_are_bounded():
-    made = gate(tenants=10)
+    made = gate(max_tenants=10)
     for i in range(50):
-        made.create(f"t{i}", 1, 0, 0, 0, 0, 0.0)
-    assert len(made.tenants) == 10
+        made.admit_job(f"t{i}", 1, 0, 0, 0, 0, 0.0)
+    assert len(made.buckets_by_tenant) == 10
 
 
 # ---- reasons ----
@@ -544,11 +566,11 @@
 def facts(machines, agents=None, placed=None, silent=None, before=None):
     agents = dict.fromkeys((m.name for m in machines), "subscribed") if agents is None else agents
     known = {m.name: m for m in machines}
-    return reasons.Facts(SETTINGS, known, agents, placed or {}, silent or {}, 100_000.0, before or {})
+    return reasons.ClusterFacts(SETTINGS, known, agents, placed or {}, silent or {}, 100_000.0, before or {})
 
 
 def kinds(made, shape):
-    return {cause.kind: cause for cause in made.common(shape)}
+    return {cause.kind: cause for cause in made.common_causes(shape)}
 
 
 def test_no_machine_that_fits():
@@ -591,9 +613,9 @@
 def test_what_has_not_changed_is_the_same_list():
     shape = ("plain", "svc", 1.0, 1.0)
     first = facts([machine("h1")])
-    causes = first.common(shape)
-    assert facts([machine("h2")], before=first.known).common(shape) is causes
-    assert facts([], before=first.known).common(shape) is not causes
+    causes = first.common_causes(shape)
+    assert facts([machine("h2")], before=first.causes_by_shape).common_causes(shape) is causes
+    assert facts([], before=first.causes_by_shape).common_causes(shape) is not causes
 
 
 def test_what_machines_said_is_told_as_they_said_it_newest_first():
@@ -602,15 +624,15 @@
     record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h2", 2_000.0)
     record.record(api.Outcome.TIMED_OUT, api.OutcomeReason.UNSPECIFIED, "h3", 3_000.0)
     common = [s.Cause(kind="no-room", text="3 machines fit")]
-    told = reasons.why(reasons.PAUSE, record, common, lambda at: at + 5.0)
+    told = reasons.explain_wait(reasons.PAUSE, record, common, lambda at: at + 5.0)
     assert [cause.kind for cause in told.causes] == ["pause", "no-answer", "refused-cores", "no-room"]
     assert told.causes[2] == s.Cause(
         kind="refused-cores", text="refused (cores) 2 times, last by h2", count=2, machine="h2", at_ms=2_005.0
     )
     assert told.summary == "no answer in time once, by h3"
     spread = s.Cause(kind="spread", text="limit")
-    assert reasons.why(None, record, [spread], lambda at: at).summary == "limit"
-    assert [c.kind for c in reasons.why(None, Reasons(), common, lambda at: at).causes] == [
+    assert reasons.explain_wait(None, record, [spread], lambda at: at).summary == "limit"
+    assert [c.kind for c in reasons.explain_wait(None, Reasons(), common, lambda at: at).causes] == [
         "no-room",
         "not-tried",
     ]
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -14,12 +14,12 @@
 from glencleat.scale import compare, report
 from glencleat.scale import run_size as sizes
 from glencleat.scale.allocators import HollowAllocators
-from glencleat.scale.channel import Channels
+from glencleat.scale.channel import ChannelServices
 from glencleat.scale.hosts import HostGroup
 from glencleat.scale.measure import Cost, MeasuredPhase
 from glencleat.scale.message_counters import wire_size
 from glencleat.scale.owners import AnswerCheck
-from glencleat.scale.worker_processes import Parts, StartError
+from glencleat.scale.worker_processes import WorkerProcesses, WorkerStartError
 from tests.support.exchange_world import setup
 from tests.support.socket_world import run_until
 
@@ -75,11 +75,11 @@
 
 def test_what_a_size_needs_grows_with_each_part():
     small = sizes.RunSize([6_300])
-    base = sizes.needs(small, 6_300)
+    base = sizes.compute_needs(small, 6_300)
     for more in ({"real": 4}, {"hollow": 20}, {"sockets": 4_096}):
-        grown = sizes.needs(msgspec.structs.replace(small, **more), 6_300)
+        grown = sizes.compute_needs(msgspec.structs.replace(small, **more), 6_300)
         assert grown.descriptors > base.descriptors and grown.memory_mb > base.memory_mb
-    assert sizes.needs(small, 12_600).ports > base.ports
+    assert sizes.compute_needs(small, 12_600).ports > base.ports
 
 
 def test_a_small_run_measures_every_phase_and_each_request_has_one_answer(tmp_path):
@@ -87,7 +87,7 @@
     child = run(tmp_path, SMALL + "hollow = 1\n" + events, "--name", "small")
     out, err = child.communicate(timeout=90)
     assert child.returncode == 0, err
-    found = report.load(tmp_path / "out" / "small.json")
+    found = report.load_results(tmp_path / "out" / "small.json")
     names = [phase.name for phase in found.phases]
     assert names == [
         "idle",
@@ -102,7 +102,7 @@
     counts = whole.counts
     assert counts["owner asked"] >= 10 and whole.state["open"] == whole.state["faults"] == 0
     answered = sum(counts.get(f"owner {end}", 0) for end in ("placed", "refused", "failed"))
-    assert counts["owner asked"] == answered and report.wrong(counts) == 0
+    assert counts["owner asked"] == answered and report.count_wrong(counts) == 0
     assert counts["host in set-up"] >= counts["owner placed"] == counts["owner in answer"]
     assert found.phases[-1].hollow[2]["host in set-up"] >= 10
     assert all(cost.cpu_s >= 0 and cost.rss_mb > 5 for phase in found.phases for cost in phase.allocators)
@@ -125,7 +125,7 @@
     assert child.returncode == 130 and "*partial*: interrupted" in out
     _, left = psutil.wait_procs(family, timeout=20.0)  # one of multiprocessing's own ends after its parent
     assert not left
-    found = report.load(tmp_path / "out" / "cut.json")
+    found = report.load_results(tmp_path / "out" / "cut.json")
     assert found.partial == "interrupted" and [p.name for p in found.phases] == ["idle", "tasks stand"]
 
 
@@ -140,8 +140,8 @@
 
 
 def test_a_part_for_which_the_system_has_no_room_says_so():
-    with Parts() as parts, pytest.raises(StartError, match="Address already in use"):
-        parts.start(fails_to_start).start()
+    with WorkerProcesses() as parts, pytest.raises(WorkerStartError, match="Address already in use"):
+        parts.start_worker(fails_to_start).start()
 
 
 # ---- what is told ----
@@ -150,23 +150,23 @@
 def test_the_ledger_counts_what_may_not_be():
     ledger = AnswerCheck()
     for task in (1, 2, 3, 4):
-        ledger.asked(task, 0.0)
-    ledger.answered(1, 7.0)
-    ledger.answered(1, 8.0)
-    ledger.answered(9, 8.0)
-    ledger.released(2, m.FULL)
-    ledger.released(2, m.FULL)
-    ledger.released(3, m.RESET)
-    ledger.released(8, m.ENDED)
-    assert ledger.given_up(4) and not ledger.given_up(1)
-    ledger.answered(4, 10.0)
-    ledger.released(4, m.RESET)
-    ledger.released(1, m.RESET)
+        ledger.record_request(task, 0.0)
+    ledger.record_answer(1, 7.0)
+    ledger.record_answer(1, 8.0)
+    ledger.record_answer(9, 8.0)
+    ledger.record_release(2, m.REJECTED)
+    ledger.record_release(2, m.REJECTED)
+    ledger.record_release(3, m.FAILED)
+    ledger.record_release(8, m.ENDED)
+    assert ledger.abandon(4) and not ledger.abandon(1)
+    ledger.record_answer(4, 10.0)
+    ledger.record_release(4, m.FAILED)
+    ledger.record_release(1, m.FAILED)
     told = {"placed": 1, "refused": 1, "failed": 1, "no answer": 1, "lost": 1}
     told |= {"answer after its time": 1, "release after its time": 1}  # of one that is counted already
     faults = {"second answer": 1, "answer to nothing": 1, "second release": 1, "release of nothing": 1}
-    assert ledger.ends == Counter(asked=4, **told, **faults)
-    assert report.wrong({f"owner {name}": count for name, count in ledger.ends.items()}) == 5
+    assert ledger.outcome_counts == Counter(asked=4, **told, **faults)
+    assert report.count_wrong({f"owner {name}": count for name, count in ledger.outcome_counts.items()}) == 5
 
 
 def test_lines_over_the_number_of_hosts_are_found():
@@ -177,7 +177,7 @@
             phases.append(MeasuredPhase("idle", hosts, [idle]))
             event = Cost(1, 10.0, 0.1 + 2e-4 * hosts + 20 * hosts * 1e-6, 0.0, 20.0, 20.0)
             phases.append(MeasuredPhase("list event of one host", hosts, [event], notes={"events": 20.0}))
-    found = {fit.what: fit for fit in report.fits(phases)}
+    found = {fit.what: fit for fit in report.fit_lines(phases)}
     assert found["idle CPU"].low < 2.0 < found["idle CPU"].high and found[
         "idle CPU"
     ].at_none == pytest.approx(1.0, rel=0.1)
@@ -188,7 +188,7 @@
 
 def test_two_runs_are_set_beside_each_other_phase_by_phase():
     one, other = ([MeasuredPhase("idle", 400, [Cost(1, 10.0, cpu, 0.0, 20.0, 20.0)])] for cpu in (2.0, 0.5))
-    lines = compare.beside(
+    lines = compare.compare_runs(
         one, [*other, MeasuredPhase("more", 400, other[0].allocators)], ("before", "after")
     )
     assert "| 400 | idle | CPU, % of a core | 20 | 5 | 0.25 |" in lines and not any(
@@ -199,7 +199,7 @@
 def test_hollow_and_real_agree_within_ten_percent_or_are_said_not_to():
     real = Cost(1, 10.0, 1.0, 0.0, 20.0, 20.0, {"host a": 1_000, "host b": 1_000, "host c": 20, "host d": 0})
     hollow = {2: {"host a": 1_080, "host b": 800, "host c": 40}}
-    said = compare.against(
+    said = compare.compare_hollow(
         [MeasuredPhase("load", 400, [real], hollow), MeasuredPhase("whole run", 400, [real], hollow)]
     )
     assert [line.split(" | ")[-1].strip(" |") for line in said[2:]] == [
@@ -235,7 +235,7 @@
             self.ended = "reset"
 
     def kinds(self):
-        return [(message.kind, message.task) for message in self.got]
+        return [(message.kind, message.task_id) for message in self.got]
 
 
 class Rig:
@@ -258,7 +258,7 @@
         for part in self.parts:
             part.close()
         for _ in range(5):
-            self.loop.round(wait=False)  # tasks whose connections were closed end
+            self.loop.run_once(may_wait=False)  # tasks whose connections were closed end
 
     def until(self, done):
         run_until(self.loop, done, 5_000.0, lambda: self.group.counts())
@@ -282,13 +282,13 @@
     peer = world.peer()
     peer.stream.send(setup(7))
     world.until(lambda: (m.RELEASE, 7) in peer.kinds())
-    assert peer.kinds() == [(m.ANSWER, 7), (m.NOTE, 7), (m.RELEASE, 7)]
+    assert peer.kinds() == [(m.ANSWER, 7), (m.OBSERVATION, 7), (m.RELEASE, 7)]
     assert peer.got[0].parameters[m.DESCRIPTION] and peer.got[2].cause == m.ENDED
     other, again = world.peer(number=4), world.peer()
     world.until(lambda: again.got)
     assert again.kinds() == [(m.RELEASE, 7)] and not other.got  # its own allocator's alone
-    again.stream.send(m.encode(m.RELEASE_HEARD, 7))
-    world.until(lambda: not world.host.owed)
+    again.stream.send(m.encode(m.RELEASE_COMPLETE, 7))
+    world.until(lambda: not world.host.unacknowledged_releases)
     counts = world.group.counts()
     assert counts["3 connections"] == 2 and counts["4 connections"] == 1 and counts["3 ended"] == 1
     assert peer.sizes + again.sizes == sum(
@@ -301,15 +301,15 @@
     world = rig({**LONG, "decide_ms": 40.0})
     peer = world.peer()
     peer.stream.send(setup(1))
-    world.until(lambda: world.host.held)
+    world.until(lambda: world.host.tasks_by_id)
     peer.stream.close()
-    world.until(lambda: not world.host.held)
+    world.until(lambda: not world.host.tasks_by_id)
     peer = world.peer()
     peer.stream.send(setup(2))
     world.until(lambda: peer.got)
     peer.stream.close()
-    world.until(lambda: world.host.held[2].link is None)
-    assert world.group.standing(3) == {"tasks": 1, "hosts with tasks": 1, "links": 0}
+    world.until(lambda: world.host.tasks_by_id[2].link is None)
+    assert world.group.count_held(3) == {"tasks": 1, "hosts with tasks": 1, "links": 0}
 
 
 def test_a_task_is_cut_or_given_up_by_a_release_and_a_test_is_passed(rig):
@@ -317,10 +317,10 @@
     peer = world.peer()
     peer.stream.send(setup(1))
     world.until(lambda: len(peer.got) == 2)
-    peer.stream.send(m.caused(m.RELEASE, 1, m.ENDED) + m.caused(m.TEST, 9, 1))
+    peer.stream.send(m.encode_with_cause(m.RELEASE, 1, m.ENDED) + m.encode_with_cause(m.PROBE, 9, 1))
     world.until(lambda: len(peer.got) == 4)
-    assert peer.kinds()[2:] == [(m.RELEASE_HEARD, 1), (m.TESTED, 9)] and peer.got[3].cause == 1
-    assert not world.host.held
+    assert peer.kinds()[2:] == [(m.RELEASE_COMPLETE, 1), (m.PROBE_ANSWER, 9)] and peer.got[3].cause == 1
+    assert not world.host.tasks_by_id
 
 
 def test_a_silent_host_takes_and_says_nothing_and_comes_back_anew(rig):
@@ -328,12 +328,12 @@
     peer = world.peer()
     peer.stream.send(setup(1))
     world.until(lambda: len(peer.got) == 2)
-    world.group.lose(["h0"], True)
+    world.group.fail_hosts(["h0"], True)
     late = world.peer(up=False)
-    assert late.ended not in ("closed", "reset", None) and peer.ended is None and not world.host.held
+    assert late.ended not in ("closed", "reset", None) and peer.ended is None and not world.host.tasks_by_id
     assert world.group.counts()["3 fell"] == 1
-    peer.stream.send(m.caused(m.TEST, 9, 0))
-    world.group.restore(["h0"])
+    peer.stream.send(m.encode_with_cause(m.PROBE, 9, 0))
+    world.group.restore_hosts(["h0"])
     world.until(lambda: peer.ended)
     assert len(peer.got) == 2
     fresh = world.peer()
@@ -349,13 +349,13 @@
     world.host.drain()
     assert world.peer(up=False).ended not in ("closed", "reset")
     world.until(lambda: (m.RELEASE, 1) in peer.kinds())
-    world.host.vanish()
+    world.host.crash()
     world.until(lambda: peer.ended)
 
 
 def test_sizes_are_those_on_the_wire():
     decoder = m.MessageDecoder()
-    decoder.feed(setup(7) + m.caused(m.RELEASE, 7, 16))
+    decoder.feed(setup(7) + m.encode_with_cause(m.RELEASE, 7, 16))
     assert [wire_size(message) for message in decoder.messages()] == [len(setup(7)), 15]
 
 
@@ -365,17 +365,19 @@
 def test_a_hollow_allocator_sends_and_says_what_it_heard(rig):
     """At hosts as a real one: all that it sent has come, all that ended was heard."""
     world = rig({**SHAPE, "life_s": 0.3}, ("h0", "h1"))
-    ports = list(world.group.begun().items())
-    channels = world.add(Channels(world.loop, [3], [(name, port, "a") for name, port in ports]))
-    hollow = world.add(HollowAllocators(world.loop, [3], channels.begun()[3], ports, 1, (1_024, 1), 0.5))
-    hollow.ask_at(20.0)
+    ports = list(world.group.startup_info().items())
+    channels = world.add(ChannelServices(world.loop, [3], [(name, port, "a") for name, port in ports]))
+    hollow = world.add(
+        HollowAllocators(world.loop, [3], channels.startup_info()[3], ports, 1, (1_024, 1), 0.5)
+    )
+    hollow.set_request_rate(20.0)
     world.until(lambda: hollow.counts().get("3 placed", 0) >= 10)
-    hollow.ask_at(0.0)
+    hollow.set_request_rate(0.0)
     every = world.group.hosts.values()
     world.until(
         lambda: (
-            not any(host.held or host.owed for host in every)
-            and not any(c.tasks for c in hollow.all[3].contacts.values())
+            not any(host.tasks_by_id or host.unacknowledged_releases for host in every)
+            and not any(c.tasks for c in hollow.allocators_by_number[3].hosts_by_name.values())
         )
     )
     counts, seen = hollow.counts(), world.group.counts()
@@ -389,27 +391,29 @@
 def test_a_hollow_allocator_keeps_within_its_descriptors(rig):
     names = [f"h{i}" for i in range(30)]
     world = rig({**LONG, "decide_ms": 1.0}, names)
-    ports = list(world.group.begun().items())
-    channels = world.add(Channels(world.loop, [3], [(name, port, "a") for name, port in ports]))
-    hollow = world.add(HollowAllocators(world.loop, [3], channels.begun()[3], ports, 1, (36 + 10, 1), 0.0))
+    ports = list(world.group.startup_info().items())
+    channels = world.add(ChannelServices(world.loop, [3], [(name, port, "a") for name, port in ports]))
+    hollow = world.add(
+        HollowAllocators(world.loop, [3], channels.startup_info()[3], ports, 1, (36 + 10, 1), 0.0)
+    )
     tasks = [(100 + i, name) for i, name in enumerate(names)]
-    world.group.hold([(task, name, 3) for task, name in tasks])
-    hollow.hand_over(3, tasks)
+    world.group.adopt_tasks([(task, name, 3) for task, name in tasks])
+    hollow.adopt_tasks(3, tasks)
     world.until(lambda: world.group.counts().get("3 connections", 0) >= 30)
-    assert len(hollow.all[3].filed) <= 10
+    assert len(hollow.allocators_by_number[3].links_by_last_use) <= 10
 
 
 def test_each_allocator_is_told_addresses_of_its_own():
     loop = Loop()
-    channels = Channels(loop, [1, 2], [("h0", 4_000, "a"), ("h1", 4_001, "b")])
-    first, second = (channels.known(k)["cmds"][0]["nodes"]["instances"] for k in (1, 2))
+    channels = ChannelServices(loop, [1, 2], [("h0", 4_000, "a"), ("h1", 4_001, "b")])
+    first, second = (channels.take_snapshot(k)["cmds"][0]["nodes"]["instances"] for k in (1, 2))
     assert [told["hostPort"] for told in first] == ["127.0.1.1:4000", "127.0.1.1:4001"]
     assert [told["hostPort"] for told in second] == ["127.0.2.1:4000", "127.0.2.1:4001"]
-    channels.change_in(0.0, ["h1"], "DELETED")
-    run_until(loop, lambda: channels.known(1)["cursor"] == 2, 1_000.0, lambda: "not told")
-    channels.whole()
-    last = channels.known(2)["cmds"][-1]["nodes"]
+    channels.schedule_change(0.0, ["h1"], "DELETED")
+    run_until(loop, lambda: channels.take_snapshot(1)["cursor"] == 2, 1_000.0, lambda: "not told")
+    channels.publish_full_list()
+    last = channels.take_snapshot(2)["cmds"][-1]["nodes"]
     assert last["reset"] and [told["instanceId"] for told in last["instances"]] == ["h0"]
     channels.close()
     for _ in range(5):
-        loop.round(wait=False)
+        loop.run_once(may_wait=False)
--- a/tests/scale/test_scale_shape.py
+++ b/tests/scale/test_scale_shape.py
@@ -11,9 +11,9 @@
 import pytest
 
 from glencleat.emulators.allocator_processes import SETTINGS
-from glencleat.emulators.channel import entry
+from glencleat.emulators.channel import make_list_entry
 from glencleat.platform_protocol import messages as m
-from glencleat.platform_server.process import PlatformProcess, load
+from glencleat.platform_server.process import PlatformProcess, load_process_config
 from glencleat.scale.hosts import listen_on_loopback
 from tests.support.exchange_world import setup
 from tests.support.virtual_time import leaping_loop
@@ -52,7 +52,7 @@
         self.sock = listen_on_loopback()
         port = self.sock.getsockname()[1]
         self.entries = [
-            {**entry(f"h{i}", port), "hostPort": f"127.{1 + i // 250}.{1 + i % 250}.1:{port}"}
+            {**make_list_entry(f"h{i}", port), "hostPort": f"127.{1 + i // 250}.{1 + i % 250}.1:{port}"}
             for i in range(hosts)
         ]
         nodes = {"generation": 1, "reset": True, "instances": self.entries}
@@ -66,8 +66,10 @@
         path.write_text(json.dumps(config))
         self.loop = leaping_loop()
         self.clock = self.loop.clock
-        self.process = PlatformProcess(load(str(path)), self.loop, lambda text: None, str(path))
-        self.place, self.client = self.process.owners.listen(("127.0.0.1", 0)), None
+        self.process = PlatformProcess(
+            load_process_config(str(path)), self.loop, lambda text: None, str(path)
+        )
+        self.place, self.client = self.process.client_connections.listen(("127.0.0.1", 0)), None
         self.last = self.asked = 0
         self.run(300.0)
         for i in range(standing):
@@ -78,7 +80,7 @@
         end = self.clock.at + ms
         self.loop.call_in(ms, lambda: None)
         while self.clock.at < end:
-            self.loop.round()
+            self.loop.run_once()
 
     def ask(self, extras="cores:0.1;memory:0.1;service:s"):
         """A request comes, is placed, and a connection for it is begun."""
@@ -86,8 +88,8 @@
         self.asked += 1
         self.client.send(setup(self.asked, extras=extras))
         for _ in range(20):
-            self.loop.round()
-            if self.process.exchange.taken == self.asked:
+            self.loop.run_once()
+            if self.process.exchange.call_count == self.asked:
                 return
         raise AssertionError("it was not taken")
 
@@ -97,16 +99,16 @@
         nodes = {"generation": 1, "reset": whole, "instances": list(entries)}
         line = json.dumps({"cursor": 1 + self.last, "nodes": nodes}).encode() + b"\n"
         for news in self.process.channel.feed(line, self.clock.at):
-            self.process.list_told(news)
+            self.process.apply_list_change(news)
 
     def changed(self, i, **more):
         return {**self.entries[i], "free": [8.0 + i % 4, 16.0], **more}
 
     def close(self):
-        for host in list(self.process.hosts.hosts_by_name.values()):
+        for host in list(self.process.connection_pool.hosts_by_name.values()):
             for link in list(host.connections):
                 link.abort("the end")
-        self.process.owners.close()
+        self.process.client_connections.stop_listening()
         if self.client is not None:
             self.client.close()
         self.sock.close()
@@ -117,8 +119,8 @@
     """Indexes that are checked against all there is, as in the other tests, cost all there is."""
     for name, module in list(sys.modules.items()):
         for found in vars(module).values() if name.startswith("glencleat.index") else ():
-            if isinstance(found, type) and "checked" in vars(found):
-                monkeypatch.setattr(found, "checked", False)
+            if isinstance(found, type) and "is_self_checking" in vars(found):
+                monkeypatch.setattr(found, "is_self_checking", False)
 
 
 @pytest.fixture
@@ -155,10 +157,10 @@
     with Work() as none:
         sum(i for i in range(1_000))
     with Work() as some:
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
     with Work() as twice:
-        m.encode(m.TEST, 1)
-        m.encode(m.TEST, 1)
+        m.encode(m.PROBE, 1)
+        m.encode(m.PROBE, 1)
     assert none.count == 0 < some.count and twice.count == 2 * some.count
 
 
--- a/tests/servers/test_rest_api.py
+++ b/tests/servers/test_rest_api.py
@@ -89,7 +89,7 @@
     day = world()
     told = raw(day, post("a")[:-30], close=True)
     assert told.startswith(b"HTTP/1.1 400") and b"application/problem+json" in told
-    assert b'"items":[]' in raw(day, LAST) and not day.daemon.plane.jobs
+    assert b'"items":[]' in raw(day, LAST) and not day.daemon.rest_service.jobs_by_name
 
 
 def test_pipelined_requests_are_answered_in_order(world):
@@ -123,7 +123,7 @@
     hidden = post("hidden").decode()
     told = raw(day, f"POST /v1/tenants/t/jobs HTTP/1.1\r\nhost: x\r\n{head}\r\nabc{hidden}".encode())
     assert told.startswith((b"HTTP/1.1 400", b"HTTP/1.1 501")) and told.count(b"HTTP/1.1") == 1
-    assert not day.daemon.plane.jobs
+    assert not day.daemon.rest_service.jobs_by_name
 
 
 def test_a_folded_header_is_one_header_and_no_request(world):
@@ -159,26 +159,31 @@
 def test_a_watch_that_cannot_begin_leaves_nothing_behind(world):
     day = world()
     told = raw(day, b"GET /v1/jobs?watch=1 HTTP/1.0\r\n\r\n")
-    assert told.startswith(b"HTTP/1.1 505") and day.daemon.plane.channels.count == 0
+    assert told.startswith(b"HTTP/1.1 505") and day.daemon.rest_service.channels.watcher_count == 0
 
 
 def test_a_watcher_that_hangs_up_is_forgotten_at_once(world):
     day = world()
     with socket.create_connection(day.bound["rest"]) as sock:
         sock.sendall(request("GET", "/v1/jobs?watch=1"))
-        day.until(lambda: day.daemon.plane.channels.count == 1 and day.daemon.plane.channels.channels)
-    day.until(lambda: day.daemon.plane.channels.count == 0, 1_000.0)
-    assert not day.daemon.rest.watchers
+        day.until(
+            lambda: (
+                day.daemon.rest_service.channels.watcher_count == 1
+                and day.daemon.rest_service.channels.channels_by_key
+            )
+        )
+    day.until(lambda: day.daemon.rest_service.channels.watcher_count == 0, 1_000.0)
+    assert not day.daemon.rest_api.sinks_by_watcher
 
 
 def test_many_readers_with_much_to_read_take_turns(world):
     """Each begins with 3,000 resources; none has the loop for itself, and all get all, once."""
     day = world("rest first-round 10m\n")
-    plane = day.daemon.plane
+    plane = day.daemon.rest_service
     plane._pump_soon = lambda *_: None
     for i in range(6):
         raw(day, post(f"b{i}", f"t{i}", tasks=500), until=b"}")
-    day.until(lambda: plane.versions.kinds["tasks"].live == 3_000)
+    day.until(lambda: plane.versions.stores_by_kind["tasks"].live_count == 3_000)
 
     def read():
         socks = [socket.create_connection(day.bound["rest"], timeout=10) for _ in range(8)]
@@ -192,17 +197,17 @@
         return [set(re.findall(rb'"name":"(b[0-9.]+)"', data)) for data in got]
 
     assert [len(names) for names in beside(day, read)] == [3_000] * 8
-    day.until(lambda: plane.channels.count == 0)
+    day.until(lambda: plane.channels.watcher_count == 0)
 
 
 def test_a_watcher_that_stops_reading_in_a_burst_is_cut_off_and_nobody_waits_for_it(world):
     """10,000 events; another watcher gets them all, and tasks are placed meanwhile."""
     day = world("rest watch-stall 500ms first-round 10m\n")
-    plane = day.daemon.plane
+    plane = day.daemon.rest_service
     stuck = socket.create_connection(day.bound["rest"])
     stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     stuck.sendall(request("GET", "/v1/tasks?watch=1"))
-    day.until(lambda: plane.channels.count == 1)
+    day.until(lambda: plane.channels.watcher_count == 1)
     names, reading = [], []
 
     def read():
@@ -216,17 +221,17 @@
 
     thread = threading.Thread(target=read)
     thread.start()
-    day.until(lambda: plane.channels.count == 2)
+    day.until(lambda: plane.channels.watcher_count == 2)
     owner = day.owner()
     plane._pump_soon = lambda *_: None  # a burst of events and not of placements
     for i in range(20):
         told = raw(day, post(f"b{i}", f"t{i}", tasks=500), until=b"}")
         assert told.startswith(b"HTTP/1.1 201")
-    owner.ask(day.job("quick", life=100.0))
+    owner.request_task(day.job("quick", life=100.0))
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "quick"))
     day.until(lambda: not thread.is_alive(), 20_000.0)
     assert len(set(names)) == 10_000
-    day.until(lambda: plane.channels.count == 0, 20_000.0)
+    day.until(lambda: plane.channels.watcher_count == 0, 20_000.0)
     assert any(event == "watch cut off" and "too slow" in more["why"] for event, more in day.log.lines)
     stuck.close()  # reading all that lies in the sockets would take a small window minutes
 
@@ -249,20 +254,22 @@
     day = world()
     owner = RestOwner(day.loop, day.recorder, "r", "tenant", "a0", day.bound["rest"], 3)
     day.owners.append(owner)
-    day.until(lambda: owner.live)
+    day.until(lambda: owner.has_subscribed)
     for i in range(12):
-        owner.ask(day.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe"))))
+        owner.request_task(
+            day.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe")))
+        )
         if i == 5:
-            owner.cut()
-            owner.requests.drop()
-    day.until(lambda: not owner.jobs, 15_000.0)
+            owner.disconnect()
+            owner.request_queue.disconnect()
+    day.until(lambda: not owner.jobs_by_id, 15_000.0)
     for i in range(12):
         states = [
             e.state for e in day.recorder.entries if e.kind == "answer" and e.task == f"rest:tenant/t{i}.0"
         ]
         assert states[-1] == "TASK_FINISHED"
     assert sum(e.kind == "started" for e in day.recorder.entries) == 12
-    assert day.broken() == [] and day.core.figures.mismatch() == {}
+    assert day.broken() == [] and day.core.counters.find_mismatches() == {}
 
 
 def test_a_task_placed_and_over_between_two_looks_was_answered(world):
@@ -270,8 +277,8 @@
     day = world()
     owner = RestOwner(day.loop, day.recorder, "r", "tenant", "a0", day.bound["rest"], 3)
     day.owners.append(owner)
-    day.until(lambda: owner.live)
-    owner.jobs["t1"] = job = day.job("t1")
+    day.until(lambda: owner.has_subscribed)
+    owner.jobs_by_id["t1"] = job = day.job("t1")
     job.state = "asked"
     told = {
         "job": "t1",
@@ -283,7 +290,7 @@
     owner._task(told)
     owner._task(told)
     answers = [e.state for e in day.recorder.entries if e.kind == "answer" and e.task == "rest:tenant/t1.0"]
-    assert answers == ["TASK_RUNNING", "TASK_FINISHED"] and job.end == "placed"
+    assert answers == ["TASK_RUNNING", "TASK_FINISHED"] and job.outcome == "placed"
 
 
 def test_the_same_unsafe_work_by_both_fronts_starts_once(world):
@@ -292,12 +299,12 @@
     mesos = day.owner("o")  # of the role "tenant"
     rest = RestOwner(day.loop, day.recorder, "r", "tenant", "a0", day.bound["rest"], 3)
     day.owners.append(rest)
-    day.until(lambda: rest.live)
+    day.until(lambda: rest.has_subscribed)
     for i in range(10):
         for owner in (mesos, rest) if i % 2 else (rest, mesos):
             job = day.job(f"w{i}" if owner is rest else f"w{i}.0", "store-compact", "unsafe")
-            owner.ask(job)  # the key of a Mesos ask is its id, that of a REST job's task is KEY.0
-    day.until(lambda: not mesos.jobs and not rest.jobs, 15_000.0)
+            owner.request_task(job)  # the key of a Mesos ask is its id, that of a REST job's task is KEY.0
+    day.until(lambda: not mesos.jobs_by_id and not rest.jobs_by_id, 15_000.0)
     answers = [e for e in day.recorder.entries if e.kind == "answer"]
     assert sum(e.kind == "started" for e in day.recorder.entries) == 10
     assert sum(e.state == "TASK_FINISHED" for e in answers) == 10
@@ -309,11 +316,11 @@
     day = world()
     owner = RestOwner(day.loop, day.recorder, "r", "tenant", "a0", day.bound["rest"], 3)
     day.owners.append(owner)
-    day.until(lambda: owner.live)
+    day.until(lambda: owner.has_subscribed)
 
     def set_full(on):
         for host in day.hosts:
-            host.machine.faults.false_full = on
+            host.machine.faults.is_falsely_full = on
 
     def last_said():
         """Task -> host, cause and time of the last refusal that was written."""
@@ -328,21 +335,21 @@
     set_full(True)
     for i in range(8):
         job = day.job(f"t{i}", life=100.0)
-        owner.wait_ms[job.id] = 30_000.0
-        owner.ask(job)
+        owner.timeout_ms_by_job[job.id] = 30_000.0
+        owner.request_task(job)
     end, compared = day.loop.now() + 4_000.0, 0
     while day.loop.now() < end:
         pause = day.loop.now() + 200.0
         day.until(lambda pause=pause: day.loop.now() > pause)
         for name, (host, cause, at) in last_said().items():
-            reason = owner.reasons[name.split("/")[1].removesuffix(".0")]
+            reason = owner.reason_by_job[name.split("/")[1].removesuffix(".0")]
             causes = [c for c in reason["causes"] if c["kind"] == f"refused-{cause}" and c["machine"] == host]
             if day.loop.now() - at > 2_000.0 or causes:
                 assert causes, (name, host, cause, reason)
                 compared += 1
     assert compared > 30 and len(last_said()) == 8
     set_full(False)
-    day.until(lambda: not owner.jobs, 20_000.0)
+    day.until(lambda: not owner.jobs_by_id, 20_000.0)
     ends = [e.state for e in day.recorder.entries if e.kind == "answer"]
     assert ends.count("TASK_FINISHED") == 8 and "TASK_DROPPED" not in ends and day.broken() == []
 
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -45,8 +45,8 @@
         while (due := self.timers.next_due()) is not None and due <= until:
             self.at = max(self.at, due)
             for timer in self.timers.pop_due(self.at):
-                if timer.call is not None:
-                    timer.call()
+                if timer.callback is not None:
+                    timer.callback()
         self.at = until
 
 
@@ -78,7 +78,7 @@
                 self.sent = self.queued
         return begin, begin + len(record)
 
-    def written(self):
+    def written_bytes(self):
         return self.sent
 
     def close(self, why):
@@ -111,7 +111,7 @@
         call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=told)
         link = Link(m.ExecutorEvent)
         self.link = link
-        agents = self.cluster.core.agents
+        agents = self.cluster.core.agent_sessions
         name = agents.subscribe(call, link)
         link.ended = lambda why: agents.close_session(name, link, why)
         return self
@@ -133,10 +133,10 @@
         self.tell(self.status(task, state, reason, cause))
 
     def tell(self, status):
-        self.cluster.core.agents.handle_update(self.id, status)
+        self.cluster.core.agent_sessions.handle_update(self.id, status)
 
     def beat(self):
-        self.cluster.core.agents.record_heartbeat(self.id)
+        self.cluster.core.agent_sessions.record_heartbeat(self.id)
 
 
 class Owner:
@@ -153,7 +153,7 @@
         info = m.FrameworkInfo("u", self.name, m.Value(self.name), "tenant", failover_timeout=self.failover_s)
         link = Link(m.SchedulerEvent)
         self.link = link
-        owners = self.cluster.core.owners
+        owners = self.cluster.core.framework_sessions
         framework = owners.subscribe(info, f"stream-{self.name}", link)
         self.framework = framework
         link.ended = lambda why: owners.close_session(framework, link, why)
@@ -162,10 +162,10 @@
     def launch(self, task, cls="safe", cores=1.0, memory=100.0, left=8000.0, **more):
         labels = {"class": cls, "service": "svc", "time_left_ms": str(left), **more}
         told = m.Labels([m.Label(key, value) for key, value in labels.items()])
-        info = m.TaskInfo(task, m.Value(task), resources=m.resources(cores, memory), labels=told)
+        info = m.TaskInfo(task, m.Value(task), resources=m.make_resources(cores, memory), labels=told)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
-        self.cluster.core.owners.accept(self.framework, m.Accept([offer], [operation]))
+        self.cluster.core.framework_sessions.accept(self.framework, m.Accept([offer], [operation]))
 
     def statuses(self, task=None):
         found = [event.update.status for event in self.link.of("UPDATE")]
@@ -175,7 +175,7 @@
         return [status.state for status in self.statuses(task)]
 
     def reconcile(self, task):
-        self.cluster.core.owners.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
+        self.cluster.core.framework_sessions.reconcile(self.framework, [m.ReconcileTask(m.Value(task))])
         return self.statuses(task)[-1]
 
 
@@ -195,17 +195,17 @@
             max_attempts=4,
             drain_grace_ms=1000.0,
         )
-        options = Options(**({"heartbeat_ms": 1000.0, "return_ms": 4000.0} | options))
+        options = Options(**({"heartbeat_ms": 1000.0, "reregistration_timeout_ms": 4000.0} | options))
         module = module or Scheduler(settings, seed=1)
         self.core = Core(settings, module, options, self.timing, seed)
         names = [f"h{i}" for i in range(machines)]
         self.agents = {name: Agent(self, name).subscribe() for name in names}
         self.list(names)
-        self.timing.advance(self.core.options.grace_ms if not machines else 0.0)
+        self.timing.advance(self.core.options.startup_grace_ms if not machines else 0.0)
 
     def list(self, names, kind=api.ListUpdateKind.SNAPSHOT, phase=api.MachinePhase.SERVING):
         told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
-        self.core.list_told(api.MachineListUpdated(kind, told))
+        self.core.update_machine_list(api.MachineListUpdated(kind, told))
 
     def offered(self):
         """The agent and task of every LAUNCH so far, in the order of their calls."""
@@ -216,5 +216,7 @@
 
     def check(self):
         """What must hold at any instant."""
-        assert self.core.figures.mismatch() == {}
-        assert self.core.ledger.open == sum(c.given is None for c in self.core.ledger.calls.values())
+        assert self.core.counters.find_mismatches() == {}
+        assert self.core.call_table.open_task_count == sum(
+            c.final_answer is None for c in self.core.call_table.active_calls_by_number.values()
+        )
--- a/tests/support/daemon_world.py
+++ b/tests/support/daemon_world.py
@@ -6,8 +6,8 @@
 from glencleat.daemon import Daemon
 from glencleat.emulators.directory import Directory, DirectoryEntry
 from glencleat.emulators.hosts import EmulatedHost
-from glencleat.emulators.machine import Nature
-from glencleat.emulators.owners import EmulatedOwner, OwnerJob, Want
+from glencleat.emulators.machine import MachineProfile
+from glencleat.emulators.owners import EmulatedOwner, OwnerJob, TaskTemplate
 from glencleat.event_loop import Loop
 from glencleat.flow_control.backoff import BackoffPolicy
 
@@ -46,7 +46,7 @@
     def __init__(self, folder, hosts=3, conf="", nature=None, down=False):
         self.loop, self.log = Loop(), Quiet()
         self.recorder = TraceRecorder(self.loop.now)
-        nature = nature or Nature(decide_ms=1.0, start_ms=2.0, warm_ms=1.0)
+        nature = nature or MachineProfile(decide_ms=1.0, start_ms=2.0, warm_up_ms=1.0)
         self.hosts = [
             EmulatedHost(
                 self.loop, self.recorder, f"h{i}", "std", (32.0, 65_536.0), f"hall-{'abc'[i % 3]}", i, nature, i + 1,
@@ -55,19 +55,19 @@
             for i in range(hosts)
         ]  # fmt: skip
         self.directory = Directory(self.loop, self.recorder, self.entries, 1.0, 20.0)
-        self.directory.failing = down
+        self.directory.is_failing = down
         address = self.directory.listen("a0")
         path = folder / "a0.conf"
         path.write_text(CONF + f"directory {address[0]}:{address[1]}\n" + conf)
-        self.daemon = Daemon(load(path), self.log, path, self.loop, seed=5, pace=PACE)
+        self.daemon = Daemon(load(path), self.log, path, self.loop, seed=5, backoff_policy=PACE)
         self.bound = {name: self.parse(text) for name, text in self.daemon.start().items()}
         self.owners = []
         for host in self.hosts:
-            host.allocators = {"a0": self.bound["agents"]}
+            host.allocator_addresses = {"a0": self.bound["agents"]}
             host.start(cold=False)
         self.directory.start()
         self.core = self.daemon.core
-        self.until(lambda: self.core.opening.done or not self.hosts)
+        self.until(lambda: self.core.startup_gate.is_open or not self.hosts)
 
     @staticmethod
     def parse(text):
@@ -76,8 +76,8 @@
 
     def entries(self):
         return [
-            DirectoryEntry(h.name, "std", h.zone, h.cell, 32.0, 65_536.0, h.machine.faults.draining, h.up_wall, h.machine.asked())
-            for h in self.hosts if h.up
+            DirectoryEntry(h.name, "std", h.zone, h.cell, 32.0, 65_536.0, h.machine.faults.is_draining, h.started_wall_ms, h.machine.allocated())
+            for h in self.hosts if h.is_up
         ]  # fmt: skip
 
     def until(self, condition, ms=5_000.0):
@@ -91,7 +91,7 @@
         tick()
         while not condition():
             assert self.loop.now() < end, "it did not come about"
-            self.loop.round()
+            self.loop.run_once()
         ticking[0].cancel()
 
     def owner(self, name="o"):
@@ -99,15 +99,15 @@
             self.loop, self.recorder, name, "tenant", "a0", self.bound["owners"], len(self.owners) + 1
         )
         self.owners.append(owner)
-        self.until(lambda: owner.offer is not None)
+        self.until(lambda: owner.offer_id is not None)
         return owner
 
     def job(self, name, cls="pull-front", effect="safe", life=100.0, **more):
-        want = Want(cls, effect, 8_000.0, ((1.0, 100.0),), (life, life))
+        want = TaskTemplate(cls, effect, 8_000.0, ((1.0, 100.0),), (life, life))
         return OwnerJob(name, want, "svc", 1.0, 100.0, life)
 
     def states(self, owner, name):
-        task = f"{owner.framework}/{name}"
+        task = f"{owner.framework_id}/{name}"
         return [e.state for e in self.recorder.entries if e.kind == "answer" and e.task == task]
 
     def broken(self):
@@ -118,11 +118,11 @@
 
     def close(self):
         for owner in self.owners:
-            owner.end()
+            owner.close()
         for host in self.hosts:
             host.stop("the end")
         for server in self.daemon.servers.values():
             server.close()
-            for stream in list(server.listener.open):
+            for stream in list(server.listener.open_streams):
                 stream.close("the end")
         self.directory.close()
--- a/tests/support/exchange_world.py
+++ b/tests/support/exchange_world.py
@@ -34,7 +34,7 @@
 ):
     """A set-up's parameters as an owner sends them; None leaves one out."""
     found = {
-        m.CLASS: cls, m.WAIT: wait, m.NAME: name, m.EXTRAS: extras, m.DESCRIPTION: desc,
+        m.CLASS: cls, m.TIMEOUT: wait, m.NAME: name, m.EXTRAS: extras, m.DESCRIPTION: desc,
         m.KEY: key or ("k" if cls == "keyed" else None), **more,
     }  # fmt: skip
     raw = {code: v if isinstance(v, bytes) else str(v).encode() for code, v in found.items() if v is not None}
@@ -45,16 +45,16 @@
     decoder = m.MessageDecoder()
     decoder.feed(data)
     found = list(decoder.messages())
-    assert not decoder.partial
+    assert not decoder.has_partial_message
     return found
 
 
 class Owner:
     def __init__(self):
-        self.open, self.got, self.closed = set(), [], False
+        self.open_task_ids, self.got, self.closed = set(), [], False
 
     def said(self):
-        return [(x.kind, x.task, x.parameters.get(m.CAUSE, b"\0")[0]) for x in self.got]
+        return [(x.kind, x.task_id, x.parameters.get(m.CAUSE, b"\0")[0]) for x in self.got]
 
 
 class Script:
@@ -76,7 +76,7 @@
         self.module = module or Script()
         self.offers, self.cancelled_attempts, self.cuts, self.logs, self.tests = [], [], [], [], []
         self.fact, self.testable, self.cancelled, self.lies_unread = (
-            DeliveryOutcome.SILENT,
+            DeliveryOutcome.ANSWER_TIMEOUT,
             True,
             set(),
             False,
@@ -86,30 +86,30 @@
 
     # ---- Ports ----
 
-    def to_owner(self, owner, data, owed):
-        (owner if not owner.closed else self.owner).got.extend(read(data))
+    def send_to_client(self, client, data, must_deliver):
+        (client if not client.closed else self.owner).got.extend(read(data))
 
-    def waits(self, owner, task, exact):
-        return not owner.closed and task not in self.cancelled
+    def is_client_waiting(self, client, task, must_poll):
+        return not client.closed and task not in self.cancelled
 
-    def proves(self, owner):
-        owner.proven = True
+    def mark_trusted(self, client):
+        client.proven = True
 
-    def offer(self, attempt):
-        attempt.link = f"link {len(self.offers)}"
+    def offer_attempt(self, attempt):
+        attempt.connection = f"link {len(self.offers)}"
         self.offers.append(attempt)
 
-    def cancel(self, attempt):
+    def cancel_attempt(self, attempt):
         self.cancelled_attempts.append(attempt)
         return self.fact
 
-    def unread(self, attempt):
+    def has_unread_bytes(self, attempt):
         return self.lies_unread
 
-    def cut(self, host, task):
+    def release_task(self, host, task):
         self.cuts.append((host, task))
 
-    def test(self, host, token):
+    def request_load_report(self, host, token):
         self.tests.append((host, token))
         return self.testable
 
@@ -123,7 +123,7 @@
         if actions:
             self.module.next.append(list(actions))
         (message,) = read(setup(task, **fields))
-        return self.exchange.owner_asks(owner or self.owner, message, waited)
+        return self.exchange.on_client_setup(owner or self.owner, message, waited)
 
     def host(self, kind, task, host="h1", link=None, **parameters):
         """A host's message, by default on the link of the last offer."""
@@ -136,7 +136,7 @@
         }
         raw = {names[k]: bytes([v]) if k == "cause" else v for k, v in parameters.items()}
         (message,) = read(m.encode(kind, task, raw))
-        self.exchange.host_says(host, link or self.offers[-1].link, message)
+        self.exchange.on_host_message(host, link or self.offers[-1].connection, message)
 
     def told(self, kind):
         return [event for event in self.module.events if isinstance(event, kind)]
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, DescriptorBudget
+from glencleat.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
 from glencleat.event_loop import ConnectError, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
@@ -40,38 +40,38 @@
 
 
 class FakeStream:
-    readable, out = False, b""
+    is_readable, send_buffer = False, b""
 
     def __init__(self, world, peer, number):
         self.world = world
         self.peer = peer
         self.number = number
-        self.closed = None
-        self.queued = 0
-        self.written = 0
-        self.on_close = []
+        self.close_reason = None
+        self.queued_bytes = 0
+        self.written_bytes = 0
+        self.close_callbacks = []
         self.inbox = []
         self.reader = None
 
-    def put(self, data):
-        if self.closed is None:
-            self.queued += len(data)
-            self.written = self.queued
+    def try_send(self, data):
+        if self.close_reason is None:
+            self.queued_bytes += len(data)
+            self.written_bytes = self.queued_bytes
             self.world.note("put", self.number, data)
             self.world.loop.call_in(1.0, lambda: self.peer.hears(self, data))
 
     def bring(self, data):
-        if self.closed is None:
+        if self.close_reason is None:
             self.inbox.append(data)
             if self.reader is not None:
                 reader, self.reader = self.reader, None
                 self.world.loop.wake(reader)
 
     def read(self):
-        while not self.inbox and self.closed is None:
+        while not self.inbox and self.close_reason is None:
             yield self._arm
-        if self.closed is not None:
-            raise StreamClosedError(self.closed)
+        if self.close_reason is not None:
+            raise StreamClosedError(self.close_reason)
         return self.inbox.pop(0)
 
     def _arm(self, task):
@@ -82,23 +82,23 @@
 
         return disarm
 
-    def hung_up(self):
-        return self.closed is not None or b"" in self.inbox
+    def has_peer_closed(self):
+        return self.close_reason is not None or b"" in self.inbox
 
-    def shut(self):
+    def shutdown_write(self):
         self.world.note("shut", self.number)
         self.world.loop.call_in(3.0, lambda: self.bring(b""))
 
-    def close(self, why="closed"):
-        if self.closed is None:
-            self.closed = why
-            self.world.note("close", self.number, why)
+    def close(self, reason="closed"):
+        if self.close_reason is None:
+            self.close_reason = reason
+            self.world.note("close", self.number, reason)
             self.peer.streams.pop(self, None)
             if self.reader is not None:
                 reader, self.reader = self.reader, None
                 self.world.loop.wake(reader)
-            for call in self.on_close:
-                call(why)
+            for call in self.close_callbacks:
+                call(reason)
 
 
 class FakeHost:
@@ -116,27 +116,27 @@
     def up(self, stream):
         self.streams[stream] = None
         for task in self.owed:
-            stream.bring(m.caused(m.RELEASE, task, m.ENDED))
+            stream.bring(m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
     def hears(self, stream, data):
-        if self.mode == "silent" or stream.closed is not None:
+        if self.mode == "silent" or stream.close_reason is not None:
             return
         for message in read(data):
-            task = message.task
+            task = message.task_id
             if message.kind == m.SETUP:
                 self._asked(stream, task)
-            elif message.kind == m.RELEASE_HEARD:
+            elif message.kind == m.RELEASE_COMPLETE:
                 self.owed.pop(task, None)
             elif message.kind == m.RELEASE:
                 self.tasks.pop(task, None)
                 if task % 5:
-                    self.say(stream, m.encode(m.RELEASE_HEARD, task))
+                    self.say(stream, m.encode(m.RELEASE_COMPLETE, task))
 
     def _asked(self, stream, task):
         if task % 7 == 3:
             return  # it hangs
         if task % 7 == 5:
-            self.say(stream, m.caused(m.RELEASE, task, m.FULL))
+            self.say(stream, m.encode_with_cause(m.RELEASE, task, m.REJECTED))
             return
         self.tasks[task] = stream
         self.say(stream, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"}), 1.0 + task % 40)
@@ -150,12 +150,12 @@
         self.owed[task] = None
         link = link if link in self.streams else next(iter(self.streams), None)
         if link is not None:
-            self.say(link, m.caused(m.RELEASE, task, m.ENDED))
+            self.say(link, m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
     def notes(self):
         for task, stream in list(self.tasks.items()):
             if stream in self.streams:
-                self.say(stream, m.encode(m.NOTE, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
+                self.say(stream, m.encode(m.OBSERVATION, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
 
     def breaks(self, most=99):
         for stream in list(self.streams)[:most]:
@@ -203,8 +203,8 @@
         self.record = []
         self.counts = Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
-        self.descriptors = DescriptorBudget(room + ASIDE)
-        self.descriptors.room = room
+        self.descriptors = DescriptorBudget(room + RESERVED_DESCRIPTORS)
+        self.descriptors.capacity = room
         self.channel = CommandChannel(1.7e12)
         self.hosts = ConnectionPool(
             loop=self.loop,
@@ -218,7 +218,13 @@
         self.join_ports()
         self.exchange = Exchange(SETTINGS, Module(self), self, 250.0)
         self.hosts.exchange = self.exchange
-        for name in ("failed", "reached", "host_lost", "host_says", "held_back"):
+        for name in (
+            "on_attempt_failed",
+            "on_reachability_changed",
+            "declare_tasks_lost",
+            "on_host_message",
+            "check_send",
+        ):
             self._spy(name)
         self.owner = Owner()
         self.peers = {}
@@ -231,11 +237,11 @@
         """The ports that the exchange asks of the pool and the loop."""
         self.now = self.loop.now
         self.call_in = self.loop.call_in
-        self.offer = self.hosts.offer_attempt
-        self.cancel = self.hosts.cancel_attempt
-        self.unread = self.hosts.has_unread_bytes
-        self.cut = self.hosts.release_task
-        self.test = self.hosts.request_load_report
+        self.offer_attempt = self.hosts.offer_attempt
+        self.cancel_attempt = self.hosts.cancel_attempt
+        self.has_unread_bytes = self.hosts.has_unread_bytes
+        self.release_task = self.hosts.release_task
+        self.request_load_report = self.hosts.request_load_report
 
     def note(self, *what):
         self.counts[what[0]] += 1
@@ -246,7 +252,7 @@
 
         def told(*args, **more):
             plain = [
-                (a.call.number, a.number) if hasattr(a, "call") else a.host.name if hasattr(a, "host") else a
+                (a.call.call_id, a.number) if hasattr(a, "call") else a.host.name if hasattr(a, "host") else a
                 for a in args
             ]
             self.note(name, plain, sorted(more.items()))
@@ -269,13 +275,13 @@
 
     # ---- Ports that are not the hosts' ----
 
-    def to_owner(self, owner, data, owed):
+    def send_to_client(self, client, data, must_deliver):
         self.note("owner", data)
 
-    def waits(self, owner, task, exact):
+    def is_client_waiting(self, client, task, must_poll):
         return True
 
-    def proves(self, owner):
+    def mark_trusted(self, client):
         pass
 
     def log(self, text):
@@ -288,7 +294,7 @@
         reached = []
         self.loop.call_in(ms, lambda: reached.append(True))
         while not reached:
-            self.loop.round()
+            self.loop.run_once()
         self.clock.at = max(self.clock.at, end)
 
     def peer(self, name, port):
@@ -305,11 +311,11 @@
     def ask(self, task, host, cls="safe", **more):
         self.target = host
         (message,) = read(setup(task, cls=cls, **more))
-        self.exchange.owner_asks(self.owner, message, 0.0)
+        self.exchange.on_client_setup(self.owner, message, 0.0)
 
     def adopt(self, task, host):
         self.ask(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
 
     def release(self, task):
-        (message,) = read(m.caused(m.RELEASE, task, m.ENDED))
-        self.exchange.owner_releases(self.owner, message)
+        (message,) = read(m.encode_with_cause(m.RELEASE, task, m.ENDED))
+        self.exchange.on_client_release(self.owner, message)
--- a/tests/support/public_surface.py
+++ b/tests/support/public_surface.py
@@ -16,7 +16,7 @@
 from glencleat.cli.main import main
 from glencleat.config import load
 from glencleat.daemon import Daemon
-from glencleat.emulators.script import load_campus, load_script
+from glencleat.emulators.script import load_script, load_shared_config
 from glencleat.event_loop import Loop
 from glencleat.servers.metrics import MetricsApi
 from glencleat.servers.rest_api import RestApi
@@ -47,8 +47,8 @@
     """Name and kind of each metric of an allocator with a REST front -> its labels."""
     daemon = Daemon(load(conf), QuietLog(), conf, Loop(), seed=5)
     served = MetricsApi(daemon.core)
-    assert daemon.plane is not None
-    served.add(daemon.plane, RestApi(daemon.plane))
+    assert daemon.rest_service is not None
+    served.add_rest_service(daemon.rest_service, RestApi(daemon.rest_service))
     return {f"{metric.name} {metric.type}": list(metric._labelnames) for metric in served.registry.collect()}
 
 
@@ -73,5 +73,5 @@
         config = load(conf)
         return [values(config), values(config.settings())]
     if conf.name.startswith("campus"):
-        return values(load_campus(conf))
+        return values(load_shared_config(conf))
     return values(load_script(conf))
--- a/tests/support/reference_scheduler.py
+++ b/tests/support/reference_scheduler.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from glencleat import interface as api
-from glencleat.index.rendezvous import hashed, mixed
+from glencleat.index.rendezvous import hash_text, mix_bits
 from glencleat.policy import profiles
 from glencleat.policy.cluster_state import MachineState
 from glencleat.policy.machine_list import MachineListTracker
@@ -21,17 +21,17 @@
         self.machines = []
         self.orders = {}
 
-    def put(self, machine, there):
+    def set_present(self, machine, there):
         """Membership is set whole after each list."""
 
     def set_machines(self, machines):
         self.machines = machines
         self.orders = {}
 
-    def order(self, service):
+    def get_order(self, service):
         if service not in self.orders:
-            seed = hashed(service)
-            self.orders[service] = sorted(self.machines, key=lambda m: (mixed(seed ^ m.hash), m.name))
+            seed = hash_text(service)
+            self.orders[service] = sorted(self.machines, key=lambda m: (mix_bits(seed ^ m.hash), m.name))
         return self.orders[service]
 
 
@@ -44,7 +44,7 @@
         names = [other.machine.name for other in running if other.machine]
         names += self.starts.machines_kept_warm(task.service)
         warm = [state.machines[name] for name in names if name in state.machines]
-        ordered = [*warm, *state.serving.order(task.service)]
+        ordered = [*warm, *state.serving_machines.get_order(task.service)]
         machines = list({machine.name: machine for machine in ordered}.values())
         half = MAX_EXAMINED // 2
         if len(machines) <= MAX_EXAMINED:
@@ -85,7 +85,7 @@
             super().on_list_updated(event)
             return
         state = self.state
-        self.retry_ms = 500.0
+        self.retry_delay_ms = 500.0
         entries = {entry.name: entry for entry in event.machines}
         for machine in state.machines.values() if event.kind is api.ListUpdateKind.SNAPSHOT else ():
             if machine.name not in entries:
@@ -105,7 +105,7 @@
         for machine in [m for m in state.machines.values() if m.entry.phase is removed and not m.tasks]:
             del state.machines[machine.name]
         serving = api.MachinePhase.SERVING
-        state.serving.set_machines(
+        state.serving_machines.set_machines(
             [m for m in state.machines.values() if m.is_size_known and m.entry.phase is serving]
         )
 
@@ -115,7 +115,7 @@
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
-        self.state.serving = SortedMachines()
+        self.state.serving_machines = SortedMachines()
         self.usage = SummingUsageEstimate(self.state)
         self.starts = CheckedProgramStarts(self.state)
         self.machine_list = ScanningListTracker(self.state)
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from glencleat import interface as api
-from glencleat.descriptor_budget import ASIDE, DescriptorBudget
+from glencleat.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget
 from glencleat.event_loop import ConnectError, Listener, Loop, StreamClosedError
 from glencleat.platform_protocol import messages as m
 from glencleat.platform_protocol.command_channel import CommandChannel, HostEntry, ListChange
@@ -20,7 +20,7 @@
     while not done():
         assert loop.now() < end, say()
         loop.call_in(5.0, lambda: None)
-        loop.round()
+        loop.run_once()
 
 
 class Peer:
@@ -65,7 +65,7 @@
         self.module = Script()
         self.logs = []
         self.channel = CommandChannel(self.loop.clock.wall() - self.loop.now())
-        self.descriptors = DescriptorBudget(room + ASIDE)
+        self.descriptors = DescriptorBudget(room + RESERVED_DESCRIPTORS)
         self.hosts = connection_pool.ConnectionPool(
             loop=self.loop,
             channel=self.channel,
@@ -89,14 +89,14 @@
         self.now = self.loop.now
         self.call_in = self.loop.call_in
         self.log = self.logs.append
-        self.to_owner = self.owners.to_owner
-        self.proves = self.owners.proves
-        self.waits = self.owners.waits
-        self.offer = self.hosts.offer_attempt
-        self.unread = self.hosts.has_unread_bytes
-        self.cancel = self.hosts.cancel_attempt
-        self.cut = self.hosts.release_task
-        self.test = self.hosts.request_load_report
+        self.send_to_client = self.owners.send_to_client
+        self.mark_trusted = self.owners.mark_trusted
+        self.is_client_waiting = self.owners.is_client_waiting
+        self.offer_attempt = self.hosts.offer_attempt
+        self.has_unread_bytes = self.hosts.has_unread_bytes
+        self.cancel_attempt = self.hosts.cancel_attempt
+        self.release_task = self.hosts.release_task
+        self.request_load_report = self.hosts.request_load_report
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
         """Machines as (name, address[, started Unix ms])."""
@@ -150,7 +150,7 @@
 
 def stands(stream, message):
     if message.kind == m.SETUP:
-        stream.send(m.encode(m.ANSWER, message.task, {m.DESCRIPTION: b"ok"}))
+        stream.send(m.encode(m.ANSWER, message.task_id, {m.DESCRIPTION: b"ok"}))
 
 
 def kinds(peer):
@@ -158,14 +158,14 @@
 
 
 def cancel(task):
-    return m.caused(m.RELEASE, task, m.GIVEN_UP)
+    return m.encode_with_cause(m.RELEASE, task, m.CANCELLED)
 
 
 def settled(world, rounds=30):
     """Everything that lies ready is handled, and what follows from it."""
     for _ in range(rounds):
         world.loop.call_in(1.0, lambda: None)
-        world.loop.round()
+        world.loop.run_once()
 
 
 def linked(world):
@@ -173,12 +173,12 @@
     peer, sock, other = Peer(world.loop, stands), world.client(), world.client()
     world.list(("h1", peer.address))
     world.ask(other, 9)
-    world.until(lambda: "h1" in world.exchange.standing)
+    world.until(lambda: "h1" in world.exchange.placed_calls_by_host)
     return peer, sock
 
 
 def sent(peer):
-    return [message.task for _, message in peer.got if message.kind == m.SETUP]
+    return [message.task_id for _, message in peer.got if message.kind == m.SETUP]
 
 
 def cut_off(monkeypatch):
@@ -201,7 +201,7 @@
     for i, peer in enumerate(peers):
         world.list((f"h{i}", peer.address))
         world.ask(owner, i + 1, host=f"h{i}")
-    world.until(lambda: len(world.exchange.standing) == count)
+    world.until(lambda: len(world.exchange.placed_calls_by_host) == count)
     return peers, owner
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -46,20 +46,22 @@
     day = world()
     owner = day.owner()
     for i in range(30):
-        owner.ask(day.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe"))))
-    day.until(lambda: not owner.jobs)
+        owner.request_task(
+            day.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe")))
+        )
+    day.until(lambda: not owner.jobs_by_id)
     for i in range(30):
         assert day.states(owner, f"t{i}") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
-    day.until(lambda: not day.core.frameworks.frameworks_by_id[owner.framework].unacknowledged_by_uuid)
-    assert not day.core.ledger.calls and not day.core.module.calls
-    assert all(not s.unacked for h in day.hosts for s in h.sessions.values())
-    assert day.broken() == [] and day.core.figures.mismatch() == {}
+    day.until(lambda: not day.core.frameworks.frameworks_by_id[owner.framework_id].unacknowledged_by_uuid)
+    assert not day.core.call_table.active_calls_by_number and not day.core.module.calls_by_id
+    assert all(not s.unacknowledged for h in day.hosts for s in h.sessions_by_allocator.values())
+    assert day.broken() == [] and day.core.counters.find_mismatches() == {}
 
 
 def test_metrics_add_up_over_http(world):
     day = world()
     owner = day.owner()
-    owner.ask(day.job("t1", life=60_000.0))
+    owner.request_task(day.job("t1", life=60_000.0))
     day.until(lambda: day.states(owner, "t1"))
     answers = []
 
@@ -82,12 +84,12 @@
     return."""
     day = world(hosts=1)
     owner = day.owner()
-    owner.ask(day.job("t1", "store-compact", "unsafe", life=700.0))
+    owner.request_task(day.job("t1", "store-compact", "unsafe", life=700.0))
     day.until(lambda: "TASK_RUNNING" in day.states(owner, "t1"))
-    (session,) = day.hosts[0].sessions.values()
+    (session,) = day.hosts[0].sessions_by_allocator.values()
     session.pause()
     day.until(lambda: "TASK_UNREACHABLE" in day.states(owner, "t1"))
-    day.until(lambda: session.unacked)
+    day.until(lambda: session.unacknowledged)
     session.resume()
     day.until(lambda: day.states(owner, "t1")[-1] == "TASK_FINISHED")
     assert sum(e.kind == "started" for e in day.recorder.entries) == 1 and day.broken() == []
@@ -97,9 +99,9 @@
     """The LAUNCH lies unread until after its time-out; the owner hears `failed`, then that it runs."""
     day = world(hosts=1, conf="answer-margin 50ms\n")
     owner = day.owner()
-    (session,) = day.hosts[0].sessions.values()
+    (session,) = day.hosts[0].sessions_by_allocator.values()
     session.pause()
-    owner.ask(day.job("t1", "store-compact", "unsafe", life=400.0))
+    owner.request_task(day.job("t1", "store-compact", "unsafe", life=400.0))
     day.until(lambda: "TASK_LOST" in day.states(owner, "t1"))
     session.resume()
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
@@ -112,16 +114,16 @@
     owner = day.owner()
     stuck, other = day.hosts
     other.stop("not yet")
-    day.until(lambda: day.core.listed == {stuck.name})
-    (session,) = stuck.sessions.values()
+    day.until(lambda: day.core.serving_machines == {stuck.name})
+    (session,) = stuck.sessions_by_allocator.values()
     session.pause()
-    link = day.core.members.session_of(stuck.name)
-    link.stream.limit = 1 << 30
-    while not link.stream.out:
+    link = day.core.membership.session_of(stuck.name)
+    link.stream.max_unsent_bytes = 1 << 30
+    while not link.stream.send_buffer:
         link.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
-    owner.ask(day.job("t1", "store-compact", "unsafe"))
-    day.until(lambda: any(a.machine == stuck.name for a in day.core.ledger.attempts.values()))
-    for member in day.core.members.members_by_agent.values():
+    owner.request_task(day.job("t1", "store-compact", "unsafe"))
+    day.until(lambda: any(a.machine == stuck.name for a in day.core.call_table.attempts_by_id.values()))
+    for member in day.core.membership.members_by_agent.values():
         member.last_heard_at_ms = day.loop.now() + 60_000.0  # only the time-out may end it
     other.start(cold=False)
     day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"), 6_000.0)
@@ -135,9 +137,9 @@
 def test_the_owners_connection_dies_as_the_machine_says_yes(world):
     day = world(hosts=1)
     owner = day.owner()
-    owner.ask(day.job("t1", life=60_000.0))
+    owner.request_task(day.job("t1", life=60_000.0))
     day.until(lambda: any(e.kind == "offered" for e in day.recorder.entries))
-    owner.cut()
+    owner.disconnect()
     day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"))
     assert day.broken() == []
 
@@ -146,19 +148,19 @@
     """Its answers wait, unacknowledged, for its next session; others are served meanwhile."""
     day = world()
     slow, brisk = day.owner("slow"), day.owner("brisk")
-    slow.slow = True
+    slow.is_slow = True
     for i in range(40):
-        slow.ask(day.job(f"s{i}", life=60_000.0))
-    framework = day.core.frameworks.frameworks_by_id[slow.framework]
-    day.until(lambda: day.core.figures.given["pull-front", "served"] == 40)
+        slow.request_task(day.job(f"s{i}", life=60_000.0))
+    framework = day.core.frameworks.frameworks_by_id[slow.framework_id]
+    day.until(lambda: day.core.counters.answers_by_class["pull-front", "served"] == 40)
     stream = framework.session.stream
-    stream.limit = 10  # as if its socket had been full for long
+    stream.max_unsent_bytes = 10  # as if its socket had been full for long
     stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     i = 0
     while framework.session is not None:
         if i < 40:  # more would fill the hosts, and then nothing is told any more
-            slow.ask(day.job(f"u{i}", life=60_000.0))
-        brisk.ask(day.job(f"b{i}", life=50.0))
+            slow.request_task(day.job(f"u{i}", life=60_000.0))
+        brisk.request_task(day.job(f"b{i}", life=50.0))
         day.until(lambda i=i: "TASK_RUNNING" in day.states(brisk, f"b{i}"))
         if framework.session is not None:
             framework.session.send(
@@ -166,7 +168,7 @@
             )  # its socket fills in a few rounds
         i += 1
         assert i < 400
-    slow.slow = False
+    slow.is_slow = False
     day.until(lambda: framework.session is not None and not framework.unacknowledged_by_uuid, 20_000.0)
     assert all("TASK_STARTING" in day.states(slow, f"s{i}") for i in range(40))
     assert day.broken() == []
@@ -176,15 +178,15 @@
     day = world()
     owner = day.owner()
     day.directory.fail()
-    owner.ask(day.job("t1"))
+    owner.request_task(day.job("t1"))
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))  # the last list still counts
-    day.directory.mend()
+    day.directory.recover()
     day.until(lambda: day.directory.watchers)
-    day.directory.shrink()
-    day.until(lambda: day.core.listed == set())
-    owner.ask(day.job("t2"))
-    day.until(lambda: day.core.ledger.open == 1)
-    day.directory.regrow()
+    day.directory.empty_list()
+    day.until(lambda: day.core.serving_machines == set())
+    owner.request_task(day.job("t2"))
+    day.until(lambda: day.core.call_table.open_task_count == 1)
+    day.directory.restore_list()
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t2"))
     assert day.broken() == []
 
@@ -193,31 +195,31 @@
     """The module's steps grow to 4 s: after a long outage allocators came back up to 5 s late."""
     day = world()
     day.directory.fail()
-    day.until(lambda: day.core.module.module.machine_list.retry_ms >= 1_000.0)
+    day.until(lambda: day.core.module.module.machine_list.retry_delay_ms >= 1_000.0)
     day.core.module.module.machine_list.retry_at_ms = day.loop.now() + 60_000.0
-    day.directory.mend()
-    day.until(lambda: day.daemon.directory.up_at is not None, 1_000.0)
-    tries, whole = day.daemon.directory.tries, []
-    day.daemon.directory.tell = whole.append
-    day.daemon.directory.watch()  # the subscription that is there is the answer: no second whole list
+    day.directory.recover()
+    day.until(lambda: day.daemon.directory_client.subscribed_at_ms is not None, 1_000.0)
+    tries, whole = day.daemon.directory_client.try_count, []
+    day.daemon.directory_client.on_update = whole.append
+    day.daemon.directory_client.watch()  # the subscription that is there is the answer: no second whole list
     assert [event.kind for event in whole] == [api.ListUpdateKind.SNAPSHOT] and len(whole[0].machines) == len(
         day.hosts
     )
     day.until(lambda: True)
-    assert day.daemon.directory.tries == tries and len(day.directory.watchers) == 1
+    assert day.daemon.directory_client.try_count == tries and len(day.directory.watchers) == 1
 
 
 def test_the_end_answers_what_is_held_and_ends(world):
     day = world()
     owner = day.owner()
     for host in day.hosts:
-        host.machine.faults.silent = True
-    owner.ask(day.job("t1", "store-compact", "unsafe"))
+        host.machine.faults.is_silent = True
+    owner.request_task(day.job("t1", "store-compact", "unsafe"))
     day.until(lambda: any(e.kind == "offered" for e in day.recorder.entries))
-    day.loop.running = True
+    day.loop.is_running = True
     day.daemon.stop()
-    day.until(lambda: not day.loop.running, 10_000.0)
-    assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.ledger.open
+    day.until(lambda: not day.loop.is_running, 10_000.0)
+    assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.call_table.open_task_count
 
 
 @pytest.mark.parametrize(
@@ -252,7 +254,9 @@
 def test_a_directory_that_falls_silent_is_a_failed_list():
     loop, told = Loop(), []
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: None)
-    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)), silence_ms=50.0)
+    client = DirectoryClient(
+        loop, listener.address, told.append, Backoff(PACE, Random(1)), silence_timeout_ms=50.0
+    )
     client.watch()
     wait(loop, lambda: told)
     assert [event.kind for event in told] == [api.ListUpdateKind.FAILED]
@@ -264,7 +268,7 @@
     while not done():
         assert loop.now() < until
         loop.call_in(5.0, lambda: None)
-        loop.round()
+        loop.run_once()
 
 
 @pytest.mark.parametrize(
@@ -292,16 +296,16 @@
     client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
     client.watch()
     wait(loop, lambda: told)
-    assert least <= client.next_at - loop.now() <= most
-    due = client.next_at
+    assert least <= client.next_try_at_ms - loop.now() <= most
+    due = client.next_try_at_ms
     if least > 0.0:
-        client.next_at = due = loop.now() + 60.0  # a test does not wait for seconds
+        client.next_try_at_ms = due = loop.now() + 60.0  # a test does not wait for seconds
     loop.cancel(client.task)
     client.task = None  # what waits for its turn as it was before
     for _ in range(3):
         client.watch()
     wait(loop, lambda: len(told) == 2)
-    assert len(came) == client.tries == 2 and came[1] >= due
+    assert len(came) == client.try_count == 2 and came[1] >= due
     assert [event.kind for event in told] == [api.ListUpdateKind.FAILED] * 2
     listener.close()
 
@@ -424,12 +428,12 @@
 
     threading.Thread(target=rush).start()
     day.until(full.is_set)
-    day.until(lambda: day.daemon.servers["owners"].refused > 1_800)
-    owner.ask(day.job("t1"))
+    day.until(lambda: day.daemon.servers["owners"].refused_count > 1_800)
+    owner.request_task(day.job("t1"))
     day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
     for sock in crowd:
         sock.close()
-    assert len(day.daemon.servers["owners"].listener.open) <= 100
+    assert len(day.daemon.servers["owners"].listener.open_streams) <= 100
 
 
 JSON = st.recursive(
@@ -504,18 +508,18 @@
         except HttpError as error:
             assert 400 <= error.status < 500
         else:
-            if hasattr(told, "begin"):
+            if hasattr(told, "open_session"):
                 link = type(owner.link)(m.ExecutorEvent if which else m.SchedulerEvent)
-                link.ended = told.begin(link)
+                link.ended = told.open_session(link)
         cluster.timing.advance(100.0)
         cluster.check()
-    assert cluster.core.figures.mismatch() == {}
+    assert cluster.core.counters.find_mismatches() == {}
 
 
 def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
     day = world(hosts=1)
     with pytest.raises(NotSubscribedError):
-        day.core.agents.record_heartbeat("stranger.r")
+        day.core.agent_sessions.record_heartbeat("stranger.r")
 
 
 # ---- an unmodified client library ----
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -74,7 +74,7 @@
     sock, reader = platform.owner()
     platform.hold.set()
     sock.send(setup(7))
-    assert reader.next().task == 7
+    assert reader.next().task_id == 7
     platform.write(1)
     platform.process.send_signal(signal.SIGHUP)
     assert platform.asked[1].wait(20.0)
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -5,51 +5,58 @@
 from hypothesis import strategies as st
 
 from glencleat.descriptor_budget import (
-    ASIDE,
-    GIVEN,
-    KEPT_FREE,
-    LEAVING,
-    STANDSTILL_MS,
+    ARRIVAL_RESERVE_DIVISOR,
+    ARRIVAL_WINDOW_MS,
+    EVICTABLE_BY_DEMAND,
+    MAX_CLOSING,
+    RESERVED_DESCRIPTORS,
     Demand,
     DescriptorBudget,
     EvictionPriority,
-    Side,
+    PeerKind,
 )
 
 LINK_WORTHS = (
     EvictionPriority.SPARE,
-    EvictionPriority.LISTENED,
-    EvictionPriority.LISTENING,
-    EvictionPriority.HELD,
+    EvictionPriority.ONLY_CONNECTION,
+    EvictionPriority.NEW_ONLY_CONNECTION,
+    EvictionPriority.PINNED,
 )
-OWNER_WORTHS = (EvictionPriority.STRANGER, EvictionPriority.FRIEND, EvictionPriority.HELD)
+OWNER_WORTHS = (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT, EvictionPriority.PINNED)
 
 
 class Holder:
     def __init__(self, pool, side, worth):
-        self.pool, self.side, self.now, self.at_last = pool, side, worth, None
+        self.pool, self.peer_kind, self.now, self.at_last = pool, side, worth, None
 
-    def worth(self):
+    def eviction_priority(self):
         return self.now
 
-    def last_look(self):
+    def read_pending(self):
         self.now = self.at_last if self.at_last is not None else self.now
 
-    def give_up(self):
-        self.pool.free(self)
+    def evict(self):
+        self.pool.remove_holder(self)
 
 
 def full(*worths, limit=256):
-    """A pool in which everything is HELD but for these."""
+    """A pool in which everything is PINNED but for these."""
     pool, made = DescriptorBudget(limit), []
-    pool.freed = lambda: None
+    pool.on_capacity_freed = lambda: None
     for worth in worths:
-        side = Side.OWNERS if worth in (EvictionPriority.STRANGER, EvictionPriority.FRIEND) else Side.LINKS
+        side = (
+            PeerKind.CLIENTS
+            if worth in (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT)
+            else PeerKind.HOSTS
+        )
         made.append(Holder(pool, side, worth))
-        pool.hold(made[-1])
-    while pool.held < pool.room:
-        short = min(pool.count, key=lambda side: pool.count[side] - pool.rights[side])
-        pool.hold(Holder(pool, short, EvictionPriority.HELD))
+        pool.add_holder(made[-1])
+    while pool.held_count < pool.capacity:
+        short = min(
+            pool.counts_by_peer_kind,
+            key=lambda side: pool.counts_by_peer_kind[side] - pool.quotas_by_peer_kind[side],
+        )
+        pool.add_holder(Holder(pool, short, EvictionPriority.PINNED))
     return pool, made
 
 
@@ -57,63 +64,76 @@
 @pytest.mark.parametrize("within", [True, False])
 def test_what_goes_for_what(demand, within):
     """Every worth alone: it goes if the table names it, else nobody does and no room is made."""
-    side = Side.OWNERS if demand is Demand.OWNER else Side.LINKS
+    side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
     for worth in EvictionPriority:
         pool, (one,) = full(worth)
-        pool.rights = {x: pool.count[x] + (1 if within and x is side else 0) for x in Side}
-        may = worth in GIVEN[demand][0 if within else 1]
-        assert pool.make_room(demand) is may and (one not in pool.filed) is may
-    assert EvictionPriority.HELD not in GIVEN[demand][0] + GIVEN[demand][1]
+        pool.quotas_by_peer_kind = {
+            x: pool.counts_by_peer_kind[x] + (1 if within and x is side else 0) for x in PeerKind
+        }
+        may = worth in EVICTABLE_BY_DEMAND[demand][0 if within else 1]
+        assert pool.ensure_capacity(demand) is may and (one not in pool.priorities_by_holder) is may
+    assert EvictionPriority.PINNED not in EVICTABLE_BY_DEMAND[demand][0] + EVICTABLE_BY_DEMAND[demand][1]
 
 
 def test_a_side_beyond_its_right_never_takes_from_one_within():
     """A crowd of silent owners may not close the links on which tasks are heard, nor the reverse."""
     owners, links = (
-        {EvictionPriority.STRANGER, EvictionPriority.FRIEND},
-        {EvictionPriority.SPARE, EvictionPriority.LISTENED, EvictionPriority.LISTENING},
+        {EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT},
+        {EvictionPriority.SPARE, EvictionPriority.ONLY_CONNECTION, EvictionPriority.NEW_ONLY_CONNECTION},
     )
-    for demand, (_, beyond) in GIVEN.items():
-        assert set(beyond) <= (owners if demand is Demand.OWNER else links)
+    for demand, (_, beyond) in EVICTABLE_BY_DEMAND.items():
+        assert set(beyond) <= (owners if demand is Demand.CLIENT else links)
 
 
 def test_the_least_worth_goes_first_and_of_one_worth_the_longest_unused():
     pool, made = full(
-        EvictionPriority.LISTENED, EvictionPriority.SPARE, EvictionPriority.SPARE, EvictionPriority.LISTENED
+        EvictionPriority.ONLY_CONNECTION,
+        EvictionPriority.SPARE,
+        EvictionPriority.SPARE,
+        EvictionPriority.ONLY_CONNECTION,
     )
-    pool.file(made[1], used=True)
+    pool.update_priority(made[1], was_used=True)
     gone = []
     for holder in made:
-        holder.give_up = lambda holder=holder: (gone.append(made.index(holder)), pool.free(holder))
+        holder.evict = lambda holder=holder: (gone.append(made.index(holder)), pool.remove_holder(holder))
     for _ in range(4):
-        assert pool.make_room(Demand.ATTEMPT)
-        pool.hold(Holder(pool, Side.LINKS, EvictionPriority.HELD))
-    assert gone == [2, 1, 0, 3] and not pool.make_room(Demand.ATTEMPT) and pool.turned_away == 1
+        assert pool.ensure_capacity(Demand.ATTEMPT)
+        pool.add_holder(Holder(pool, PeerKind.HOSTS, EvictionPriority.PINNED))
+    assert gone == [2, 1, 0, 3] and not pool.ensure_capacity(Demand.ATTEMPT) and pool.denied_count == 1
 
 
 def test_what_is_worth_more_by_now_stays():
     """Worth changes between two sweeps: a set-up goes out on a link that was filed as spare."""
     pool, made = full(EvictionPriority.SPARE, EvictionPriority.SPARE)
-    made[0].now = EvictionPriority.HELD
-    assert pool.make_room(Demand.ATTEMPT) and made[0] in pool.filed and made[1] not in pool.filed
+    made[0].now = EvictionPriority.PINNED
+    assert (
+        pool.ensure_capacity(Demand.ATTEMPT)
+        and made[0] in pool.priorities_by_holder
+        and made[1] not in pool.priorities_by_holder
+    )
 
 
 def test_who_waits_is_told_when_something_is_free_or_worth_less():
-    pool, (link,) = full(EvictionPriority.HELD)
+    pool, (link,) = full(EvictionPriority.PINNED)
     told = []
-    pool.freed = lambda: told.append(pool.held)
+    pool.on_capacity_freed = lambda: told.append(pool.held_count)
     link.now = EvictionPriority.SPARE
-    pool.file(link)
-    assert told == [pool.room]
-    pool.free(link)
-    assert told == [pool.room, pool.room - 1]
+    pool.update_priority(link)
+    assert told == [pool.capacity]
+    pool.remove_holder(link)
+    assert told == [pool.capacity, pool.capacity - 1]
 
 
 def test_only_so_many_leave_at_once():
-    pool, made = full(*[EvictionPriority.LISTENED] * (LEAVING + 1))
-    assert [pool.leave(holder) for holder in made] == [True] * LEAVING + [False]
-    assert pool.held + len(pool.leaving) <= pool.room + LEAVING < pool.room + ASIDE
-    pool.free(made[0])
-    assert pool.leave(made[-1])
+    pool, made = full(*[EvictionPriority.ONLY_CONNECTION] * (MAX_CLOSING + 1))
+    assert [pool.begin_close(holder) for holder in made] == [True] * MAX_CLOSING + [False]
+    assert (
+        pool.held_count + len(pool.closing_holders)
+        <= pool.capacity + MAX_CLOSING
+        < pool.capacity + RESERVED_DESCRIPTORS
+    )
+    pool.remove_holder(made[0])
+    assert pool.begin_close(made[-1])
 
 
 @given(
@@ -127,38 +147,43 @@
 
     def gone(holder):
         alive.discard(holder)
-        pool.free(holder)
+        pool.remove_holder(holder)
 
     for kind, pick in steps * 3:
         chosen = sorted(alive, key=id)[pick % len(alive)] if alive else None
         if kind < 6 or chosen is None:
             demand = list(Demand)[pick % 4]
-            side = Side.OWNERS if demand is Demand.OWNER else Side.LINKS
-            if pool.make_room(demand):
-                worths = OWNER_WORTHS if side is Side.OWNERS else LINK_WORTHS
+            side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
+            if pool.ensure_capacity(demand):
+                worths = OWNER_WORTHS if side is PeerKind.CLIENTS else LINK_WORTHS
                 holder = Holder(pool, side, worths[pick // 7 % len(worths)])
-                holder.give_up = lambda holder=holder: gone(holder)
+                holder.evict = lambda holder=holder: gone(holder)
                 alive.add(holder)
-                pool.hold(holder)
+                pool.add_holder(holder)
         elif kind < 8:
-            chosen.now = (OWNER_WORTHS if chosen.side is Side.OWNERS else LINK_WORTHS)[pick % 3]
+            chosen.now = (OWNER_WORTHS if chosen.peer_kind is PeerKind.CLIENTS else LINK_WORTHS)[pick % 3]
             if pick % 2:  # else it is noticed late
-                pool.file(chosen)
+                pool.update_priority(chosen)
         else:
             gone(chosen)
-        assert set(pool.filed) == alive and len(alive) <= pool.room <= limit - ASIDE
-        assert pool.count == {side: sum(h.side is side for h in alive) for side in Side}
-        assert sum(map(len, pool.order)) == len(alive)
+        assert (
+            set(pool.priorities_by_holder) == alive
+            and len(alive) <= pool.capacity <= limit - RESERVED_DESCRIPTORS
+        )
+        assert pool.counts_by_peer_kind == {
+            side: sum(h.peer_kind is side for h in alive) for side in PeerKind
+        }
+        assert sum(map(len, pool.holders_by_priority)) == len(alive)
 
 
 def test_what_is_found_busy_at_the_last_look_stays_and_the_next_goes():
-    pool, made = full(EvictionPriority.STRANGER, EvictionPriority.STRANGER)
-    made[0].at_last = EvictionPriority.HELD
-    assert pool.make_room(Demand.OWNER)
-    assert made[0] in pool.filed and made[1] not in pool.filed
-    pool, made = full(EvictionPriority.STRANGER)
-    made[0].at_last = EvictionPriority.HELD
-    assert not pool.make_room(Demand.OWNER) and made[0] in pool.filed
+    pool, made = full(EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.UNTRUSTED_CLIENT)
+    made[0].at_last = EvictionPriority.PINNED
+    assert pool.ensure_capacity(Demand.CLIENT)
+    assert made[0] in pool.priorities_by_holder and made[1] not in pool.priorities_by_holder
+    pool, made = full(EvictionPriority.UNTRUSTED_CLIENT)
+    made[0].at_last = EvictionPriority.PINNED
+    assert not pool.ensure_capacity(Demand.CLIENT) and made[0] in pool.priorities_by_holder
 
 
 # ---- newcomers ----
@@ -166,8 +191,8 @@
 
 def crowd(pool, now, count):
     for _ in range(count):
-        assert pool.newcomer(now)
-        pool.hold(Holder(pool, Side.OWNERS, EvictionPriority.STRANGER))
+        assert pool.admit_client(now)
+        pool.add_holder(Holder(pool, PeerKind.CLIENTS, EvictionPriority.UNTRUSTED_CLIENT))
 
 
 @pytest.mark.parametrize("per_standstill", [1, 10, 40, 60])
@@ -175,22 +200,25 @@
     """Strangers come and stay, so many in each standstill's time: as many places are free at its end."""
     pool = DescriptorBudget(640)
     for number in range(max(1_400, 20 * per_standstill)):
-        crowd(pool, 1e9 + number * STANDSTILL_MS / per_standstill, 1)
-    assert pool.held + per_standstill <= pool.room + 1
-    assert pool.held >= pool.room - 2 * per_standstill  # and no more than for that
+        crowd(pool, 1e9 + number * ARRIVAL_WINDOW_MS / per_standstill, 1)
+    assert pool.held_count + per_standstill <= pool.capacity + 1
+    assert pool.held_count >= pool.capacity - 2 * per_standstill  # and no more than for that
 
 
 def test_what_is_kept_free_is_bounded_and_let_go_of():
     pool = DescriptorBudget(640)
     crowd(pool, 1e9, 2_000)
-    assert pool.kept_free == pool.room // KEPT_FREE and pool.held == pool.room - pool.kept_free
+    assert (
+        pool.arrival_reserve == pool.capacity // ARRIVAL_RESERVE_DIVISOR
+        and pool.held_count == pool.capacity - pool.arrival_reserve
+    )
     crowd(pool, 1e9 + 60_000.0, 200)
     crowd(pool, 1e9 + 90_000.0, 1)
-    assert pool.kept_free == 1
+    assert pool.arrival_reserve == 1
 
 
 def test_only_strangers_make_way_before_there_is_need():
     pool = DescriptorBudget(640)
-    for _ in range(pool.room - 1):
-        pool.hold(Holder(pool, Side.OWNERS, EvictionPriority.FRIEND))
-    assert pool.newcomer(1e9) and pool.held == pool.room - 1
+    for _ in range(pool.capacity - 1):
+        pool.add_holder(Holder(pool, PeerKind.CLIENTS, EvictionPriority.TRUSTED_CLIENT))
+    assert pool.admit_client(1e9) and pool.held_count == pool.capacity - 1
--- a/tests/test_endpoint_snapshot.py
+++ b/tests/test_endpoint_snapshot.py
@@ -5,7 +5,7 @@
 from glencleat import endpoint_snapshot
 from glencleat import interface as api
 from glencleat.allocator.endpoint_list import MachineListing
-from glencleat.servers.endpoint_snapshot_file import ANEW_MS, EndpointSnapshotFile
+from glencleat.servers.endpoint_snapshot_file import REWRITE_INTERVAL_MS, EndpointSnapshotFile
 from tests.support.core_world import Timing
 from tests.support.daemon_world import World
 
@@ -19,22 +19,23 @@
 
 def written():
     """A whole list, then a drain and one that is gone."""
-    first = endpoint_snapshot.whole(
+    first = endpoint_snapshot.encode_snapshot(
         "p", [machine("a"), machine("b"), machine("c", ready=400.0)], 1_000.0, WALL
     )
-    return [first, endpoint_snapshot.change(machine("a", DRAINING), 2_000.0, WALL + 1_000.0),
-            endpoint_snapshot.change(machine("b", GONE), 3_000.0, WALL + 2_000.0)]  # fmt: skip
+    return [first, endpoint_snapshot.encode_change(machine("a", DRAINING), 2_000.0, WALL + 1_000.0),
+            endpoint_snapshot.encode_change(machine("b", GONE), 3_000.0, WALL + 2_000.0)]  # fmt: skip
 
 
 def phases(data, now=50.0, wall=WALL + 5_000.0):
     return {
-        told.name: told.phase for told in endpoint_snapshot.machines(endpoint_snapshot.read(data), now, wall)
+        told.name: told.phase
+        for told in endpoint_snapshot.restore_machines(endpoint_snapshot.decode_snapshot(data), now, wall)
     }
 
 
 def test_it_comes_back_as_it_was_told():
-    found = endpoint_snapshot.read(b"".join(written()))
-    told = {one.name: one for one in endpoint_snapshot.machines(found, 50.0, WALL + 5_000.0)}
+    found = endpoint_snapshot.decode_snapshot(b"".join(written()))
+    told = {one.name: one for one in endpoint_snapshot.restore_machines(found, 50.0, WALL + 5_000.0)}
     assert told == {
         "a": machine("a", DRAINING), "c": machine("c", ready=50.0 - 5_600.0),  # of the new monotonic clock
     }  # fmt: skip
@@ -47,7 +48,7 @@
     for length in range(len(data)):
         if length < ends[0]:
             with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="no whole line"):
-                endpoint_snapshot.read(data[:length])
+                endpoint_snapshot.decode_snapshot(data[:length])
         else:
             assert phases(data[:length])["a"] is (DRAINING if length >= ends[1] else SERVING)
 
@@ -58,7 +59,7 @@
         wrong = bytearray(data)
         wrong[place] ^= 4
         with pytest.raises(endpoint_snapshot.EndpointSnapshotError):
-            endpoint_snapshot.read(bytes(wrong))
+            endpoint_snapshot.decode_snapshot(bytes(wrong))
 
 
 @pytest.mark.parametrize(
@@ -69,14 +70,16 @@
 )  # fmt: skip
 def test_what_is_no_list_is_refused(data):
     with pytest.raises(endpoint_snapshot.EndpointSnapshotError):
-        endpoint_snapshot.read(data)
+        endpoint_snapshot.decode_snapshot(data)
 
 
 def test_a_phase_that_nobody_knows_is_refused():
-    one = endpoint_snapshot.kept(machine("a"), 0.0, WALL)
+    one = endpoint_snapshot.to_record(machine("a"), 0.0, WALL)
     one.phase = "dancing"
     with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="dancing"):
-        endpoint_snapshot.machines(endpoint_snapshot.EndpointSnapshot("p", WALL, {"a": one}), 0.0, WALL)
+        endpoint_snapshot.restore_machines(
+            endpoint_snapshot.EndpointSnapshot("p", WALL, {"a": one}), 0.0, WALL
+        )
 
 
 @pytest.mark.parametrize(
@@ -85,7 +88,9 @@
      ("p", WALL - 900.0, None), ("p", WALL - 90_000.0, "90 s ahead")],
 )  # fmt: skip
 def test_when_it_may_be_used(pool, wall, why):
-    told = endpoint_snapshot.usable(endpoint_snapshot.EndpointSnapshot("p", WALL), pool, wall, 600_000.0)
+    told = endpoint_snapshot.unusable_reason(
+        endpoint_snapshot.EndpointSnapshot("p", WALL), pool, wall, 600_000.0
+    )
     assert told is None if why is None else why in told
 
 
@@ -101,11 +106,11 @@
 
     def whole(self, *machines):
         self.listing.machines_by_name = {one.name: one for one in machines}
-        self.told(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, machines))
+        self.record_update(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, machines))
 
     def change(self, one):
         self.listing.machines_by_name[one.name] = one
-        self.told(api.MachineListUpdated(api.ListUpdateKind.DELTA, (one,)))
+        self.record_update(api.MachineListUpdated(api.ListUpdateKind.DELTA, (one,)))
 
 
 def test_a_drain_is_in_the_file_before_the_module_hears_of_it(tmp_path):
@@ -124,11 +129,15 @@
     keeper = Keeper(tmp_path / "a.list")
     keeper.whole(machine("a"))
     keeper.start()
-    keeper.loop.advance(2.5 * ANEW_MS)
-    at = endpoint_snapshot.read(keeper.path.read_bytes()).at_ms
-    keeper.told(api.MachineListUpdated(api.ListUpdateKind.FAILED))
-    keeper.loop.advance(5.0 * ANEW_MS)
-    assert endpoint_snapshot.read(keeper.path.read_bytes()).at_ms == at >= keeper.loop.wall() - 5.6 * ANEW_MS
+    keeper.loop.advance(2.5 * REWRITE_INTERVAL_MS)
+    at = endpoint_snapshot.decode_snapshot(keeper.path.read_bytes()).at_ms
+    keeper.record_update(api.MachineListUpdated(api.ListUpdateKind.FAILED))
+    keeper.loop.advance(5.0 * REWRITE_INTERVAL_MS)
+    assert (
+        endpoint_snapshot.decode_snapshot(keeper.path.read_bytes()).at_ms
+        == at
+        >= keeper.loop.wall() - 5.6 * REWRITE_INTERVAL_MS
+    )
 
 
 def test_an_empty_list_takes_the_place_of_none(tmp_path):
@@ -170,14 +179,14 @@
     day.close()
     (tmp_path / "again").mkdir()
     again = World(tmp_path / "again", conf=f"keep-list {file}\n", down=True)
-    assert again.core.listed == {host.name for host in again.hosts} - {drained.name}
+    assert again.core.serving_machines == {host.name for host in again.hosts} - {drained.name}
     owner = again.owner()
     for number in range(6):
-        owner.ask(again.job(f"t{number}"))
+        owner.request_task(again.job(f"t{number}"))
     again.until(lambda: all("TASK_STARTING" in again.states(owner, f"t{i}") for i in range(6)))
     assert not any(e.who == drained.name for e in again.recorder.entries if e.kind == "offered")
     assert not again.directory.watchers and again.broken() == []
-    again.directory.mend()
-    again.until(lambda: again.daemon.directory.up_at is not None)
-    again.until(lambda: drained.name in again.core.listed)  # the directory's first word replaces it
+    again.directory.recover()
+    again.until(lambda: again.daemon.directory_client.subscribed_at_ms is not None)
+    again.until(lambda: drained.name in again.core.serving_machines)  # the directory's first word replaces it
     again.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -17,9 +17,9 @@
 
 
 def test_an_endpoint_list_kept_over_a_restart_is_read():
-    found = endpoint_snapshot.read((STORED / "endpoint-list").read_bytes())
-    assert endpoint_snapshot.usable(found, "pool", WALL_MS, 10_000.0) is None
-    told = endpoint_snapshot.machines(found, 50.0, WALL_MS)
+    found = endpoint_snapshot.decode_snapshot((STORED / "endpoint-list").read_bytes())
+    assert endpoint_snapshot.unusable_reason(found, "pool", WALL_MS, 10_000.0) is None
+    told = endpoint_snapshot.restore_machines(found, 50.0, WALL_MS)
     serving, draining = api.MachinePhase.SERVING, api.MachinePhase.DRAINING
     assert told == (
         api.Machine("a", "std", "hall-a", 2, draining, 3.5, 70.0, None),
@@ -30,7 +30,7 @@
 
 def test_an_endpoint_list_is_written_to_the_same_bytes():
     machine = api.Machine("a", "std", "hall-a", 2, api.MachinePhase.DRAINING, 3.5, 70.0)
-    line = endpoint_snapshot.change(machine, 2_000.0, 1.7e12 + 1_000.0)
+    line = endpoint_snapshot.encode_change(machine, 2_000.0, 1.7e12 + 1_000.0)
     assert line in (STORED / "endpoint-list").read_bytes().splitlines(keepends=True)
 
 
@@ -48,4 +48,4 @@
     "path", sorted((ROOT / "docs" / "results" / "scale").glob("*.json")), ids=lambda path: path.stem
 )
 def test_results_of_scale_runs_are_read(path):
-    assert report.load(path).phases
+    assert report.load_results(path).phases
