--- a/glencleat/emulators/rest_owners.py
+++ b/glencleat/emulators/rest_owners.py
@@ -203,7 +203,7 @@
         until = self.loop.now() + patience
         self._request(
             "POST", f"{self.tenant_path}/jobs", body, lambda answer: self._posted(job, answer),
-            headers=key, wrote=wrote, until=until,
+            headers=key, on_written=wrote, resend_until=until,
         )  # fmt: skip
 
     def _posted(self, job: OwnerJob, answer: HttpAnswer) -> None:
