--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -280,7 +280,9 @@
         session: Any = attempt.session
         if session is None:
             return delivery_status.DeliveryStatus.NOT_SENT
-        return delivery_status.classify_delivery(session.written_bytes(), attempt.launch_begin, attempt.launch_end)
+        return delivery_status.classify_delivery(
+            session.written_bytes(), attempt.launch_begin, attempt.launch_end
+        )
 
     def _timed_out(self, attempt: Attempt) -> None:
         if attempt.is_concluded:
