--- a/glencleat/allocator/__init__.py
+++ b/glencleat/allocator/__init__.py
@@ -1,7 +1,7 @@
-"""The allocator's core on the Mesos and REST path: tells the policy events and carries out its actions.
+"""The allocator's core on the Mesos and REST path: passes events to the policy and carries out its actions.
 
-It imports the interface and the message schemas, never sockets: servers call it with parsed calls and hand it
-streams to write to; clock and timers are arguments. What is decided here and not by the policy stands in
+It imports the interface and the message schemas, never sockets: servers call it with parsed calls and pass it
+the streams to write to; clock and timers are arguments. What is decided here and not by the policy is in
 `delivery_status` (attempts that may or may not have run), `agent_membership`, `frameworks` and `admission`;
 none of these does I/O or reads a clock.
 """
--- a/glencleat/allocator/admission.py
+++ b/glencleat/allocator/admission.py
@@ -1,8 +1,9 @@
-"""Decides whether a task is told to the module at all. Pure.
+"""Decides whether a task is accepted at all, before the policy sees it. Pure.
 
-The bounds are on what a peer could otherwise pile up here; a refusal by them is at once and harmless, as
-nothing was sent. A second start of a task that must not start twice is caught here too, when its owner asks
-again although it may have run."""
+The limits bound what a peer could otherwise accumulate in this process. A rejection by a limit is immediate
+and harmless, as nothing was sent. A second start of a non-idempotent task is rejected here too, when its
+client launches it again although it may have run.
+"""
 
 from __future__ import annotations
 
@@ -17,22 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    max_open_tasks: int = 100_000  # tasks without an answer, in all
-    max_open_tasks_per_framework: int = 20_000  # of one framework
-    max_known_calls: int = 500_000  # calls that the module knows
+    """Limits on open tasks and known calls."""
+
+    max_open_tasks: int = 100_000  # tasks without a final answer, of all frameworks
+    max_open_tasks_per_framework: int = 20_000
+    max_known_calls: int = 500_000  # calls that the policy knows
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLoad:
+    """Current counts that are compared with `AdmissionLimits`."""
+
     open_task_count: int
-    framework_open_task_count: int  # of the framework that asks
+    framework_open_task_count: int  # of the framework that launches the task
     known_call_count: int
-    has_update_backlog: bool  # the framework does not acknowledge its updates
-    is_shutting_down: bool  # SIGTERM came
+    has_update_backlog: bool  # too many of the framework's updates are unacknowledged
+    is_shutting_down: bool  # SIGTERM was received
 
 
 def check_limits(load: AdmissionLoad, limits: AdmissionLimits) -> str | None:
-    """Why a new task can't be taken now, or None."""
+    """Returns why a new task can't be accepted now, or None."""
     if load.is_shutting_down:
         return "the allocator is shutting down"
     if load.has_update_backlog:
@@ -49,50 +54,58 @@
     return None
 
 
-def classify_repeat(before: Call | None) -> str | None:
-    """What a LAUNCH of a task that was here before is: the same ask again ("same"), a second start that must
-    not be ("never"), or a new placing (None)."""
-    if before is None:
+def classify_repeat(previous: Call | None) -> str | None:
+    """Classifies a LAUNCH of a task id by the latest call of that task, if any.
+
+    Returns "same" for a repeat of the same request, "never" for a second start of a non-idempotent task that
+    may have run, and None for a new placement.
+    """
+    if previous is None:
         return None
-    if before.final_answer is None or not before.is_closed:
-        return "same"  # a client that lost its connection in mid-call and sends it again
+    if previous.final_answer is None or not previous.is_closed:
+        return "same"  # a client that lost its connection during the call sends it again
     if (
-        before.idempotency is api.Idempotency.NON_IDEMPOTENT
-        and before.execution_status() is not ExecutionStatus.NEVER_RAN
+        previous.idempotency is api.Idempotency.NON_IDEMPOTENT
+        and previous.execution_status() is not ExecutionStatus.NEVER_RAN
     ):
         return "never"
     return None
 
 
 class DuplicateFilter:
-    """The same work asked for by two tasks: of two fronts, or of a framework under a new id.
+    """Rejects a second task with the same idempotency key, from another server or under another task id.
 
-    A key that the owner gave names the work within its tenant. For a class that must not start twice, a
-    second task of that key is not taken while the first is open or may have run; machines drop repeats of
-    the others by themselves, or bear them."""
+    An explicit key identifies the work within its tenant. For a non-idempotent class, a second task with that
+    key is rejected while the first is open or may have run. Other classes need no check: machines drop their
+    repeats, or a repeat does no harm.
+    """
 
-    def __init__(self, ledger: CallTable) -> None:
-        self.call_table = ledger
+    def __init__(self, call_table: CallTable) -> None:
+        self.call_table = call_table
 
-    def decide_admission(self, asking: AdmissionRequest) -> AdmissionDecision | None:
+    def decide_admission(self, request: AdmissionRequest) -> AdmissionDecision | None:
+        """Returns a rejection if another task with the same key may have run, or None."""
         if (
-            asking.idempotency is not api.Idempotency.NON_IDEMPOTENT
-            or not asking.tenant
-            or not asking.task_request.has_explicit_key
+            request.idempotency is not api.Idempotency.NON_IDEMPOTENT
+            or not request.tenant
+            or not request.task_request.has_explicit_key
         ):
             return None
-        before = self.call_table.calls_by_idempotency_key.get(
-            (asking.tenant, asking.task_request.idempotency_key)
+        previous = self.call_table.calls_by_idempotency_key.get(
+            (request.tenant, request.task_request.idempotency_key)
         )
-        if before is None or (before.framework_id, before.task_id) == (asking.framework_id, asking.task_id):
+        if previous is None or (previous.framework_id, previous.task_id) == (
+            request.framework_id,
+            request.task_id,
+        ):
             return None
         if (
-            before.final_answer is not None
-            and before.is_closed
-            and before.execution_status() is ExecutionStatus.NEVER_RAN
+            previous.final_answer is not None
+            and previous.is_closed
+            and previous.execution_status() is ExecutionStatus.NEVER_RAN
         ):
             return None
-        text = f"task {before.task_id} of {before.framework_id} has the same key and must not start twice"
+        text = f"task {previous.task_id} of {previous.framework_id} has the same key and must not start twice"
         return AdmissionDecision(
             status_mapping.StatusAnswer(
                 status_mapping.TaskState.ERROR,
--- a/glencleat/allocator/call_table.py
+++ b/glencleat/allocator/call_table.py
@@ -1,8 +1,9 @@
-"""The table of calls: from it the state of every task, open or lately answered, can be told at any instant.
+"""The table of calls: the state of every task, open or recently answered.
 
-Pure state with bounded memory. A call is one placing of an owner's task; each Bind of the module makes one
-attempt of it. Answered calls stay as long as an agent may still say something about them, or an owner may
-ask; the oldest of these go first when there are more than `max_closed_calls`."""
+Pure state with bounded memory. A call is one placement of a client's task; each Bind of the policy makes one
+attempt of it. Answered calls are kept while an agent may still report on them or a client may ask about them;
+beyond `max_closed_calls`, the oldest are forgotten first.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +17,7 @@
 from glencleat.allocator.status_mapping import AttemptStep, ExecutionStatus, combine_execution_statuses
 from glencleat.mesos.messages import TaskInfo
 
-MAX_REMEMBERED_UUIDS = 8  # of an attempt's updates; older ones are stale by their step anyhow
+MAX_REMEMBERED_UUIDS = 8  # of an attempt's updates; older updates are recognized as stale by their step
 
 
 class FinalAnswer(Enum):
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRequest:
-    """What a TaskInfo asks for, checked (`asks.read`)."""
+    """The validated request of a TaskInfo (`task_requests`)."""
 
     task_class: str
     service: str
@@ -39,29 +40,30 @@
     remaining_ms: float
     expected_run_ms: float | None = None
     is_retry: bool = False
-    has_explicit_key: bool = False  # the owner gave the key: it names the work, whatever the task id or front
+    has_explicit_key: bool = False  # set by the client: it identifies the work, whatever the task id or API
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One LAUNCH to one agent, from the Bind to the last word about it."""
+    """One LAUNCH to one agent, from the Bind to the last update about it."""
 
     call: Call
     number: int
     machine: str
-    id: str  # the task's id towards the agent; unique over allocators and their restarts
+    id: str  # the task id that the agent sees; unique over allocators and their restarts
     sent_at_ms: float = 0.0
-    session: object = None  # the agent's session that the LAUNCH went to
-    launch_begin: int = 0  # the LAUNCH's place in that session's stream
+    session: object = None  # the agent's session that the LAUNCH was written to
+    launch_begin: int = 0  # byte offset of the LAUNCH in that session's stream
     launch_end: int = 0
     step: AttemptStep = AttemptStep.DISPATCHED
-    is_concluded: bool = False  # the module has had its Returned
-    was_placed: bool = False  # its yes came while the module still waited for it, or it was adopted
+    is_concluded: bool = False  # AttemptEnded was reported to the policy
+    was_placed: bool = False  # accepted while the policy still waited for it, or adopted
     has_run: bool | None = None  # None: not known
     timer: object = None
     update_uuids: list[str] = field(default_factory=list)
 
     def execution_status(self) -> ExecutionStatus:
+        """Whether the attempt ran, as far as is known."""
         if self.has_run is False:
             return ExecutionStatus.NEVER_RAN
         if self.step is AttemptStep.ENDED:
@@ -69,7 +71,7 @@
         return ExecutionStatus.UNCERTAIN if self.step is AttemptStep.DISPATCHED else ExecutionStatus.RUNNING
 
     def check_duplicate_update(self, uuid: str | None) -> bool:
-        """Whether an update with this uuid was handled before; remembers it."""
+        """Returns whether an update with this uuid was handled before, and remembers it."""
         if uuid is None:
             return False
         if uuid in self.update_uuids:
@@ -81,6 +83,8 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
+    """One placement of a client's task, with its attempts."""
+
     number: int
     framework_id: str
     task_id: str
@@ -92,47 +96,53 @@
     attempts: list[Attempt] = field(default_factory=list)
     final_answer: FinalAnswer | None = None
     is_adopted: bool = False
-    is_cancelled: bool = False  # its owner killed it or is gone
-    is_closed: bool = False  # nothing more is expected of the module
-    is_placement_requested: bool = False  # the module has been asked
+    is_cancelled: bool = False  # its client killed it or is disconnected for good
+    is_closed: bool = False  # no further action of the policy is expected
+    is_placement_requested: bool = False  # PlacementRequested was passed to the policy
     pending_reasons: PendingReasons = field(default_factory=PendingReasons)
 
     def last_attempt(self) -> Attempt | None:
+        """The newest attempt, or None."""
         return self.attempts[-1] if self.attempts else None
 
     def active_attempt(self) -> Attempt | None:
-        """The attempt that the module counts as out or placed."""
+        """The attempt that the policy counts as in flight or placed, or None."""
         last = self.last_attempt()
         return last if last is not None and not last.is_concluded else None
 
     def is_placed(self) -> bool:
-        out = self.active_attempt()
-        return out is not None and out.step in (AttemptStep.ACCEPTED, AttemptStep.RUNNING)
+        """Whether the active attempt was accepted by its agent and has not ended."""
+        active = self.active_attempt()
+        return active is not None and active.step in (AttemptStep.ACCEPTED, AttemptStep.RUNNING)
 
     def execution_status(self) -> ExecutionStatus:
+        """Whether the task ran, over all attempts."""
         return combine_execution_statuses([a.execution_status() for a in self.attempts])
 
     def may_have_run(self) -> bool:
+        """Whether any attempt is not known to have never run."""
         return any(a.has_run is not False for a in self.attempts)
 
 
 class CallTable:
-    """Calls by number and by owner's task, attempts by their id and by machine."""
+    """Calls by number and by client's task; attempts by their id and by machine."""
 
     def __init__(self, max_closed_calls: int = 50_000) -> None:
         self.max_closed_calls = max_closed_calls
-        self.active_calls_by_number: dict[int, Call] = {}  # those of which the module still expects something
+        self.active_calls_by_number: dict[int, Call] = {}  # calls that are not closed
         self.latest_calls_by_framework: dict[
             str, dict[str, Call]
         ] = {}  # framework -> task id -> its latest call
         self.attempts_by_id: dict[str, Attempt] = {}
         self.attempts_by_machine: dict[str, dict[str, Attempt]] = {}
         self.closed_calls_by_number: OrderedDict[int, Call] = OrderedDict()
-        self.calls_by_idempotency_key: dict[tuple[str, str], Call] = {}  # tenant, key told -> unsafe call
-        self.open_task_count = 0  # taken and without an answer
+        # By tenant and explicit key; non-idempotent calls only.
+        self.calls_by_idempotency_key: dict[tuple[str, str], Call] = {}
+        self.open_task_count = 0  # calls without a final answer
         self.on_forget: Callable[[Call], None] = lambda call: None
 
     def add_call(self, call: Call) -> None:
+        """Adds an active call; it becomes the latest one of its task."""
         self.active_calls_by_number[call.number] = call
         self.latest_calls_by_framework.setdefault(call.framework_id, {})[call.task_id] = call
         if (
@@ -144,18 +154,20 @@
         self.open_task_count += call.final_answer is None
 
     def bind(self, attempt: Attempt) -> None:
+        """Adds an attempt to its call and to the indexes."""
         attempt.call.attempts.append(attempt)
         self.attempts_by_id[attempt.id] = attempt
         self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.id] = attempt
 
-    def record_answer(self, call: Call, given: FinalAnswer) -> None:
+    def record_answer(self, call: Call, final_answer: FinalAnswer) -> None:
+        """Sets the final answer of a call; raises AssertionError if it has one already."""
         if call.final_answer is not None:
-            raise AssertionError(f"call {call.number}: {given.value} after {call.final_answer.value}")
-        call.final_answer = given
+            raise AssertionError(f"call {call.number}: {final_answer.value} after {call.final_answer.value}")
+        call.final_answer = final_answer
         self.open_task_count -= 1
 
     def close(self, call: Call) -> None:
-        """The module is done with the call; it is remembered for late words and RECONCILE."""
+        """Closes a call for the policy; it stays known for late updates and RECONCILE."""
         if call.is_closed:
             return
         call.is_closed = True
@@ -166,6 +178,7 @@
             self.forget(oldest)
 
     def forget(self, call: Call) -> None:
+        """Removes a call and its attempts from every index."""
         self.closed_calls_by_number.pop(call.number, None)
         if self.calls_by_idempotency_key.get((call.tenant or "", call.task_request.idempotency_key)) is call:
             del self.calls_by_idempotency_key[call.tenant or "", call.task_request.idempotency_key]
@@ -178,24 +191,26 @@
         self.on_forget(call)
 
     def drop(self, attempt: Attempt) -> None:
-        """Forgets an attempt of which no more can be heard."""
+        """Removes an attempt about which no update can come any more."""
         self.attempts_by_id.pop(attempt.id, None)
         self.remove_from_machine(attempt)
 
     def remove_from_machine(self, attempt: Attempt) -> None:
-        """The last word about an attempt came: it no longer counts at its machine."""
-        there = self.attempts_by_machine.get(attempt.machine)
-        if there is not None:
-            there.pop(attempt.id, None)
-            if not there:
+        """Removes an attempt from its machine after the last update about it."""
+        attempts_by_id = self.attempts_by_machine.get(attempt.machine)
+        if attempts_by_id is not None:
+            attempts_by_id.pop(attempt.id, None)
+            if not attempts_by_id:
                 del self.attempts_by_machine[attempt.machine]
 
     def attempts_at(self, machine: str) -> list[Attempt]:
-        """Attempts at a machine of which more may be heard."""
+        """Attempts at a machine about which updates may still come."""
         return list(self.attempts_by_machine.get(machine, {}).values())
 
-    def find_call(self, framework: str, task_id: str) -> Call | None:
-        return self.latest_calls_by_framework.get(framework, {}).get(task_id)
+    def find_call(self, framework_id: str, task_id: str) -> Call | None:
+        """The latest call of a framework's task, or None."""
+        return self.latest_calls_by_framework.get(framework_id, {}).get(task_id)
 
-    def calls_of(self, framework: str) -> list[Call]:
-        return list(self.latest_calls_by_framework.get(framework, {}).values())
+    def calls_of(self, framework_id: str) -> list[Call]:
+        """The latest call of each known task of a framework."""
+        return list(self.latest_calls_by_framework.get(framework_id, {}).values())
--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -1,9 +1,10 @@
-"""The contract of the module's interface, checked at run time in both directions.
+"""Checks the contract of the policy's interface at run time, in both directions.
 
-Between core and module: `ContractChecker.handle` has the module's own signature. An embedder's mistake (a
-wrong attempt number, an answer told twice) is silently ignored by the module, which then thinks an attempt is
-out for ever and soon sends four offers a machine and no more. Here it raises ContractError at the event that
-is wrong."""
+`ContractChecker` sits between the caller and the policy and has the policy's own signature. The policy
+silently ignores a caller's mistake, such as a wrong attempt number or an answer reported twice; it then
+counts an attempt as in flight for ever, and after four of these at a machine it sends nothing more there. The
+checker raises ContractError at the faulty event instead.
+"""
 
 from __future__ import annotations
 
@@ -15,137 +16,146 @@
 
 
 class ContractError(AssertionError):
-    """A caller or the module broke the contract of `glencleat/interface.py`; the text says how."""
+    """The caller or the policy broke the contract of `glencleat/interface.py`; the text says how."""
 
 
 class DecisionModule(Protocol):
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
+    """A policy: takes events, returns actions."""
+
+    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Returns the actions that follow the event, in the order in which they are to be carried out."""
 
 
 @dataclass(slots=True)
 class TrackedCall:
-    """What the contract remembers of one call."""
+    """State of one call, as far as the contract depends on it."""
 
     bind_count: int = 0
     machine: str = ""
-    has_active_attempt: bool = False  # the last attempt has had no Returned
+    has_active_attempt: bool = False  # the last attempt has had no AttemptEnded
     is_accepted: bool = False
-    is_closed: bool = False  # answered, left or ended: nothing more may be bound
+    is_closed: bool = False  # answered, abandoned or ended: no further Bind is allowed
 
 
 class ContractChecker:
-    """Wraps a module; forgets a call once it is over and its last attempt is back."""
+    """Wraps a policy; forgets a call once it is closed and its last attempt has ended."""
 
     def __init__(self, module: DecisionModule) -> None:
         self.module = module
         self.last_now_ms = float("-inf")
         self.calls_by_id: dict[int, TrackedCall] = {}
-        self.timer_count = 0
-        self.module_cpu_s, self.event_count = (
-            0.0,
-            0,
-        )  # CPU time that the module itself took, and for how many events
+        self.timer_count = 0  # timers that were set and have not fired
+        # CPU time of the policy alone, and the number of events that it handled in it.
+        self.module_cpu_s, self.event_count = 0.0, 0
         self.probe_counts_by_machine: dict[str, int] = {}
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Checks the event, passes it to the policy, and checks and returns the policy's actions.
+
+        Raises ContractError.
+        """
         if now_ms < self.last_now_ms:
             raise ContractError(f"the clock went back from {self.last_now_ms} to {now_ms}")
         self.last_now_ms = now_ms
-        self._event(event)
-        began = time.thread_time()
+        self._check_event(event)
+        started_s = time.thread_time()
         actions = self.module.handle(now_ms, event)
-        self.module_cpu_s += time.thread_time() - began
+        self.module_cpu_s += time.thread_time() - started_s
         self.event_count += 1
         if isinstance(event, api.AttemptEnded | api.CallAbandoned):
-            self._forget(event.call_id)
+            self._forget_if_done(event.call_id)
         for action in actions:
-            self._action(action)
+            self._check_action(action)
         return actions
 
-    # ---- what we tell ----
+    # ---- events to the policy ----
 
-    def _event(self, event: api.Event) -> None:
+    def _check_event(self, event: api.Event) -> None:
         if isinstance(event, api.PlacementRequested):
-            self._asked(event)
+            self._check_request(event)
         elif isinstance(event, api.AttemptAccepted):
-            known = self._attempt(event, "Accepted")
-            if known.is_accepted:
-                raise ContractError(f"call {event.call_id}: Accepted told twice")
-            known.is_accepted = True
+            call = self._check_attempt(event, "Accepted")
+            if call.is_accepted:
+                raise ContractError(f"call {event.call_id}: Accepted reported twice")
+            call.is_accepted = True
         elif isinstance(event, api.AttemptEnded):
-            known = self._attempt(event, "Returned")
-            known.has_active_attempt = False
-            if known.is_accepted and not event.is_call_closed:
-                raise ContractError(f"call {event.call_id}: Returned after Accepted must be over")
-            known.is_closed |= event.is_call_closed
+            call = self._check_attempt(event, "Returned")
+            call.has_active_attempt = False
+            if call.is_accepted and not event.is_call_closed:
+                raise ContractError(f"call {event.call_id}: Returned after Accepted must close the call")
+            call.is_closed |= event.is_call_closed
         elif isinstance(event, api.CallAbandoned):
-            self._known(event.call_id, "Left").is_closed = True
+            self._find_call(event.call_id, "Left").is_closed = True
         elif isinstance(event, api.TimerFired):
-            self._count("timer_count", "TimerDue without a SetTimer")
+            self._decrement("timer_count", "TimerFired without a SetTimer")
         elif isinstance(event, api.ProbeEnded):
             if self.probe_counts_by_machine.get(event.machine, 0) < 1:
-                raise ContractError(f"machine {event.machine}: Probed without a Probe")
+                raise ContractError(f"machine {event.machine}: ProbeEnded without a Probe")
             self.probe_counts_by_machine[event.machine] -= 1
             if not self.probe_counts_by_machine[event.machine]:
                 del self.probe_counts_by_machine[event.machine]
 
-    def _asked(self, event: api.PlacementRequested) -> None:
+    def _check_request(self, event: api.PlacementRequested) -> None:
         if event.call_id in self.calls_by_id:
-            raise ContractError(f"call {event.call_id}: Asked twice; expected a number not in use")
+            raise ContractError(f"call {event.call_id}: requested twice; expected an id that is not in use")
         if event.machine is None and not event.remaining_ms > 0.0:
             raise ContractError(
-                f"call {event.call_id}: left_ms is {event.remaining_ms}; expected a time above 0"
+                f"call {event.call_id}: remaining_ms is {event.remaining_ms}; expected a time above 0"
+            )
+        is_adopted = event.machine is not None
+        self.calls_by_id[event.call_id] = TrackedCall(
+            int(is_adopted), event.machine or "", is_adopted, is_adopted
+        )
+
+    def _find_call(self, call_id: int, event_name: str) -> TrackedCall:
+        if call_id not in self.calls_by_id:
+            raise ContractError(f"call {call_id}: {event_name} of a call that was never requested or is over")
+        return self.calls_by_id[call_id]
+
+    def _check_attempt(self, event: api.AttemptAccepted | api.AttemptEnded, event_name: str) -> TrackedCall:
+        call = self._find_call(event.call_id, event_name)
+        if event.attempt != call.bind_count - 1:
+            found = f"{event_name} of attempt {event.attempt}"
+            raise ContractError(
+                f"call {event.call_id}: {found}; attempts count from 0, the last is {call.bind_count - 1}"
             )
-        adopted = event.machine is not None
-        self.calls_by_id[event.call_id] = TrackedCall(int(adopted), event.machine or "", adopted, adopted)
-
-    def _known(self, call: int, name: str) -> TrackedCall:
-        if call not in self.calls_by_id:
-            raise ContractError(f"call {call}: {name} of a call never asked or over")
-        return self.calls_by_id[call]
-
-    def _attempt(self, event: api.AttemptAccepted | api.AttemptEnded, name: str) -> TrackedCall:
-        known = self._known(event.call_id, name)
-        if event.attempt != known.bind_count - 1:
-            told = f"{name} of attempt {event.attempt}"
+        if event.machine != call.machine:
             raise ContractError(
-                f"call {event.call_id}: {told}; attempts count from 0, out is {known.bind_count - 1}"
+                f"call {event.call_id}: {event_name} by {event.machine}, bound to {call.machine}"
             )
-        if event.machine != known.machine:
-            raise ContractError(f"call {event.call_id}: {name} by {event.machine}, bound to {known.machine}")
-        if not known.has_active_attempt:
+        if not call.has_active_attempt:
             raise ContractError(
-                f"call {event.call_id}: {name} of attempt {event.attempt}, which is back already"
+                f"call {event.call_id}: {event_name} of attempt {event.attempt}, which has ended already"
             )
         if event.elapsed_ms < 0.0:
-            raise ContractError(f"call {event.call_id}: spent_ms is {event.elapsed_ms}")
-        return known
+            raise ContractError(f"call {event.call_id}: elapsed_ms is {event.elapsed_ms}; expected 0 or more")
+        return call
 
-    def _count(self, name: str, fault: str) -> None:
-        left = getattr(self, name) - 1
-        if left < 0:
+    def _decrement(self, counter_name: str, fault: str) -> None:
+        remaining = getattr(self, counter_name) - 1
+        if remaining < 0:
             raise ContractError(fault)
-        setattr(self, name, left)
+        setattr(self, counter_name, remaining)
 
-    # ---- what it answers ----
+    # ---- actions of the policy ----
 
-    def _action(self, action: api.Action) -> None:
+    def _check_action(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
-            known = self._open(action.call_id, "Bind")
-            if known.has_active_attempt:
+            call = self._find_open_call(action.call_id, "Bind")
+            if call.has_active_attempt:
                 raise ContractError(
-                    f"call {action.call_id}: Bind while attempt {known.bind_count - 1} is out"
+                    f"call {action.call_id}: Bind while attempt {call.bind_count - 1} is in flight"
                 )
-            known.bind_count, known.machine = known.bind_count + 1, action.machine
-            known.has_active_attempt, known.is_accepted = True, False
+            call.bind_count, call.machine = call.bind_count + 1, action.machine
+            call.has_active_attempt, call.is_accepted = True, False
         elif isinstance(action, api.Reject | api.Fail):
-            known = self._open(action.call_id, type(action).__name__)
-            if known.has_active_attempt:
+            call = self._find_open_call(action.call_id, type(action).__name__)
+            if call.has_active_attempt:
                 raise ContractError(
-                    f"call {action.call_id}: answered while attempt {known.bind_count - 1} is out"
+                    f"call {action.call_id}: answered while attempt {call.bind_count - 1} is in flight"
                 )
-            known.is_closed = True
-            self._forget(action.call_id)
+            call.is_closed = True
+            self._forget_if_done(action.call_id)
         elif isinstance(action, api.SetTimer):
             self.timer_count += 1
         elif isinstance(action, api.Probe):
@@ -153,13 +163,13 @@
                 self.probe_counts_by_machine.get(action.machine, 0) + 1
             )
 
-    def _open(self, call: int, name: str) -> TrackedCall:
-        known = self.calls_by_id.get(call)
-        if known is None or known.is_closed:
-            raise ContractError(f"call {call}: {name} after its answer")
-        return known
+    def _find_open_call(self, call_id: int, action_name: str) -> TrackedCall:
+        call = self.calls_by_id.get(call_id)
+        if call is None or call.is_closed:
+            raise ContractError(f"call {call_id}: {action_name} after its final answer")
+        return call
 
-    def _forget(self, call: int) -> None:
-        known = self.calls_by_id.get(call)
-        if known is not None and known.is_closed and not known.has_active_attempt:
-            del self.calls_by_id[call]
+    def _forget_if_done(self, call_id: int) -> None:
+        call = self.calls_by_id.get(call_id)
+        if call is not None and call.is_closed and not call.has_active_attempt:
+            del self.calls_by_id[call_id]
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -1,8 +1,9 @@
-"""The core: events in, the module's actions out, and the state of every task in between.
+"""The core: takes events, carries out the policy's actions, and holds the state of every task.
 
-Fronts call `framework_sessions` and `agent_sessions` (owner_side, agent_side) with parsed calls; the core
-keeps ledger, members and frameworks, tells the module, carries out what it answers. Clock and timers come
-from the kernel's Loop (or anything with its `now`, `call_in` and `clock.wall`)."""
+Servers call `framework_sessions` and `agent_sessions` with parsed calls. The core owns the call table, the
+agents and the frameworks, passes events to the policy and carries out the actions that it returns. Clock and
+timers come from the event loop, or from anything with its `now`, `call_in` and `clock.wall`.
+"""
 
 from __future__ import annotations
 
@@ -47,8 +48,23 @@
 from glencleat.allocator.status_mapping import AttemptStep, StatusAnswer
 from glencleat.mesos import messages as m
 
+WARM_UP_WAIT_FACTOR = 1.25  # of the warm-up window: what an earlier incarnation offered has left it by then
+UNKNOWN_STREAM_OFFSET = 1 << 62  # beyond any byte that was written, so that the record counts as not sent
+
 
 class Core:
+    """State and operations of one allocator; implements `ports.CorePort`.
+
+    Arguments:
+        settings: settings of the policy.
+        module: the policy.
+        options: options of the process.
+        timing: clock and timers.
+        seed: seed of everything random here.
+        log: takes the name of an event, and its fields.
+
+    """
+
     def __init__(
         self,
         settings: api.Settings,
@@ -78,16 +94,16 @@
         self.pending_probes_by_machine: dict[
             str, deque[tuple[int, Any]]
         ] = {}  # machine -> probe number and its timer
-        self.event_dispatcher = EventDispatcher(self.module, self.now, self._act)
+        self.event_dispatcher = EventDispatcher(self.module, self.now, self._execute_action)
         self.is_shutting_down = False
-        self.watch_machine_list: Callable[[], None] = lambda: None  # set by the directory's client
-        self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered while ending
+        self.watch_machine_list: Callable[[], None] = lambda: None  # set by the directory client
+        self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered during shutdown
         self.last_now_ms = timing.now()
-        least = 1.25 * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
-        self.startup_gate = StartupGate(self.last_now_ms, least, options.startup_grace_ms)
-        self.serving_machines: set[str] | None = None  # machines that the list tells as serving
+        min_wait_ms = WARM_UP_WAIT_FACTOR * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
+        self.startup_gate = StartupGate(self.last_now_ms, min_wait_ms, options.startup_grace_ms)
+        self.serving_machines: set[str] | None = None  # by the machine list; None before the first
         self.listeners: list[DomainEventListener] = []
-        self.admission_queue = AdmissionQueue(self)  # tasks that came before the opening, or soon after it
+        self.admission_queue = AdmissionQueue(self)  # tasks that came before the gate opened, or soon after
         self.admission_chain: list[AdmissionCheck] = [DuplicateFilter(self.call_table).decide_admission]
         self.in_process_frameworks_by_prefix: dict[str, InProcessFramework] = {}
         self.call_table.on_forget = lambda call: self.publish_event(CallForgotten(call))
@@ -95,45 +111,49 @@
         self.agent_sessions = AgentSessions(self)
         timing.call_in(options.sweep_interval_ms, self._sweep)
 
-    # ---- the seam ----
+    # ---- domain events and admission chain ----
 
-    def add_listener(self, hearer: DomainEventListener) -> None:
-        """Subscribes to what happens; see seam.py for what a hearer may do."""
-        self.listeners.append(hearer)
+    def add_listener(self, listener: DomainEventListener) -> None:
+        """Subscribes to domain events; `domain_events` says what a listener may do."""
+        self.listeners.append(listener)
 
-    def publish_event(self, what: DomainEvent) -> None:
-        for hearer in self.listeners:
-            hearer(what)
+    def publish_event(self, event: DomainEvent) -> None:
+        """Passes a domain event to every listener."""
+        for listener in self.listeners:
+            listener(event)
 
-    def decide_admission(self, asking: AdmissionRequest) -> AdmissionDecision | None:
-        """The first verdict of the chain; None: the task is taken."""
-        for decider in self.admission_chain:
-            verdict = decider(asking)
-            if verdict is not None:
-                return verdict
+    def decide_admission(self, request: AdmissionRequest) -> AdmissionDecision | None:
+        """Returns the first rejection of the admission chain, or None if the task is admitted."""
+        for check in self.admission_chain:
+            decision = check(request)
+            if decision is not None:
+                return decision
         return None
 
-    def register_in_process(self, insider: InProcessFramework) -> None:
-        """Makes an owner within the process known; frameworks can't subscribe under its prefix."""
-        self.in_process_frameworks_by_prefix[insider.prefix] = insider
+    def register_in_process(self, framework: InProcessFramework) -> None:
+        """Registers a client in this process; other frameworks can't subscribe under its prefix."""
+        self.in_process_frameworks_by_prefix[framework.prefix] = framework
 
     def is_framework_known(self, call: Call) -> bool:
-        """Whether a task's owner is known here."""
-        insider = self.in_process_frameworks_by_prefix.get(call.framework_id.partition(":")[0])
-        return insider.is_task_needed(call) if insider is not None else self.framework_of(call) is not None
+        """Whether the call's client is known here; an in-process client must still want the task."""
+        framework = self.in_process_frameworks_by_prefix.get(call.framework_id.partition(":")[0])
+        return (
+            framework.is_task_needed(call) if framework is not None else self.framework_of(call) is not None
+        )
 
-    # ---- to the module and back ----
+    # ---- events to the policy, and its actions ----
 
     def now(self) -> float:
+        """Milliseconds on a clock that never goes back."""
         self.last_now_ms = max(self.last_now_ms, self.timing.now())
         return self.last_now_ms
 
     def dispatch_event(self, event: api.Event) -> None:
-        """Tells the module, in order: what its actions cause at once is told after them."""
+        """Passes an event to the policy and carries out its actions; events these cause follow after them."""
         self.event_dispatcher.dispatch_event(event)
 
     def update_machine_list(self, event: api.MachineListUpdated) -> None:
-        """News of the machine list."""
+        """Applies a snapshot, delta or failure of the machine list."""
         if event.kind is not api.ListUpdateKind.FAILED:
             serving = {
                 machine.name for machine in event.machines if machine.phase is api.MachinePhase.SERVING
@@ -148,49 +168,54 @@
         self.open_gate_if_ready()
 
     def request_placement(self, call: Call) -> None:
-        """A task to be placed: told to the module, or in its turn when this allocator has just started."""
+        """Requests a placement from the policy: at once, or in the call's turn after a start."""
         if not self.admission_queue.is_bypassed:
             self.admission_queue.add(call)
             return
-        left = call.task_request.remaining_ms - (self.now() - call.received_at_ms)
-        if left <= 0.0:
+        remaining_ms = call.task_request.remaining_ms - (self.now() - call.received_at_ms)
+        if remaining_ms <= 0.0:
             self.answer(call, FinalAnswer.REJECTED, status_mapping.rejection_answer(False))
         else:
-            self.dispatch_placement(call, left)
+            self.dispatch_placement(call, remaining_ms)
 
-    def dispatch_placement(self, call: Call, left_ms: float, machine: str | None = None) -> None:
-        """The call becomes the module's: to be placed, or with `machine` one that runs there already."""
-        ask = call.task_request
+    def dispatch_placement(self, call: Call, remaining_ms: float, machine: str | None = None) -> None:
+        """Passes the call to the policy; with `machine`, as one that runs there already."""
+        request = call.task_request
         call.is_placement_requested = True
         self.dispatch_event(
             api.PlacementRequested(
                 call.number,
-                ask.task_class,
-                ask.service,
-                ask.cores,
-                ask.memory,
-                left_ms,
+                request.task_class,
+                request.service,
+                request.cores,
+                request.memory,
+                remaining_ms,
                 call.tenant,
-                ask.expected_run_ms,
+                request.expected_run_ms,
                 machine,
-                ask.is_retry,
+                request.is_retry,
             )
         )
 
     def open_gate_if_ready(self) -> None:
+        """Opens the startup gate, and the admission queue once a machine serves, if the gate may open."""
         if self.admission_queue.slow_start is not None:
             return
-        here = (x.id for x in self.membership.members_by_agent.values() if x.state is AgentState.SUBSCRIBED)
-        before = self.startup_gate.is_open
-        if not self.startup_gate.try_open(self.now(), self.serving_machines, here):
+        subscribed = (
+            member.id
+            for member in self.membership.members_by_agent.values()
+            if member.state is AgentState.SUBSCRIBED
+        )
+        was_open = self.startup_gate.is_open
+        if not self.startup_gate.try_open(self.now(), self.serving_machines, subscribed):
             return
-        if not before:
+        if not was_open:
             self.publish_event(PlacementOpened())
         if self.serving_machines:
             self.admission_queue.begin_slow_start()
 
     def find_unready_reason(self) -> str | None:
-        """Why owners do better elsewhere just now, or None. What they ask here is held meanwhile."""
+        """Why clients should use another allocator for now, or None; their calls are queued meanwhile."""
         if self.is_shutting_down:
             return "shutting down"
         if self.admission_queue.slow_start is None:
@@ -201,7 +226,7 @@
             )
         return None
 
-    def _act(self, action: api.Action) -> None:
+    def _execute_action(self, action: api.Action) -> None:
         if isinstance(action, api.Bind):
             self._bind(action)
         elif isinstance(action, api.Reject):
@@ -217,40 +242,39 @@
             token = action.token
             self.timing.call_in(action.delay_ms, lambda: self.dispatch_event(api.TimerFired(token)))
         elif isinstance(action, api.Probe):
-            self._probe(action.machine)
+            self._send_probe(action.machine)
         elif isinstance(action, api.WatchMachineList):
             self.watch_machine_list()
         elif isinstance(action, api.LogMessage):
             self.log("module", text=action.text)
         elif isinstance(action, api.Migrate):
-            self._move(action.call_id)
+            self._migrate(action.call_id)
 
     # ---- attempts ----
 
     def _bind(self, action: api.Bind) -> None:
         call, now = self.call_table.active_calls_by_number[action.call_id], self.now()
         number = len(call.attempts)
-        name = f"{self.options.name}-{self.incarnation}-{call.number}.{number}"
-        attempt = Attempt(call, number, action.machine, name, now)
+        attempt_id = f"{self.options.name}-{self.incarnation}-{call.number}.{number}"
+        attempt = Attempt(call, number, action.machine, attempt_id, now)
         self.call_table.bind(attempt)
         self.publish_event(AttemptSent(attempt))
-        link: Any = self.membership.session_of(action.machine)
-        if link is None:
+        session: Any = self.membership.session_of(action.machine)
+        if session is None:
             self.fail_attempt(attempt, api.Outcome.UNREACHABLE, may_have_run=False)
             return
-        attempt.session = link
-        attempt.launch_begin = attempt.launch_end = (
-            1 << 62
-        )  # nothing is handed over until the link has told where it lies
-        place = link.send(self._launch(attempt, action.timeout_ms))
+        attempt.session = session
+        # The LAUNCH counts as not sent until the session returns its place in the stream.
+        attempt.launch_begin = attempt.launch_end = UNKNOWN_STREAM_OFFSET
+        launch_range = session.send(self._encode_launch(attempt, action.timeout_ms))
         if attempt.is_concluded:
-            return  # the link failed while it took the record, and its end settled the attempt
-        attempt.launch_begin, attempt.launch_end = place
-        attempt.timer = self.timing.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
+            return  # the session failed while it took the record, which concluded the attempt
+        attempt.launch_begin, attempt.launch_end = launch_range
+        attempt.timer = self.timing.call_in(action.timeout_ms, lambda: self._on_attempt_timeout(attempt))
 
-    def _launch(self, attempt: Attempt, timeout_ms: float) -> bytes:
+    def _encode_launch(self, attempt: Attempt, timeout_ms: float) -> bytes:
         call = attempt.call
-        cls = self.classes_by_name[call.task_request.task_class]
+        task_class = self.classes_by_name[call.task_request.task_class]
         labels = {
             "class": call.task_request.task_class,
             "service": call.task_request.service,
@@ -260,8 +284,8 @@
             "tenant": call.tenant,
             "attempt": str(attempt.number),
             "answer_within_ms": f"{timeout_ms:.0f}",
-            "priority": str(cls.priority),
-            "effect": cls.idempotency.value,
+            "priority": str(task_class.priority),
+            "effect": task_class.idempotency.value,
             "life_ms": None
             if call.task_request.expected_run_ms is None
             else f"{call.task_request.expected_run_ms:.0f}",
@@ -277,23 +301,26 @@
         return m.encode(m.ExecutorEvent("LAUNCH", launch=m.LaunchEvent(info)))
 
     def find_delivery_status(self, attempt: Attempt) -> delivery_status.DeliveryStatus:
+        """How much of the attempt's LAUNCH left this process."""
         session: Any = attempt.session
         if session is None:
             return delivery_status.DeliveryStatus.NOT_SENT
-        return delivery_status.classify_delivery(session.written_bytes(), attempt.launch_begin, attempt.launch_end)
+        return delivery_status.classify_delivery(
+            session.written_bytes(), attempt.launch_begin, attempt.launch_end
+        )
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
         if attempt.is_concluded:
             return
-        verdict = delivery_status.decide_on_timeout(attempt.step, self.find_delivery_status(attempt))
-        if verdict.action is delivery_status.DeliveryAction.CLOSE_SESSION:
+        decision = delivery_status.decide_on_timeout(attempt.step, self.find_delivery_status(attempt))
+        if decision.action is delivery_status.DeliveryAction.CLOSE_SESSION:
             session: Any = attempt.session
-            session.close("the agent does not read")  # ends as a lost session, which settles the attempt
-        if verdict.action is not delivery_status.DeliveryAction.IGNORE and not attempt.is_concluded:
-            self.fail_attempt(attempt, verdict.outcome, verdict.may_have_run)
+            session.close("the agent does not read")  # handled as a lost session, which concludes the attempt
+        if decision.action is not delivery_status.DeliveryAction.IGNORE and not attempt.is_concluded:
+            self.fail_attempt(attempt, decision.outcome, decision.may_have_run)
 
     def fail_attempt(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
-        """The attempt is back without a yes; what the agent may still say of it is late from here on."""
+        """Concludes an attempt that was not accepted; any later update of the agent about it is late."""
         if not may_have_run:
             attempt.has_run = False
             self.call_table.remove_from_machine(attempt)
@@ -307,25 +334,30 @@
         why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
         report: api.LoadReport | None = None,
     ) -> None:
-        """Tells the module that an attempt is back, once."""
+        """Reports the end of an attempt to the policy, once.
+
+        With `over` the call is closed; `why` is the reason of the outcome, `report` the agent's load report.
+        """
         call = attempt.call
         attempt.is_concluded = True
         self.stop_timer(attempt)
         self.counters.attempts_by_outcome[outcome.value] += 1
-        spent = max(0.0, self.now() - attempt.sent_at_ms)
+        elapsed_ms = max(0.0, self.now() - attempt.sent_at_ms)
         if call.final_answer is None:
             call.pending_reasons.record(outcome, why, attempt.machine, self.now())
         if over and call.final_answer is not None:
             self.call_table.close(call)
         self.publish_event(AttemptConcluded(attempt, outcome, why))
         self.dispatch_event(
-            api.AttemptEnded(call.number, attempt.number, attempt.machine, outcome, spent, over, why, report)
+            api.AttemptEnded(
+                call.number, attempt.number, attempt.machine, outcome, elapsed_ms, over, why, report
+            )
         )
         if call.final_answer is None and call.is_cancelled:
-            self._withdrawn(call)
+            self._answer_cancelled(call)
 
-    def _withdrawn(self, call: Call) -> None:
-        """The owner killed the task while an attempt was out, and the attempt is back."""
+    def _answer_cancelled(self, call: Call) -> None:
+        """Answers a call that its client cancelled during an attempt, once the attempt has ended."""
         if call.may_have_run():
             self.answer(call, FinalAnswer.FAILED, status_mapping.failure_answer())
         else:
@@ -336,44 +368,49 @@
             )
 
     def stop_timer(self, attempt: Attempt) -> None:
+        """Cancels the attempt's time-out."""
         timer: Any = attempt.timer
         if timer is not None:
             timer.cancel()
             attempt.timer = None
 
-    def _move(self, number: int) -> None:
-        out = self.call_table.active_calls_by_number[number].active_attempt()
-        if out is not None:
-            self.kill(out)
+    def _migrate(self, call_number: int) -> None:
+        attempt = self.call_table.active_calls_by_number[call_number].active_attempt()
+        if attempt is not None:
+            self.kill(attempt)
 
     def kill(self, attempt: Attempt) -> None:
-        """Asks the agent to stop the task; follows its LAUNCH on the same stream, so it can't overtake it."""
-        link: Any = self.membership.session_of(attempt.machine)
-        if link is not None and attempt.step is not AttemptStep.ENDED:
+        """Sends a KILL to the agent, on the same stream as the LAUNCH, so that it can't overtake it."""
+        session: Any = self.membership.session_of(attempt.machine)
+        if session is not None and attempt.step is not AttemptStep.ENDED:
             self.counters.counts_by_event["kill"] += 1
-            link.send(m.encode(m.ExecutorEvent("KILL", kill=m.KillEvent(m.Value(attempt.id)))))
+            session.send(m.encode(m.ExecutorEvent("KILL", kill=m.KillEvent(m.Value(attempt.id)))))
 
     # ---- probes ----
 
-    def _probe(self, machine: str) -> None:
-        link: Any = self.membership.session_of(machine)
-        if link is None:
+    def _send_probe(self, machine: str) -> None:
+        session: Any = self.membership.session_of(machine)
+        if session is None:
             self.dispatch_event(api.ProbeEnded(machine, api.Outcome.UNREACHABLE))
             return
         number = next(self.probe_numbers)
-        timeout = self.options.probe_timeout_ms
-        timer = self.timing.call_in(timeout, lambda: self.conclude_probe(machine, number, None))
+        timeout_ms = self.options.probe_timeout_ms
+        timer = self.timing.call_in(timeout_ms, lambda: self.conclude_probe(machine, number, None))
         self.pending_probes_by_machine.setdefault(machine, deque()).append((number, timer))
         payload = m.encode_payload(m.Payload("probe", probe=number))
-        link.send(m.encode(m.ExecutorEvent("MESSAGE", message=m.Message(payload))))
+        session.send(m.encode(m.ExecutorEvent("MESSAGE", message=m.Message(payload))))
 
     def conclude_probe(self, machine: str, number: int, report: api.LoadReport | None) -> None:
-        waiting = self.pending_probes_by_machine.get(machine, deque())
-        for item in waiting:
-            if item[0] == number:
-                waiting.remove(item)
-                item[1].cancel()
-                if not waiting:
+        """Ends a probe with the agent's report, or with None after its time-out.
+
+        Ignores a number that is not pending.
+        """
+        pending_probes = self.pending_probes_by_machine.get(machine, deque())
+        for probe in pending_probes:
+            if probe[0] == number:
+                pending_probes.remove(probe)
+                probe[1].cancel()
+                if not pending_probes:
                     del self.pending_probes_by_machine[machine]
                 outcome = api.Outcome.TIMED_OUT if report is None else api.Outcome.COMPLETED
                 self.dispatch_event(api.ProbeEnded(machine, outcome, report))
@@ -381,19 +418,19 @@
 
     # ---- answers ----
 
-    def answer(self, call: Call, given: FinalAnswer, answer: StatusAnswer) -> None:
-        """The one final answer of a call, to figures, ledger and owner."""
-        self.call_table.record_answer(call, given)
-        self.counters.record_answer(call.task_request.task_class, given)
+    def answer(self, call: Call, final_answer: FinalAnswer, answer: StatusAnswer) -> None:
+        """Gives a call its one final answer: records and counts it, and reports it to the client."""
+        self.call_table.record_answer(call, final_answer)
+        self.counters.record_answer(call.task_request.task_class, final_answer)
         framework = self.framework_of(call)
         if framework is not None:
             framework.open_task_count -= 1
-        if given is not FinalAnswer.PLACED:
+        if final_answer is not FinalAnswer.PLACED:
             self.call_table.close(call)
-        self.publish_event(CallAnswered(call, given))
+        self.publish_event(CallAnswered(call, final_answer))
         text = (
             None
-            if given is FinalAnswer.PLACED
+            if final_answer is FinalAnswer.PLACED
             else call.pending_reasons.describe(len(self.serving_machines or ()))
         )
         self.framework_sessions.report_status(call, answer, text)
@@ -408,8 +445,11 @@
         message: str | None = None,
         acked: bool = True,
     ) -> m.TaskStatus:
-        """A status for an owner; with a uuid if it is to be acknowledged."""
-        token = uuid.UUID(int=self.random.getrandbits(128), version=4).bytes
+        """Builds a status for a client; with `acked` it has a uuid, which the client acknowledges.
+
+        `machine` is None where the allocator and not an agent is the source of the status.
+        """
+        update_uuid = uuid.UUID(int=self.random.getrandbits(128), version=4).bytes
         return m.TaskStatus(
             task_id=m.Value(task_id),
             state=answer.state,
@@ -418,21 +458,21 @@
             message=message,
             agent_id=m.Value(machine or self.options.pool),
             timestamp=self.timing.clock.wall() / 1000.0,
-            uuid=base64.b64encode(token).decode() if acked else None,
+            uuid=base64.b64encode(update_uuid).decode() if acked else None,
             labels=m.Labels([m.Label("retry", answer.retry_advice.value)]),
         )
 
-    # ---- time ----
+    # ---- periodic work ----
 
     def _sweep(self) -> None:
-        """Looks for silent and lost agents, owners that stay away, updates and offers that are due."""
+        """Handles unresponsive and lost agents, framework failover time-outs, and updates and offers due."""
         self.timing.call_in(self.options.sweep_interval_ms, self._sweep)
         self.open_gate_if_ready()
         now = self.now()
         for member in self.membership.find_unresponsive(now):
             session: Any = member.session
             if session is None:
-                continue  # it broke just now: the end of another's session bound a task to this one
+                continue  # it failed in this sweep, when the end of another session bound a task to it
             self.log("agent silent", agent=member.id, heard_ms_ago=round(now - member.last_heard_at_ms))
             session.close("no heartbeat")
         for member in self.membership.mark_lost(now):
@@ -441,34 +481,39 @@
             self.agent_sessions.handle_lost_agent(member.id)
         self.framework_sessions.sweep(now)
 
-    # ---- the end ----
+    # ---- shutdown ----
 
     def begin_shutdown(self) -> None:
-        """SIGTERM: no new tasks from here on; `on_idle` follows when all that is held has its answer."""
+        """Begins a graceful shutdown: accepts no new task; calls `on_idle` once every call is answered."""
         self.is_shutting_down = True
         if not self.call_table.open_task_count:
             self.on_idle()
 
     def finish_shutdown(self) -> None:
-        """The end's time is up: what has no answer yet gets the one that is true now."""
+        """Ends a graceful shutdown: answers each open call by what is known of its execution now."""
         for call in [c for c in self.call_table.active_calls_by_number.values() if c.final_answer is None]:
             call.is_cancelled = True
             if call.is_placement_requested:
                 self.dispatch_event(api.CallAbandoned(call.number))
-            out = call.active_attempt()
-            if out is not None and self.find_delivery_status(out) is not delivery_status.DeliveryStatus.SENT:
-                session: Any = out.session
-                session.close("shutting down")  # so the LAUNCH can't arrive, and the session's end says so
-            elif out is not None:
-                self.kill(out)
+            attempt = call.active_attempt()
+            if (
+                attempt is not None
+                and self.find_delivery_status(attempt) is not delivery_status.DeliveryStatus.SENT
+            ):
+                session: Any = attempt.session
+                # The LAUNCH can't arrive once the session is closed; the close concludes the attempt.
+                session.close("shutting down")
+            elif attempt is not None:
+                self.kill(attempt)
             if call.final_answer is None:
-                may = call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT
+                is_failed = call.may_have_run() and call.idempotency is not api.Idempotency.IDEMPOTENT
                 answer = (
                     status_mapping.failure_answer()
-                    if may
+                    if is_failed
                     else status_mapping.rejection_answer(call.may_have_run())
                 )
-                self.answer(call, FinalAnswer.FAILED if may else FinalAnswer.REJECTED, answer)
+                self.answer(call, FinalAnswer.FAILED if is_failed else FinalAnswer.REJECTED, answer)
 
     def framework_of(self, call: Call) -> Framework | None:
+        """The Mesos framework that owns the call's task, or None."""
         return self.frameworks.frameworks_by_id.get(call.framework_id)
--- a/glencleat/allocator/domain_events.py
+++ b/glencleat/allocator/domain_events.py
@@ -1,12 +1,14 @@
-"""The seam between the core and its subsystems, one way each. Pure types; it imports no half of the core.
+"""Types between the core and its subsystems. Pure types; imports neither the core nor its two halves.
 
-Out: `DomainEvent`, a typed list of what happened, to whoever subscribed (`Core.add_listener`). A subscriber
-is called in the middle of the core's work: it notes what it needs and returns; it never calls the core from
-there.
+Outwards: `DomainEvent`, the events that the core publishes to each listener (`Core.add_listener`). A listener
+is called in the middle of the core's work: it records what it needs and returns, and never calls the core
+from there.
 
-In: deciders, asked in their order before a task is told to the module (`Core.admission_chain`). The first
-that gives a Verdict turns the task away; the module is then never asked. And `Insider`, an owner that lives
-in this process, such as the REST front: its tasks pass through the same ledger, figures and answers."""
+Inwards: admission checks, run in order before a task is passed to the policy (`Core.admission_chain`). The
+first that returns an `AdmissionDecision` turns the task away, and the policy never sees it. And
+`InProcessFramework`, a client in this process, such as the REST API: its tasks pass through the same call
+table, counters and answers.
+"""
 
 from __future__ import annotations
 
@@ -21,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAdded:
-    """A task was taken (or, `call.is_adopted`, found to run already)."""
+    """A task was accepted for placement or, with `call.is_adopted`, found to run already."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSent:
-    """An attempt is out."""
+    """An attempt was bound to a machine."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptConcluded:
-    """An attempt is back: it came to nothing, or the task that it placed has ended."""
+    """An attempt ended without a placement, or the task that it placed ended."""
 
     attempt: Attempt
     outcome: api.Outcome
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStatusReported:
-    """What its owner is told of a task: its answer, and later that it runs, has ended or is out of sight."""
+    """A status for a task's client: the answer, and later that it runs, has ended or is unreachable."""
 
     call: Call
     answer: StatusAnswer
@@ -61,19 +63,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallForgotten:
-    """The ledger no longer knows the call."""
+    """The call was removed from the call table."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
 class MachineListChanged:
+    """The machine list was received, changed or failed."""
+
     update: api.MachineListUpdated
 
 
 @dataclass(frozen=True, slots=True)
 class AgentStateChanged:
-    """An agent subscribed, went away or was given up; `state` is members.State's value."""
+    """An agent subscribed, disconnected or was lost; `state` is the value of an `AgentState`."""
 
     agent: str
     state: str
@@ -81,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOpened:
-    """Asks are told to the module from here on."""
+    """The startup gate opened: calls may be passed to the policy from now on."""
 
 
 DomainEvent = (
@@ -100,9 +104,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A task that is about to be taken."""
+    """A task that asks for admission."""
 
-    framework_id: str  # framework id, or an insider's
+    framework_id: str  # of a framework or of an in-process framework
     tenant: str | None
     task_id: str
     idempotency: api.Idempotency
@@ -111,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """The task is not taken; `answer` is what its owner is told, `text` why."""
+    """The task is not admitted; `answer` is the status for its client, `text` the reason."""
 
     answer: StatusAnswer
     text: str
@@ -121,9 +125,9 @@
 
 
 class InProcessFramework(Protocol):
-    """Owners within the process whose ids begin with its prefix and a colon."""
+    """Clients in this process, whose ids begin with `prefix` and a colon."""
 
     prefix: str
 
     def is_task_needed(self, call: Call) -> bool:
-        """Whether somebody still stands behind the task."""
+        """Whether some client still wants the task."""
--- a/glencleat/allocator/errors.py
+++ b/glencleat/allocator/errors.py
@@ -1,7 +1,7 @@
-"""The root of the allocator's errors."""
+"""Base class of the allocator's errors."""
 
 from __future__ import annotations
 
 
 class AllocatorError(Exception):
-    """Something that the allocator can't do for a peer; the text says why."""
+    """A request of a peer that the allocator can't serve; the text says why."""
--- a/glencleat/allocator/event_dispatcher.py
+++ b/glencleat/allocator/event_dispatcher.py
@@ -1,6 +1,8 @@
-"""Events to the module and its actions back, in the order of `interface.py`, contract 8.
+"""Passes events to the policy and carries out its actions, in the order of `interface.py`, contract 8.
 
-Imports the interface and the contract's types. The core and the live path's exchange each have one."""
+Imports only the interface and the contract's types. The core has one, and so has the platform protocol's
+exchange.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +14,17 @@
 
 
 class EventDispatcher:
-    """Tells a module what happened; all its actions are carried out before the next event is told."""
+    """Dispatches events to a policy; all actions of one event are carried out before the next."""
 
     def __init__(
-        self, module: DecisionModule, now: Callable[[], float], act: Callable[[api.Action], None]
+        self, module: DecisionModule, now: Callable[[], float], execute_action: Callable[[api.Action], None]
     ) -> None:
-        self.module, self.now, self.execute_action = module, now, act
+        self.module, self.now, self.execute_action = module, now, execute_action
         self.pending: deque[api.Event] = deque()
         self.is_dispatching = False
 
     def dispatch_event(self, *events: api.Event) -> None:
-        """In order: what actions cause at once is told after them."""
+        """Dispatches events in order; events that an action causes are queued behind them."""
         self.pending.extend(events)
         if self.is_dispatching:
             return
--- a/glencleat/allocator/options.py
+++ b/glencleat/allocator/options.py
@@ -1,4 +1,4 @@
-"""What the program is told beside the module's settings. Times in milliseconds."""
+"""Options of the allocator process beside the policy's settings. Times in milliseconds."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
+    """Names, intervals, timeouts and limits of one allocator."""
+
     name: str = "a0"  # of this allocator; part of its attempts' ids
     pool: str = "pool"
     default_class: str | None = None
     answer_margin_ms: float = 50.0
-    heartbeat_ms: float = 15_000.0  # towards owners and agents
+    heartbeat_ms: float = 15_000.0  # interval of heartbeats to clients and agents
     max_missed_heartbeats: int = 3
     reregistration_timeout_ms: float = 10_000.0
     probe_timeout_ms: float = 1_000.0
@@ -24,5 +26,5 @@
     max_frameworks: int = 20_000
     max_agents: int = 20_000
     update_retry_ms: float = 10_000.0
-    startup_grace_ms: float = 2_000.0  # after the start, for agents to tell what they hold
+    startup_grace_ms: float = 2_000.0  # after the start, for agents to report the tasks they run
     limits: AdmissionLimits = AdmissionLimits()
--- a/glencleat/allocator/pending_reasons.py
+++ b/glencleat/allocator/pending_reasons.py
@@ -1,8 +1,8 @@
-"""Why a task is not placed: what became of its attempts, as the machines last said it. Pure, bounded.
+"""Why a task is not placed: the outcomes of its attempts, as the machines last reported them. Pure, bounded.
 
-It repeats what machines reported, also where that was wrong (a machine that rejects falsely): an owner can
-then see which machine said it. The core records each attempt that is concluded; answers carry the text, and
-whoever asks gets the record.
+The text repeats what machines reported, also where a machine rejects wrongly, so that a client can see
+which machine it was. The core records each attempt that is concluded; answers carry the text, and the REST
+API shows the records.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class ReasonKind(NamedTuple):
-    """What tells one kind of end of an attempt from another."""
+    """Outcome and reason under which ends of attempts are counted together."""
 
     outcome: api.Outcome
     outcome_reason: api.OutcomeReason
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class PendingReason:
-    """One kind of end of an attempt: how often, and by which machine and when the last time."""
+    """One kind of end of an attempt: how often it occurred, and the machine and time of the last one."""
 
     outcome: api.Outcome
     outcome_reason: api.OutcomeReason
@@ -52,7 +52,7 @@
     reported_at_ms: float
 
     def __str__(self) -> str:
-        """Returns the text for the task's owner."""
+        """Returns the text for the task's client."""
         reason_text = REASON_TEXTS.get(self.outcome_reason)
         reason = f" ({reason_text})" if reason_text is not None else ""
         times = f" {self.count} times, last" if self.count > 1 else ""
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class PendingReasons:
-    """Reasons of one task, at most one of each kind, the newest last."""
+    """Reasons of one task, one of each kind, the newest last."""
 
     reasons_by_kind: dict[ReasonKind, PendingReason] = field(default_factory=dict)
 
@@ -80,9 +80,10 @@
         )
 
     def describe(self, machine_count: int) -> str:
-        """The reasons as a text, newest first.
+        """Returns the reasons as a text, newest first.
 
-        Without any attempt it says whether a machine was known at all: `machine_count` serve.
+        `machine_count` is the number of serving machines; without an attempt the text says whether there
+        were any.
         """
         if self.reasons_by_kind:
             return "; ".join(str(reason) for reason in reversed(self.reasons_by_kind.values()))
