--- a/tests/allocator/test_core.py
+++ b/tests/allocator/test_core.py
@@ -1,6 +1,8 @@
-"""The core's hard cases, each caused on a clock of its own: heartbeats that stop in the middle of a
-placement,
-owners that leave as the machine says yes, agents that come back, answers that come late or twice."""
+"""Failure cases of the core on a virtual clock.
+
+Heartbeats that stop during a placement, frameworks that disconnect as the agent accepts, agents that subscribe
+again, and updates that come late, twice or out of order.
+"""
 
 import pytest
 
@@ -12,8 +14,8 @@
 from tests.support.core_world import Agent, Cluster, Owner
 
 
-def begin(cls="safe", machines=2, **options):
-    """A cluster, an owner, and a task whose first LAUNCH is out."""
+def launch_task(cls="safe", machines=2, **options):
+    """Returns a cluster, a framework, and the agent and id of the attempt of a task that was just launched."""
     cluster = Cluster(machines, **options)
     owner = Owner(cluster).subscribe()
     owner.launch("t1", cls)
@@ -21,8 +23,8 @@
     return cluster, owner, agent, task.task_id.value
 
 
-def test_the_whole_path():
-    cluster, owner, agent, attempt = begin()
+def test_a_task_is_placed_runs_and_finishes():
+    cluster, owner, agent, attempt = launch_task()
     assert owner.states("t1") == []
     agent.say(attempt, "TASK_STARTING")
     agent.say(attempt, "TASK_RUNNING")
@@ -35,16 +37,16 @@
 
 
 def test_a_launch_carries_what_the_agent_needs():
-    _, _, agent, _ = begin("keyed")
+    _, _, agent, _ = launch_task("keyed")
     (task,) = agent.launches()
-    told = {label.key: label.value for label in task.labels.labels}
-    assert told["class"] == "keyed" and told["effect"] == "keyed" and told["key"] == "t1"
-    assert told["framework"] == "owner" and told["task"] == "t1" and told["tenant"] == "tenant"
-    assert m.sum_scalar(task.resources, "cpus") == 1.0 and float(told["answer_within_ms"]) > 0
+    labels = {label.key: label.value for label in task.labels.labels}
+    assert labels["class"] == "keyed" and labels["effect"] == "keyed" and labels["key"] == "t1"
+    assert labels["framework"] == "owner" and labels["task"] == "t1" and labels["tenant"] == "tenant"
+    assert m.sum_scalar(task.resources, "cpus") == 1.0 and float(labels["answer_within_ms"]) > 0
 
 
-def test_a_refusal_is_tried_elsewhere():
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_a_rejected_attempt_is_retried_at_another_machine():
+    cluster, owner, agent, attempt = launch_task("unsafe")
     agent.say(attempt, "TASK_DROPPED", cause="cores")
     (_, _), (other, again) = cluster.offered()
     assert other is not agent
@@ -52,9 +54,9 @@
     assert owner.states("t1") == ["TASK_STARTING"]
 
 
-def test_a_refused_task_says_why():
-    """What each machine last said, its cause and how often: also when it was said wrongly."""
-    cluster, owner, agent, attempt = begin("safe", machines=1)
+def test_a_rejected_task_reports_its_reasons():
+    """Each kind of rejection as the machine reported it, right or wrong: its cause, its count, the last machine."""
+    cluster, owner, agent, attempt = launch_task("safe", machines=1)
     agent.say(attempt, "TASK_DROPPED", cause="memory")
     for _ in range(16):
         cluster.timing.advance(500.0)
@@ -68,7 +70,7 @@
     assert oldest == "refused (memory) by h0"
 
 
-def test_an_unplaced_task_says_that_no_machine_is_known():
+def test_the_answer_says_that_no_machine_is_known():
     cluster = Cluster(0)
     owner = Owner(cluster).subscribe()
     owner.launch("t1", left=1_000.0)
@@ -76,11 +78,11 @@
     assert owner.statuses("t1")[0].message == "no machine is known"
 
 
-# ---- the heartbeat goes quiet while a placement is half done ----
+# ---- heartbeats stop during a placement ----
 
 
-def silent(cluster, agent):
-    """No heartbeat of this agent's for as long as it takes, while the others beat."""
+def stop_heartbeats(cluster, agent):
+    """Lets time pass without heartbeats of this agent until its session is closed; the others send theirs."""
     for _ in range(8):
         cluster.timing.advance(500.0)
         for other in cluster.agents.values():
@@ -88,19 +90,19 @@
                 other.beat()
         if agent.link.why is not None:
             return
-    pytest.fail("the session was not cut")
+    pytest.fail("the session was not closed")
 
 
-@pytest.mark.parametrize("part", [0, 7], ids=["before", "half"])
-def test_quiet_before_the_launch_is_written_whole(part):
-    """What was not handed over whole can't have run: even an unsafe task goes elsewhere."""
+@pytest.mark.parametrize("written_bytes", [0, 7], ids=["before", "half"])
+def test_the_session_is_lost_before_the_launch_is_written_completely(written_bytes):
+    """A partially written LAUNCH can't have run: even a non-idempotent task is sent to another machine."""
     cluster = Cluster(2)
     owner = Owner(cluster).subscribe()
     for agent in cluster.agents.values():
         agent.link.hold = True
     owner.launch("t1", "unsafe")
     ((agent, _),) = cluster.offered()
-    agent.link.sent += part
+    agent.link.sent += written_bytes
     for other in cluster.agents.values():
         if other is not agent:
             other.link.hold, other.link.sent = False, other.link.queued
@@ -112,10 +114,10 @@
     cluster.check()
 
 
-def test_quiet_after_the_launch_was_written_and_unanswered():
-    """It may have run: an unsafe task is not sent again, and its owner is told to reconcile."""
-    cluster, owner, agent, _ = begin("unsafe")
-    silent(cluster, agent)
+def test_the_session_is_lost_after_the_launch_was_written():
+    """The task may have run: a non-idempotent task is not sent again, and its framework is told to reconcile."""
+    cluster, owner, agent, _ = launch_task("unsafe")
+    stop_heartbeats(cluster, agent)
     cluster.timing.advance(5_000.0)
     assert len(cluster.offered()) == 1
     (status,) = owner.statuses("t1")
@@ -124,17 +126,17 @@
     cluster.check()
 
 
-def test_a_safe_task_moves_on_as_soon_as_the_session_is_lost():
-    cluster, _, agent, _ = begin("safe")
+def test_an_idempotent_task_is_retried_as_soon_as_the_session_is_lost():
+    cluster, _, agent, _ = launch_task("safe")
     agent.link.close("no heartbeat")
     assert len(cluster.offered()) == 2
 
 
-def test_quiet_after_the_acceptance():
-    """The task is placed; an agent away too long makes it unreachable, and its return brings it back."""
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_the_session_is_lost_after_the_acceptance():
+    """The task stays placed; it is unreachable once its agent is lost, and back when the agent subscribes."""
+    cluster, owner, agent, attempt = launch_task("unsafe")
     agent.say(attempt, "TASK_STARTING")
-    silent(cluster, agent)
+    stop_heartbeats(cluster, agent)
     assert owner.states("t1") == ["TASK_STARTING"]
     for _ in range(12):
         cluster.timing.advance(500.0)
@@ -149,32 +151,32 @@
     cluster.check()
 
 
-# ---- the agent comes back ----
+# ---- an agent subscribes again ----
 
 
-def test_it_comes_back_with_an_unacknowledged_yes():
-    cluster, owner, agent, attempt = begin("unsafe")
-    agent.link.close("cut")
+def test_a_subscription_with_an_unacknowledged_acceptance():
+    cluster, owner, agent, attempt = launch_task("unsafe")
+    agent.link.close("connection lost")
     agent.subscribe(tasks=[], updates=[agent.status(attempt, "TASK_STARTING")])
     assert owner.states("t1") == ["TASK_STARTING"] and not agent.launches()
     cluster.check()
 
 
-def test_it_comes_back_listing_the_task_only():
-    cluster, owner, agent, attempt = begin("unsafe")
-    held = agent.launches()
-    agent.link.close("cut")
-    agent.subscribe(tasks=held)
+def test_a_subscription_that_only_lists_the_task():
+    cluster, owner, agent, attempt = launch_task("unsafe")
+    launched_tasks = agent.launches()
+    agent.link.close("connection lost")
+    agent.subscribe(tasks=launched_tasks)
     assert owner.states("t1") == ["TASK_STARTING"]
-    agent.say(attempt, "TASK_STARTING")  # its own word for it comes after: stale
+    agent.say(attempt, "TASK_STARTING")  # the update of the same step comes later, and is stale
     assert owner.states("t1") == ["TASK_STARTING"]
     cluster.check()
 
 
-def test_the_same_run_without_the_task_never_got_it():
-    """Its list is the whole truth, so even an unsafe task may go elsewhere."""
-    cluster, owner, agent, _ = begin("unsafe")
-    agent.link.close("cut")
+def test_the_same_incarnation_without_the_task_never_received_it():
+    """Its list of tasks is complete, so even a non-idempotent task is sent to another machine."""
+    cluster, owner, agent, _ = launch_task("unsafe")
+    agent.link.close("connection lost")
     agent.subscribe()
     offered = [task for a, task in cluster.offered()]
     assert [task.task_id.value[-2:] for task in offered] == [".1"]
@@ -182,9 +184,9 @@
     cluster.check()
 
 
-def test_a_new_run_without_the_task_proves_nothing():
-    cluster, owner, agent, _ = begin("unsafe")
-    agent.link.close("cut")
+def test_a_new_incarnation_without_the_task_proves_nothing():
+    cluster, owner, agent, _ = launch_task("unsafe")
+    agent.link.close("connection lost")
     agent.run = "r2"
     agent.subscribe()
     assert cluster.offered() == [] and owner.states("t1") == ["TASK_LOST"]
@@ -193,26 +195,26 @@
     cluster.check()
 
 
-def test_a_second_connection_under_one_id_puts_the_first_out():
-    """And its list is not taken as proof: the old stream may hold a LAUNCH that is yet to be read."""
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_a_second_session_under_one_id_closes_the_first():
+    """Its list of tasks proves nothing: the old stream may hold a LAUNCH that the agent has yet to read."""
+    cluster, owner, agent, attempt = launch_task("unsafe")
     first = agent.link
     twin = Agent(cluster, agent.name, agent.run).subscribe()
     assert first.why == "another connection subscribed under this id" and first.of("ERROR")
     assert cluster.core.membership.session_of(agent.name) is twin.link
     assert not twin.launches() and owner.states("t1") == ["TASK_LOST"]
-    other_run = Agent(cluster, agent.name, "r9").subscribe()
+    new_incarnation = Agent(cluster, agent.name, "r9").subscribe()
     with pytest.raises(NotSubscribedError):
         twin.beat()
-    other_run.beat()
+    new_incarnation.beat()
     cluster.check()
 
 
-# ---- late, double and disordered words ----
+# ---- late, repeated and out-of-order updates ----
 
 
-def timed_out(cls):
-    cluster, owner, agent, attempt = begin(cls)
+def launch_until_time_out(cls):
+    cluster, owner, agent, attempt = launch_task(cls)
     for _ in range(7):
         cluster.timing.advance(500.0)
         for each in cluster.agents.values():
@@ -220,28 +222,30 @@
     return cluster, owner, agent, attempt
 
 
-def test_a_yes_after_the_time_out_of_an_unsafe_task_is_adopted():
-    """The owner was told that it failed and reconciles: it runs, and its end is told."""
-    cluster, owner, agent, attempt = timed_out("unsafe")
+def test_a_late_acceptance_of_a_non_idempotent_task_is_adopted():
+    """The framework got TASK_LOST and reconciles: it learns that the task runs, and of its end."""
+    cluster, owner, agent, attempt = launch_until_time_out("unsafe")
     assert owner.states("t1") == ["TASK_LOST"] and len(cluster.offered()) == 1
     agent.say(attempt, "TASK_STARTING")
     assert not agent.kills()
-    told = owner.statuses("t1")[-1]
-    assert told.state == "TASK_STARTING" and told.reason == status_mapping.StatusReason.RECONCILIATION
+    status = owner.statuses("t1")[-1]
+    assert status.state == "TASK_STARTING" and status.reason == status_mapping.StatusReason.RECONCILIATION
     agent.say(attempt, "TASK_RUNNING")
     assert owner.reconcile("t1").state == "TASK_RUNNING"
     agent.say(attempt, "TASK_FINISHED")
     assert owner.states("t1")[-1] == "TASK_FINISHED"
-    assert cluster.core.counters.answers_by_class["unsafe", "failed"] == 1  # the answer stays what it was
+    assert cluster.core.counters.answers_by_class["unsafe", "failed"] == 1  # the final answer is unchanged
     cluster.check()
 
 
-def test_a_late_yes_of_a_safe_task_that_runs_elsewhere_is_stopped():
-    cluster, owner, agent, attempt = begin("safe")
+def test_a_late_acceptance_of_an_idempotent_task_that_was_retried_is_killed():
+    cluster, owner, agent, attempt = launch_task("safe")
     cluster.timing.advance(800.0)
     (_, _), (other, again) = cluster.offered()
     agent.say(attempt, "TASK_STARTING")
-    assert agent.kills() == [attempt] and owner.states("t1") == []  # the second is out, and may come to a yes
+    assert (
+        agent.kills() == [attempt] and owner.states("t1") == []
+    )  # the second attempt is in flight and may be accepted
     other.say(again.task_id.value, "TASK_STARTING")
     assert owner.states("t1") == ["TASK_STARTING"]
     agent.say(attempt, "TASK_KILLED")
@@ -249,18 +253,18 @@
     cluster.check()
 
 
-def test_a_late_no_settles_the_task():
-    """The owner learns by RECONCILE that nothing ran, and may ask again."""
-    cluster, owner, agent, attempt = timed_out("unsafe")
+def test_a_late_rejection_permits_a_new_launch():
+    """The framework learns that the task never ran, and may launch it again."""
+    cluster, owner, agent, attempt = launch_until_time_out("unsafe")
     agent.say(attempt, "TASK_DROPPED", cause="not here")
-    assert owner.states("t1") == ["TASK_LOST", "TASK_DROPPED"]  # told as soon as it is known, and on asking
+    assert owner.states("t1") == ["TASK_LOST", "TASK_DROPPED"]  # reported once known, and on RECONCILE
     assert owner.reconcile("t1").state == "TASK_DROPPED"
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 2
 
 
-def test_an_unsafe_task_that_may_run_is_not_taken_again():
-    cluster, owner, agent, _ = timed_out("unsafe")
+def test_a_non_idempotent_task_that_may_run_is_not_started_again():
+    cluster, owner, agent, _ = launch_until_time_out("unsafe")
     owner.launch("t1", "unsafe")
     assert len(cluster.offered()) == 1
     status = owner.statuses("t1")[-1]
@@ -272,9 +276,9 @@
     cluster.check()
 
 
-def test_a_launch_sent_twice_is_one_ask():
-    """A client whose connection broke in mid-call can't know whether it was taken."""
-    cluster, owner, agent, attempt = begin()
+def test_a_launch_sent_twice_is_one_call():
+    """A client whose connection failed during the call can't know whether the LAUNCH was received."""
+    cluster, owner, agent, attempt = launch_task()
     owner.launch("t1")
     assert len(cluster.offered()) == 1 and cluster.core.counters.received_by_class["safe"] == 1
     agent.say(attempt, "TASK_STARTING")
@@ -283,8 +287,8 @@
     cluster.check()
 
 
-def test_updates_that_come_twice_or_out_of_order():
-    cluster, owner, agent, attempt = begin()
+def test_repeated_and_out_of_order_updates():
+    cluster, owner, agent, attempt = launch_task()
     starting, running = agent.status(attempt, "TASK_STARTING"), agent.status(attempt, "TASK_RUNNING")
     agent.tell(running)
     agent.tell(starting)
@@ -293,12 +297,12 @@
     agent.say(attempt, "TASK_FINISHED")
     agent.tell(running)
     assert owner.states("t1")[-1] == "TASK_FINISHED" and len(owner.states("t1")) == 3
-    assert len(agent.link.of("ACKNOWLEDGED")) == 5  # each is acknowledged, or it would be repeated for ever
+    assert len(agent.link.of("ACKNOWLEDGED")) == 5  # an unacknowledged update would be repeated for ever
     cluster.check()
 
 
-def test_a_word_after_the_end_changes_nothing():
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_updates_after_the_end_change_nothing():
+    cluster, owner, agent, attempt = launch_task("unsafe")
     for state in ("TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED", "TASK_RUNNING", "TASK_STARTING"):
         agent.say(attempt, state)
     assert owner.states("t1") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
@@ -307,30 +311,30 @@
 
 
 def test_a_session_that_fails_while_it_takes_the_launch():
-    """Its last byte was never handed over: known not to have run, so an unsafe task goes elsewhere."""
+    """The LAUNCH was not written completely: even a non-idempotent task is sent to another machine."""
     cluster = Cluster(2)
     owner = Owner(cluster).subscribe()
     owner.launch("probe", "unsafe")
-    ((likely, _),) = cluster.offered()
-    likely.say(likely.launches()[0].task_id.value, "TASK_FINISHED")
-    likely.link.fails = True
+    ((preferred, _),) = cluster.offered()
+    preferred.say(preferred.launches()[0].task_id.value, "TASK_FINISHED")
+    preferred.link.fails = True
     owner.launch("t1", "unsafe")
     (agent, task) = cluster.offered()[-1]
-    assert agent is not likely and task.task_id.value.endswith(".1")
+    assert agent is not preferred and task.task_id.value.endswith(".1")
     agent.say(task.task_id.value, "TASK_STARTING")
     assert owner.states("t1") == ["TASK_STARTING"]
     cluster.check()
 
 
-def test_an_end_that_overtook_everything():
-    cluster, owner, agent, attempt = begin()
+def test_an_end_that_arrives_before_the_acceptance():
+    cluster, owner, agent, attempt = launch_task()
     agent.say(attempt, "TASK_FINISHED")
     assert owner.states("t1") == ["TASK_STARTING", "TASK_FINISHED"]
     cluster.check()
 
 
 @pytest.mark.parametrize(
-    ("state", "reason", "told"),
+    ("state", "reason", "reported_state"),
     [
         ("TASK_FAILED", "REASON_CONTAINER_LIMITATION_MEMORY", "TASK_FAILED"),
         ("TASK_KILLED", "REASON_AGENT_DRAINING", "TASK_KILLED"),
@@ -338,21 +342,23 @@
         ("TASK_GONE", None, "TASK_FAILED"),
     ],
 )
-def test_ends_of_placed_tasks(state, reason, told):
-    cluster, owner, agent, attempt = begin()
+def test_ends_of_placed_tasks(state, reason, reported_state):
+    cluster, owner, agent, attempt = launch_task()
     agent.say(attempt, "TASK_STARTING")
     agent.say(attempt, state, reason)
-    assert owner.states("t1") == ["TASK_STARTING", told]
+    assert owner.states("t1") == ["TASK_STARTING", reported_state]
     cluster.check()
 
 
-# ---- owners that leave ----
+# ---- frameworks that cancel or disconnect ----
 
 
-def test_the_owner_gives_up_just_as_the_machine_says_yes():
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_a_task_is_killed_as_the_agent_accepts_it():
+    cluster, owner, agent, attempt = launch_task("unsafe")
     cluster.core.framework_sessions.kill(owner.framework, "t1")
-    assert owner.states("t1") == [] and agent.kills() == [attempt]  # the answer waits for what became of it
+    assert owner.states("t1") == [] and agent.kills() == [
+        attempt
+    ]  # the answer waits for the end of the attempt
     agent.say(attempt, "TASK_STARTING")
     agent.say(attempt, "TASK_KILLED")
     assert owner.states("t1") == ["TASK_STARTING", "TASK_KILLED"]
@@ -360,29 +366,29 @@
     cluster.check()
 
 
-def test_the_owner_gives_up_while_the_agent_is_away():
-    """No KILL could be sent; the yes that the agent brings along is stopped then."""
-    cluster, owner, agent, attempt = begin("unsafe")
-    held = agent.launches()
-    agent.link.close("cut")
+def test_a_task_is_killed_while_its_agent_is_away():
+    """No KILL could be sent; it is sent when the agent subscribes with the task."""
+    cluster, owner, agent, attempt = launch_task("unsafe")
+    launched_tasks = agent.launches()
+    agent.link.close("connection lost")
     cluster.core.framework_sessions.kill(owner.framework, "t1")
-    agent.subscribe(tasks=held)
+    agent.subscribe(tasks=launched_tasks)
     assert agent.kills() == [attempt]
     agent.say(attempt, "TASK_KILLED")
     assert owner.states("t1") == ["TASK_STARTING", "TASK_KILLED"]
     cluster.check()
 
 
-def test_the_owner_gives_up_and_the_machine_says_no():
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_a_task_is_killed_and_the_agent_rejects_it():
+    cluster, owner, agent, attempt = launch_task("unsafe")
     cluster.core.framework_sessions.kill(owner.framework, "t1")
     agent.say(attempt, "TASK_DROPPED", cause="not here")
     assert owner.states("t1") == ["TASK_KILLED"] and len(cluster.offered()) == 1
     cluster.check()
 
 
-def test_the_owner_gives_up_and_the_machine_says_nothing():
-    cluster, owner, _, _ = begin("unsafe")
+def test_a_task_is_killed_and_the_agent_does_not_answer():
+    cluster, owner, _, _ = launch_task("unsafe")
     cluster.core.framework_sessions.kill(owner.framework, "t1")
     for _ in range(7):
         cluster.timing.advance(500.0)
@@ -392,26 +398,26 @@
     cluster.check()
 
 
-def test_the_owners_connection_dies_just_as_the_machine_says_yes():
-    """The answer waits for its return, and is told again until it is acknowledged."""
-    cluster, owner, agent, attempt = begin("unsafe")
-    owner.link.close("cut")
+def test_a_framework_disconnects_as_the_agent_accepts():
+    """The update waits for the framework's next session, and is repeated until it is acknowledged."""
+    cluster, owner, agent, attempt = launch_task("unsafe")
+    owner.link.close("connection lost")
     agent.say(attempt, "TASK_STARTING")
     owner.subscribe()
     assert owner.states("t1") == ["TASK_STARTING"]
     (first,) = owner.statuses("t1")
-    owner.link.close("cut again")
+    owner.link.close("connection lost")
     owner.subscribe()
     (again,) = owner.statuses("t1")
     assert again.uuid == first.uuid
     cluster.core.framework_sessions.acknowledge(owner.framework, again.uuid)
-    owner.link.close("and again")
+    owner.link.close("connection lost")
     owner.subscribe()
     assert owner.states("t1") == []
 
 
 def test_an_update_that_is_not_acknowledged_is_repeated():
-    cluster, owner, agent, attempt = begin(update_retry_ms=2_000.0)
+    cluster, owner, agent, attempt = launch_task(update_retry_ms=2_000.0)
     agent.say(attempt, "TASK_STARTING")
     for _ in range(3):
         cluster.timing.advance(1_000.0)
@@ -420,7 +426,7 @@
     assert first.uuid == second.uuid
 
 
-def test_an_owner_that_stays_away_is_torn_down():
+def test_a_framework_is_removed_after_its_failover_timeout():
     cluster = Cluster(1)
     owner = Owner(cluster, failover_s=2.0).subscribe()
     owner.launch("t1")
@@ -433,7 +439,7 @@
         cluster.timing.advance(1_000.0)
     assert "owner" not in cluster.core.frameworks.frameworks_by_id
     assert task.task_id.value in agent.kills()
-    late = agent.launches()[1].task_id.value  # of t2, given up long since
+    late = agent.launches()[1].task_id.value  # of t2, cancelled with its framework
     agent.say(late, "TASK_STARTING")
     assert agent.kills()[-1] == late
     for task in agent.launches():
@@ -442,7 +448,7 @@
     cluster.check()
 
 
-def test_a_second_session_of_a_framework_puts_the_first_out():
+def test_a_second_session_of_a_framework_closes_the_first():
     cluster = Cluster(1)
     owner = Owner(cluster).subscribe()
     first = owner.link
@@ -454,19 +460,19 @@
     assert len(cluster.offered()) == 1
 
 
-def test_the_agents_id_unknown_and_reconcile_of_the_unknown():
-    cluster, owner, _, _ = begin()
+def test_an_unknown_agent_is_refused_and_an_unknown_task_reported_as_unknown():
+    cluster, owner, _, _ = launch_task()
     with pytest.raises(NotSubscribedError):
         Agent(cluster, "stranger").beat()
     assert owner.reconcile("nothing").state == "TASK_UNKNOWN"
     assert owner.reconcile("t1").state == "TASK_STAGING"
 
 
-# ---- what a peer could pile up, and wrong asks ----
+# ---- invalid requests, and offers ----
 
 
 @pytest.mark.parametrize(
-    ("more", "named"),
+    ("arguments", "expected_text"),
     [
         ({"cls": "odd"}, "label class is 'odd'"),
         ({"left": "soon"}, "label time_left_ms is 'soon'"),
@@ -477,12 +483,12 @@
         ({"service": "s" * 300}, "label service has 300 characters"),
     ],
 )
-def test_a_wrong_ask_is_answered_and_says_what_was_expected(more, named):
+def test_an_invalid_task_is_rejected_with_what_was_expected(arguments, expected_text):
     cluster = Cluster(1)
     owner = Owner(cluster).subscribe()
-    owner.launch("t1", **more)
+    owner.launch("t1", **arguments)
     (status,) = owner.statuses("t1")
-    assert status.state == "TASK_ERROR" and named in status.message and "expected" in status.message
+    assert status.state == "TASK_ERROR" and expected_text in status.message and "expected" in status.message
     assert not cluster.offered()
     cluster.check()
 
@@ -498,36 +504,36 @@
     cluster.check()
 
 
-def test_offers_follow_what_the_owner_says():
+def test_offers_follow_accept_decline_suppress_and_revive():
     cluster = Cluster(1, offer_interval_ms=1_000.0)
     owner = Owner(cluster).subscribe()
 
-    def later(ms):
+    def count_offers_after(ms):
         for _ in range(int(ms / 500.0)):
             cluster.timing.advance(500.0)
             cluster.agents["h0"].beat()
         return len(owner.link.of("OFFERS"))
 
-    assert later(3_000.0) == 1
+    assert count_offers_after(3_000.0) == 1
     owner.launch("t1")
-    assert later(2_000.0) == 2  # for clients that take an accepted offer as used up
+    assert count_offers_after(2_000.0) == 2  # some clients count an accepted offer as used up
     offer = owner.link.of("OFFERS")[-1].offers.offers[0].id
     cluster.core.framework_sessions.decline(owner.framework, m.Decline([offer], m.Filters(4.0)))
-    assert later(3_000.0) == 2
-    assert later(2_000.0) == 3
+    assert count_offers_after(3_000.0) == 2
+    assert count_offers_after(2_000.0) == 3
     owner.framework.is_suppressed = True
     owner.launch("t2")
-    assert later(3_000.0) == 3
+    assert count_offers_after(3_000.0) == 3
     cluster.core.frameworks.revive(owner.framework, cluster.timing.now())
-    assert later(1_000.0) == 4
+    assert count_offers_after(1_000.0) == 4
 
 
-# ---- the list, the start and the end ----
+# ---- machine list, start and shutdown ----
 
 
-def test_the_list_shrinks_to_nothing_and_comes_back():
-    """Tasks that run stay; new ones wait for a machine and are placed when the list is back."""
-    cluster, owner, agent, attempt = begin()
+def test_the_machine_list_becomes_empty_and_full_again():
+    """Running tasks stay; new ones wait and are placed when machines are listed again."""
+    cluster, owner, agent, attempt = launch_task()
     agent.say(attempt, "TASK_STARTING")
     cluster.list([])
     owner.launch("t2")
@@ -541,7 +547,7 @@
     cluster.check()
 
 
-def test_without_any_machine_the_answer_comes_in_time():
+def test_without_any_machine_a_task_is_rejected_in_time():
     cluster = Cluster(0)
     owner = Owner(cluster).subscribe()
     owner.launch("t1", left=3_000.0)
@@ -550,8 +556,8 @@
     assert status.state == "TASK_DROPPED" and m.find_label(status.labels, "retry") == "harmless"
 
 
-def test_asks_wait_for_the_agents_of_a_restarted_allocator():
-    """What its former incarnation placed is told by the agents, and must count before the first send."""
+def test_tasks_wait_for_the_agents_after_a_restart():
+    """Agents report what the previous incarnation placed, which must count before the first LAUNCH."""
     cluster = Cluster(0)
     cluster.core.startup_gate = StartupGate(cluster.timing.now(), 0.0, 60_000.0)
     cluster.list(["h0", "h1"])
@@ -585,7 +591,7 @@
     cluster.check()
 
 
-def test_two_copies_found_after_a_restart_become_one():
+def test_of_two_copies_found_after_a_restart_one_is_killed():
     cluster = Cluster(2)
     old = [
         m.TaskInfo(
@@ -609,8 +615,8 @@
     assert not first.kills() and second.kills() == ["a0-before-1.1"]
 
 
-def test_the_end_answers_all_that_is_held():
-    cluster, owner, agent, attempt = begin("unsafe")
+def test_shutdown_becomes_idle_when_all_calls_are_answered():
+    cluster, owner, agent, attempt = launch_task("unsafe")
     done = []
     cluster.core.on_idle = lambda: done.append(True)
     cluster.core.begin_shutdown()
@@ -622,9 +628,9 @@
     assert done and owner.states("t1") == ["TASK_STARTING"]
 
 
-def test_the_end_in_a_bounded_time():
-    """What may run is failed; what can't have been sent any more is refused."""
-    cluster, owner, agent, _ = begin("unsafe")
+def test_shutdown_answers_open_calls_at_its_deadline():
+    """A task that may run is reported as failed; one that was never sent is rejected."""
+    cluster, owner, agent, _ = launch_task("unsafe")
     cluster.list([])
     owner.launch("t2", "unsafe")
     for each in cluster.agents.values():
@@ -636,8 +642,8 @@
     cluster.check()
 
 
-def test_an_agent_that_does_not_read_is_cut_at_the_time_out():
-    """Otherwise the LAUNCH in our buffer would reach it after the attempt was given up."""
+def test_the_session_of_an_agent_that_does_not_read_is_closed_at_the_time_out():
+    """Otherwise the LAUNCH in the send buffer would reach the agent after the attempt was concluded."""
     cluster = Cluster(1)
     owner = Owner(cluster).subscribe()
     agent = cluster.agents["h0"]
@@ -651,16 +657,16 @@
     assert owner.reconcile("t1").state in ("TASK_STAGING", "TASK_DROPPED")
 
 
-def test_figures_that_do_not_add_up_are_told():
-    cluster, _, _, _ = begin("unsafe")
-    figures = cluster.core.counters
-    assert figures.find_mismatches() == {} and figures.count_open_by_class() == {"unsafe": 1}
-    figures.received_by_class["unsafe"] += 1
-    figures.answers_by_class["keyed", "served"] += 2
-    assert figures.find_mismatches() == {"unsafe": 1, "keyed": -2}
+def test_counters_that_do_not_add_up_are_reported():
+    cluster, _, _, _ = launch_task("unsafe")
+    counters = cluster.core.counters
+    assert counters.find_mismatches() == {} and counters.count_open_by_class() == {"unsafe": 1}
+    counters.received_by_class["unsafe"] += 1
+    counters.answers_by_class["keyed", "served"] += 2
+    assert counters.find_mismatches() == {"unsafe": 1, "keyed": -2}
 
 
-def test_probes_come_back_once():
+def test_a_probe_ends_once():
     cluster = Cluster(1, probe_timeout_ms=500.0)
     core, agent = cluster.core, cluster.agents["h0"]
     core.module.module.handle = lambda now, event: (
@@ -678,14 +684,17 @@
     assert not core.module.probe_counts_by_machine and not core.pending_probes_by_machine
 
 
-def test_a_late_yes_that_was_stopped_is_not_adopted_by_its_next_status():
-    """Its owner was told `refused`, and asks again: it must not find two. Seen under a crowd of creations."""
-    cluster, owner, agent, attempt = begin("safe")
+def test_a_late_acceptance_that_was_killed_is_not_adopted_by_its_next_update():
+    """The framework was told of a rejection and may launch the task again: two copies would run.
+
+    It occurred when very many tasks were created at once.
+    """
+    cluster, owner, agent, attempt = launch_task("safe")
     other = next(a for a in cluster.agents.values() if a is not agent)
     other.link.close("gone")
     for _ in range(9):
         agent.beat()
-        cluster.timing.advance(1_000.0)  # its time-out, and the end of the ask
+        cluster.timing.advance(1_000.0)  # past the time-out, and past the deadline of the call
     assert owner.states("t1")[-1] in ("TASK_LOST", "TASK_DROPPED")
     agent.say(attempt, "TASK_STARTING")
     assert agent.kills() == [attempt]
@@ -698,18 +707,19 @@
     cluster.check()
 
 
-def test_the_end_of_one_silent_session_may_break_another_in_the_same_sweep():
-    """Seen in a play: the task goes from the first silent agent to the second, whose connection fails at
-    that."""
+def test_closing_one_unresponsive_session_may_fail_another_in_the_same_sweep():
+    """The task goes from the first unresponsive agent to the second, whose connection fails as it is sent.
+
+    It occurred in a play.
+    """
     cluster = Cluster(2)
     owner = Owner(cluster).subscribe()
     cluster.timing.advance(1_000.0 * cluster.core.options.max_missed_heartbeats - 100.0)
     owner.launch("t1")  # so late that the sweep comes before its time-out
     ((first, _),) = cluster.offered()
     (second,) = (agent for agent in cluster.agents.values() if agent is not first)
-    cluster.core.membership.members_by_agent[second.name] = cluster.core.membership.members_by_agent.pop(
-        second.name
-    )  # swept last
+    members_by_agent = cluster.core.membership.members_by_agent
+    members_by_agent[second.name] = members_by_agent.pop(second.name)  # moved to the end: swept last
     second.link.fails = True
     cluster.timing.advance(500.0)
     assert first.link.why == "no heartbeat" and second.link.why == "connection lost"
--- a/tests/support/core_world.py
+++ b/tests/support/core_world.py
@@ -1,4 +1,4 @@
-"""A core on a clock of its own, with sessions that record what was sent: no sockets, no real time."""
+"""A core on a virtual clock, with sessions that record what was sent: no sockets, no real time."""
 
 from glencleat import Scheduler
 from glencleat import interface as api
@@ -23,7 +23,7 @@
 
 
 class Timing:
-    """The event loop as far as the core needs it; time passes only by `advance`."""
+    """Implements `ports.TimingPort` on a virtual clock; time passes only in `advance`."""
 
     def __init__(self):
         self.at = 1_000_000.0
@@ -40,7 +40,7 @@
         return self.timers.add(self.at + in_ms, call)
 
     def advance(self, ms):
-        """Lets that many milliseconds pass, with the timers that become due."""
+        """Moves the clock by `ms` and runs the timers that become due, in order."""
         until = self.at + ms
         while (due := self.timers.next_due()) is not None and due <= until:
             self.at = max(self.at, due)
@@ -53,8 +53,9 @@
 class Link:
     """A session that stores its records.
 
-    While `hold` is set, what is sent stays in the allocator's buffer; `sent` may be set to a part of it. With
-    `fails` the session breaks at the next record. `ended` is called with the reason when it closes.
+    While `hold` is set, records stay in the allocator's send buffer; `sent` is the number of bytes written, and
+    may be set to a part of what is queued. With `fails` the session fails at the next record. `ended` is called
+    with the reason when the session closes, and `why` holds that reason.
     """
 
     def __init__(self, kind):
@@ -70,7 +71,7 @@
     def send(self, record):
         begin = self.queued
         if self.fails:
-            self.close("connection lost")  # as a real one does, while it takes the record
+            self.close("connection lost")  # a real session also fails while it takes a record
         if self.why is None:
             self.records.append(m.decode(self.kind, record))
             self.queued += len(record)
@@ -88,12 +89,12 @@
                 self.ended(why)
 
     def of(self, kind):
-        """The records of one type."""
+        """Returns the records of one type."""
         return [record for record in self.records if record.type == kind]
 
 
 class Agent:
-    """An agent whose calls reach the core as from the server of the executor API."""
+    """An agent that calls the core as the server of the executor API does."""
 
     def __init__(self, cluster, name, run="r1"):
         self.cluster = cluster
@@ -107,13 +108,13 @@
         return f"{self.name}.{self.run}"
 
     def subscribe(self, tasks=(), updates=()):
-        told = m.SubscribeExecutor(list(tasks), [m.UpdateCall(status) for status in updates])
-        call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=told)
+        subscription = m.SubscribeExecutor(list(tasks), [m.UpdateCall(status) for status in updates])
+        call = m.ExecutorCall("SUBSCRIBE", m.Value(self.id), m.Value("glencleat"), subscribe=subscription)
         link = Link(m.ExecutorEvent)
         self.link = link
-        agents = self.cluster.core.agent_sessions
-        name = agents.subscribe(call, link)
-        link.ended = lambda why: agents.close_session(name, link, why)
+        sessions = self.cluster.core.agent_sessions
+        name = sessions.subscribe(call, link)
+        link.ended = lambda why: sessions.close_session(name, link, why)
         return self
 
     def launches(self):
@@ -140,7 +141,7 @@
 
 
 class Owner:
-    """A framework whose calls reach the core as from the server of the scheduler API."""
+    """A framework that calls the core as the server of the scheduler API does."""
 
     def __init__(self, cluster, name="owner", failover_s=60.0):
         self.cluster = cluster
@@ -153,23 +154,23 @@
         info = m.FrameworkInfo("u", self.name, m.Value(self.name), "tenant", failover_timeout=self.failover_s)
         link = Link(m.SchedulerEvent)
         self.link = link
-        owners = self.cluster.core.framework_sessions
-        framework = owners.subscribe(info, f"stream-{self.name}", link)
+        sessions = self.cluster.core.framework_sessions
+        framework = sessions.subscribe(info, f"stream-{self.name}", link)
         self.framework = framework
-        link.ended = lambda why: owners.close_session(framework, link, why)
+        link.ended = lambda why: sessions.close_session(framework, link, why)
         return self
 
     def launch(self, task, cls="safe", cores=1.0, memory=100.0, left=8000.0, **more):
-        labels = {"class": cls, "service": "svc", "time_left_ms": str(left), **more}
-        told = m.Labels([m.Label(key, value) for key, value in labels.items()])
-        info = m.TaskInfo(task, m.Value(task), resources=m.make_resources(cores, memory), labels=told)
+        values_by_key = {"class": cls, "service": "svc", "time_left_ms": str(left), **more}
+        labels = m.Labels([m.Label(key, value) for key, value in values_by_key.items()])
+        info = m.TaskInfo(task, m.Value(task), resources=m.make_resources(cores, memory), labels=labels)
         offer = self.link.of("OFFERS")[-1].offers.offers[0].id
         operation = m.Operation("LAUNCH", m.Launch([info]))
         self.cluster.core.framework_sessions.accept(self.framework, m.Accept([offer], [operation]))
 
     def statuses(self, task=None):
-        found = [event.update.status for event in self.link.of("UPDATE")]
-        return [s for s in found if task is None or s.task_id.value == task]
+        statuses = [event.update.status for event in self.link.of("UPDATE")]
+        return [status for status in statuses if task is None or status.task_id.value == task]
 
     def states(self, task):
         return [status.state for status in self.statuses(task)]
@@ -180,7 +181,7 @@
 
 
 class Cluster:
-    """One allocator's core with agents `h0`, `h1` ... subscribed and listed."""
+    """One allocator's core, with agents `h0`, `h1` ... subscribed and in the machine list."""
 
     def __init__(self, machines=2, module=None, seed=3, **options):
         self.timing = Timing()
@@ -204,18 +205,18 @@
         self.timing.advance(self.core.options.startup_grace_ms if not machines else 0.0)
 
     def list(self, names, kind=api.ListUpdateKind.SNAPSHOT, phase=api.MachinePhase.SERVING):
-        told = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
-        self.core.update_machine_list(api.MachineListUpdated(kind, told))
+        machines = tuple(api.Machine(name, "std", "a", 0, phase, 16.0, 32_000.0) for name in names)
+        self.core.update_machine_list(api.MachineListUpdated(kind, machines))
 
     def offered(self):
-        """The agent and task of every LAUNCH so far, in the order of their calls."""
-        found = [(agent, task) for agent in self.agents.values() for task in agent.launches()]
+        """Returns the agent and task of every LAUNCH so far, in the order of their calls and attempts."""
+        launches = [(agent, task) for agent in self.agents.values() for task in agent.launches()]
         return sorted(
-            found, key=lambda item: [int(x) for x in item[1].task_id.value.split("-")[2].split(".")]
+            launches, key=lambda item: [int(x) for x in item[1].task_id.value.split("-")[2].split(".")]
         )
 
     def check(self):
-        """What must hold at any instant."""
+        """Checks invariants that hold at any instant: the counters add up, and so does the open task count."""
         assert self.core.counters.find_mismatches() == {}
         assert self.core.call_table.open_task_count == sum(
             c.final_answer is None for c in self.core.call_table.active_calls_by_number.values()
