--- a/glencleat/descriptor_budget.py
+++ b/glencleat/descriptor_budget.py
@@ -1,10 +1,12 @@
-"""Who holds the process's file descriptors, and who gives one up: a bounded resource with one owner.
+"""A budget of the process's file descriptors: who holds one, and whose connection is closed to free one.
 
-No I/O and no clock; imports nothing of the project. `glencleat/platform_server/` asks before it
-makes a connection or
-keeps one, and files what it holds by worth. What is worth least goes first, whichever host or owner it is of;
-of one worth the one that was filed first, so longest unused. Guards against: a connect or accept that fails
-for want of descriptors, which reads like a fault of the peer, and loops that try it again and again."""
+The budget does no I/O and reads no clock; it imports nothing of the project. `glencleat/platform_server/`
+asks it before it opens or accepts a connection, and files each connection under its eviction priority. The
+lowest priority is evicted first, whichever host or client the connection belongs to; among equal priorities
+the one that was filed first, which is the longest unused. The budget guards against connects and accepts that
+fail for want of a descriptor, since such a failure looks like a fault of the peer, and against loops that
+retry them without pause.
+"""
 
 from __future__ import annotations
 
@@ -12,47 +14,61 @@
 from enum import Enum, IntEnum
 from typing import Protocol
 
-RESERVED_DESCRIPTORS = (
-    32  # of the limit: 11 always open (standard, poller, signals, listener and its spare, channel, a file
-)
-# that is read), MAX_CLOSING, and 13 that nothing of ours takes, so that the limit is never reached
-BACKLOG = 1_024  # connections that the system may hold until we take them: with fewer, some would be dropped
-# in a rush and come back a second later. To operators these are descriptors of ours.
-ARRIVAL_WINDOW_MS = (
-    100.0  # a round of the loop may take so long: places are kept free for who comes meanwhile,
-)
-ARRIVAL_RESERVE_DIVISOR = 8  # for this part of the room at most; strangers hold all there is only in a rush
-ARRIVAL_DECAY = 0.8  # so much of it is kept from one such time to the next
-MAX_CLOSING = 8  # links that we end are read until their peer's end; more at once are closed without
+RESERVED_DESCRIPTORS = 32
+"""Descriptors of the process's limit that no connection may use.
+
+11 are always open (the standard streams, the poller, signals, the listener and its spare, the command
+channel, a file that is being read), MAX_CLOSING belong to closing connections, and 13 are a margin that no
+connection takes, so that the limit is never reached."""
+
+BACKLOG = 1_024
+"""The listen backlog, in connections.
+
+In a burst a shorter one overflows: the system drops connections, and clients retry a second later. Operators
+count the connections in the backlog as descriptors of this process."""
+
+ARRIVAL_WINDOW_MS = 100.0
+"""The longest that a round of the event loop may take: capacity is reserved for clients that connect
+meanwhile."""
+
+ARRIVAL_RESERVE_DIVISOR = 8
+"""The reserve for arrivals is at most the capacity divided by this: untrusted clients hold all of the
+capacity only in a burst."""
+
+ARRIVAL_DECAY = 0.8
+"""The factor by which the expected number of arrivals decays in each window."""
+
+MAX_CLOSING = 8
+"""Connections that may be read until the peer closes them too; any further one is closed without that."""
 
 
 class PeerKind(Enum):
+    """What is at the other end of a connection."""
+
     CLIENTS = "owners"
     HOSTS = "links"
 
 
 class EvictionPriority(IntEnum):
-    """What a descriptor is held for, cheapest first."""
+    """What a descriptor is held for; the lowest value is evicted first."""
 
-    SPARE = 0  # a link with nothing open: nothing stands at its host, or another link is up there
-    UNTRUSTED_CLIENT = 1  # an owners' connection with nothing open, on which nothing ever stood
-    TRUSTED_CLIENT = 2  # an owners' connection with nothing open
-    ONLY_CONNECTION = 3  # the only link to a host where tasks stand, up for long enough to hear what it owed
-    NEW_ONLY_CONNECTION = 4  # the same, newer
-    PINNED = 5  # something is open, coming up or irreplaceable: never given up
+    SPARE = 0  # an idle connection to a host that has no placed task, or to which another connection is up
+    UNTRUSTED_CLIENT = 1  # an idle client connection on which no task was ever placed
+    TRUSTED_CLIENT = 2  # an idle client connection
+    ONLY_CONNECTION = 3  # the only one to a host with placed tasks, old enough to have got overdue releases
+    NEW_ONLY_CONNECTION = 4  # the only one to a host with placed tasks, newer
+    PINNED = 5  # in use, being opened, or irreplaceable: never evicted
 
 
 class Demand(Enum):
-    """What a descriptor is wanted for."""
+    """What a descriptor is needed for."""
 
-    CLIENT = "an owner comes"
-    ATTEMPT = "an attempt, a release: its host has no link"
-    EXTRA = "a further link, for one more set-up"
-    LIVENESS_CHECK = "to hear from a host where tasks stand"
+    CLIENT = "a client connects"
+    ATTEMPT = "an attempt or a release for a host without a connection"
+    EXTRA = "a further connection, for one more set-up"
+    LIVENESS_CHECK = "to hear from a host with placed tasks"
 
 
-# What may go for it, in this order; first where its side holds less than its right, then where it does not.
-# Both sides can't be short of theirs while nothing is free, so one that is finds the other above its own.
 EVICTABLE_BY_DEMAND: dict[Demand, tuple[tuple[EvictionPriority, ...], tuple[EvictionPriority, ...]]] = {
     Demand.CLIENT: (
         (
@@ -85,29 +101,43 @@
         (EvictionPriority.SPARE, EvictionPriority.ONLY_CONNECTION),
     ),
 }
+"""The priorities that may be evicted for a demand, in this order: first while its peer kind holds less than
+its quota, then while it does not.
+
+Both peer kinds can't be below their quotas while nothing is free, so one that is finds the other above its
+own."""
 
 
 class DescriptorHolder(Protocol):
+    """A connection that holds one descriptor."""
+
     peer_kind: PeerKind
 
     def eviction_priority(self) -> EvictionPriority:
-        """As it is now."""
+        """Returns the current priority."""
 
     def read_pending(self) -> None:
-        """Asked just before it is given up: takes in what has come on it, which may change its worth."""
+        """Reads what has arrived, which may change the priority. Called just before an eviction."""
 
     def evict(self) -> None:
-        """Ends it; `remove_holder` or `begin_close` is called before this returns."""
+        """Closes the connection; calls `remove_holder` or `begin_close` before it returns."""
 
 
 class DescriptorBudget:
-    """Every descriptor of owners and links. `limit` is the process's. CLIENTS have a right to a third of it,
-    since the protocol page says that they hold no more, HOSTS to the rest."""
+    """The descriptors of all client and host connections.
+
+    CLIENTS have a quota of a third of the limit, since the protocol page says that they hold no more; HOSTS
+    have the rest. A peer kind may exceed its quota while the other does not need its own.
+    """
 
     def __init__(self, limit: int) -> None:
+        """Starts with nothing held. `limit` is the process's limit on open descriptors."""
         self.capacity = max(8, limit - RESERVED_DESCRIPTORS)
-        owners = min(limit // 3, self.capacity // 2)
-        self.quotas_by_peer_kind = {PeerKind.CLIENTS: owners, PeerKind.HOSTS: self.capacity - owners}
+        client_quota = min(limit // 3, self.capacity // 2)
+        self.quotas_by_peer_kind = {
+            PeerKind.CLIENTS: client_quota,
+            PeerKind.HOSTS: self.capacity - client_quota,
+        }
         self.counts_by_peer_kind = {PeerKind.CLIENTS: 0, PeerKind.HOSTS: 0}
         self.priorities_by_holder: dict[DescriptorHolder, EvictionPriority] = {}
         self.holders_by_priority: tuple[dict[DescriptorHolder, None], ...] = tuple(
@@ -115,33 +145,45 @@
         )
         self.closing_holders: set[DescriptorHolder] = set()
         self.peak_count = self.denied_count = 0
+        # Arrivals of clients in a window: expected from the windows before, counted in the current one, and
+        # when that began.
         self.expected_arrivals, self.window_arrivals, self.window_start_ms = (
             0.0,
             0,
             0.0,
-        )  # newcomers in such a time: lately, now, since when
-        self.on_capacity_freed: Callable[[], None] = lambda: None  # one is free, or worth less than it was
+        )
+        # Called when a descriptor is freed, or when the priority of a holder drops.
+        self.on_capacity_freed: Callable[[], None] = lambda: None
 
     @property
     def held_count(self) -> int:
+        """Descriptors in use, without those of closing connections."""
         return len(self.priorities_by_holder)
 
     def admit_client(self, now: float) -> bool:
-        """Whether one who comes may come in; `now` in milliseconds.
+        """Returns whether a client that connects may be accepted, and evicts others for it if necessary.
 
-        In a rush strangers go as well, so that those who come during a standstill, and wait for us to take
-        them, have their places free: the operators count them as ours."""
-        passed = (now - self.window_start_ms) // ARRIVAL_WINDOW_MS
-        if passed >= 1.0:
+        In a burst untrusted clients are evicted as well, down to the arrival reserve: clients that connect
+        while the event loop is stalled wait in the listen backlog, and operators count them as held by this
+        process.
+
+        Args:
+            now: The current time in milliseconds.
+        """
+        elapsed_windows = (now - self.window_start_ms) // ARRIVAL_WINDOW_MS
+        if elapsed_windows >= 1.0:
             self.expected_arrivals = max(
-                self.window_arrivals * ARRIVAL_DECAY ** (passed - 1.0),
-                self.expected_arrivals * ARRIVAL_DECAY**passed,
+                self.window_arrivals * ARRIVAL_DECAY ** (elapsed_windows - 1.0),
+                self.expected_arrivals * ARRIVAL_DECAY**elapsed_windows,
+            )
+            self.window_arrivals, self.window_start_ms = (
+                0,
+                self.window_start_ms + elapsed_windows * ARRIVAL_WINDOW_MS,
             )
-            self.window_arrivals, self.window_start_ms = 0, self.window_start_ms + passed * ARRIVAL_WINDOW_MS
         self.window_arrivals += 1
         if not self.ensure_capacity(Demand.CLIENT):
             return False
-        while self.held_count >= self.capacity - self.arrival_reserve and self._end_least(
+        while self.held_count >= self.capacity - self.arrival_reserve and self._evict_first(
             (EvictionPriority.UNTRUSTED_CLIENT,)
         ):
             pass
@@ -149,82 +191,93 @@
 
     @property
     def arrival_reserve(self) -> int:
-        """Places for those who may come during a standstill, by how many came lately."""
+        """Descriptors kept free for clients that connect during a stall of the loop, by recent arrivals."""
         return min(
             int(max(self.expected_arrivals, self.window_arrivals)), self.capacity // ARRIVAL_RESERVE_DIVISOR
         )
 
     def ensure_capacity(self, demand: Demand) -> bool:
-        """Whether one more may be opened; ends what is worth less where nothing is free."""
+        """Returns whether a connection may be opened; if nothing is free, evicts one of a lower priority."""
         if self.held_count < self.capacity:
             return True
-        side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
-        within = self.counts_by_peer_kind[side] < self.quotas_by_peer_kind[side]
-        if self._end_least(EVICTABLE_BY_DEMAND[demand][0 if within else 1]):
+        peer_kind = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
+        is_below_quota = self.counts_by_peer_kind[peer_kind] < self.quotas_by_peer_kind[peer_kind]
+        if self._evict_first(EVICTABLE_BY_DEMAND[demand][0 if is_below_quota else 1]):
             return self.held_count < self.capacity
         self.denied_count += 1
         return False
 
-    def _end_least(self, worths: tuple[EvictionPriority, ...]) -> bool:
-        while (victim := self._least(worths)) is not None:
-            worth = victim.eviction_priority()
+    def _evict_first(self, priorities: tuple[EvictionPriority, ...]) -> bool:
+        """Evicts a holder of the first of these priorities that has one. Returns whether there was any."""
+        while (victim := self._find_victim(priorities)) is not None:
+            priority = victim.eviction_priority()
             victim.read_pending()
-            if victim.eviction_priority() is worth:
+            if victim.eviction_priority() is priority:
                 victim.evict()
                 return True
         return False
 
-    def _least(self, worths: tuple[EvictionPriority, ...]) -> DescriptorHolder | None:
-        """The first that is still worth what it was filed under; what is not is filed anew on the way."""
-        for worth in worths:
-            line = self.holders_by_priority[worth]
-            while line:
-                holder = next(iter(line))
-                now = holder.eviction_priority()
-                if now is worth:
+    def _find_victim(self, priorities: tuple[EvictionPriority, ...]) -> DescriptorHolder | None:
+        """Returns the first holder that has the priority it is filed under; refiles those that don't."""
+        for priority in priorities:
+            holders = self.holders_by_priority[priority]
+            while holders:
+                holder = next(iter(holders))
+                current_priority = holder.eviction_priority()
+                if current_priority is priority:
                     return holder
-                self._move(holder, now)
+                self._file(holder, current_priority)
         return None
 
     def add_holder(self, holder: DescriptorHolder) -> None:
+        """Counts a connection that is about to be opened or was accepted."""
         self.counts_by_peer_kind[holder.peer_kind] += 1
-        self._move(holder, holder.eviction_priority())
+        self._file(holder, holder.eviction_priority())
         self.peak_count = max(self.peak_count, self.held_count)
 
     def update_priority(self, holder: DescriptorHolder, was_used: bool = False) -> None:
-        """Its worth may have changed; `was_used` puts it last among its equals. One not held is let be."""
-        before = self.priorities_by_holder.get(holder)
-        if before is None:
+        """Refiles a holder whose priority may have changed.
+
+        Args:
+            holder: The holder; ignored if it holds no descriptor.
+            was_used: The connection was just used: it goes behind all others of its priority.
+        """
+        previous_priority = self.priorities_by_holder.get(holder)
+        if previous_priority is None:
             return
-        now = holder.eviction_priority()
-        if now is not before or was_used:
-            self._move(holder, now)
-            if now < before:
+        priority = holder.eviction_priority()
+        if priority is not previous_priority or was_used:
+            self._file(holder, priority)
+            if priority < previous_priority:
                 self.on_capacity_freed()
 
-    def _move(self, holder: DescriptorHolder, worth: EvictionPriority) -> None:
-        before = self.priorities_by_holder.get(holder)
-        if before is not None:
-            del self.holders_by_priority[before][holder]
-        self.priorities_by_holder[holder] = worth
-        self.holders_by_priority[worth][holder] = None
+    def _file(self, holder: DescriptorHolder, priority: EvictionPriority) -> None:
+        previous_priority = self.priorities_by_holder.get(holder)
+        if previous_priority is not None:
+            del self.holders_by_priority[previous_priority][holder]
+        self.priorities_by_holder[holder] = priority
+        self.holders_by_priority[priority][holder] = None
 
     def begin_close(self, holder: DescriptorHolder) -> bool:
-        """It ends by itself in a moment and counts as free; False if too many do: close it now."""
+        """Stops counting a connection that will close shortly.
+
+        Returns:
+            False if MAX_CLOSING connections are closing already: the caller closes this one at once.
+        """
         if len(self.closing_holders) >= MAX_CLOSING:
             return False
         if holder in self.priorities_by_holder:
-            self._drop(holder)
+            self._remove(holder)
             self.closing_holders.add(holder)
         return True
 
     def remove_holder(self, holder: DescriptorHolder) -> None:
-        """Its descriptor is closed."""
+        """Stops counting a connection whose descriptor is closed."""
         self.closing_holders.discard(holder)
         if holder in self.priorities_by_holder:
-            self._drop(holder)
+            self._remove(holder)
 
-    def _drop(self, holder: DescriptorHolder) -> None:
+    def _remove(self, holder: DescriptorHolder) -> None:
         del self.holders_by_priority[self.priorities_by_holder.pop(holder)][holder]
         self.counts_by_peer_kind[holder.peer_kind] -= 1
         self.on_capacity_freed()
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Who holds a descriptor and who gives one up: the whole table, and random histories."""
+"""The descriptor budget: the complete table of evictions, and random sequences of operations."""
 
 import pytest
 from hypothesis import given, settings
@@ -16,124 +16,141 @@
     PeerKind,
 )
 
-LINK_WORTHS = (
+HOST_PRIORITIES = (
     EvictionPriority.SPARE,
     EvictionPriority.ONLY_CONNECTION,
     EvictionPriority.NEW_ONLY_CONNECTION,
     EvictionPriority.PINNED,
 )
-OWNER_WORTHS = (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT, EvictionPriority.PINNED)
+CLIENT_PRIORITIES = (
+    EvictionPriority.UNTRUSTED_CLIENT,
+    EvictionPriority.TRUSTED_CLIENT,
+    EvictionPriority.PINNED,
+)
 
 
 class Holder:
-    def __init__(self, pool, side, worth):
-        self.pool, self.peer_kind, self.now, self.at_last = pool, side, worth, None
+    def __init__(self, budget, peer_kind, priority):
+        self.budget, self.peer_kind, self.priority, self.priority_after_read = (
+            budget,
+            peer_kind,
+            priority,
+            None,
+        )
 
     def eviction_priority(self):
-        return self.now
+        return self.priority
 
     def read_pending(self):
-        self.now = self.at_last if self.at_last is not None else self.now
+        self.priority = self.priority_after_read if self.priority_after_read is not None else self.priority
 
     def evict(self):
-        self.pool.remove_holder(self)
+        self.budget.remove_holder(self)
 
 
-def full(*worths, limit=256):
-    """A pool in which everything is PINNED but for these."""
-    pool, made = DescriptorBudget(limit), []
-    pool.on_capacity_freed = lambda: None
-    for worth in worths:
-        side = (
+def full_budget(*priorities, limit=256):
+    """A budget with no free capacity, and its holders of these priorities; all others are PINNED."""
+    budget, holders = DescriptorBudget(limit), []
+    budget.on_capacity_freed = lambda: None
+    for priority in priorities:
+        peer_kind = (
             PeerKind.CLIENTS
-            if worth in (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT)
+            if priority in (EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT)
             else PeerKind.HOSTS
         )
-        made.append(Holder(pool, side, worth))
-        pool.add_holder(made[-1])
-    while pool.held_count < pool.capacity:
-        short = min(
-            pool.counts_by_peer_kind,
-            key=lambda side: pool.counts_by_peer_kind[side] - pool.quotas_by_peer_kind[side],
+        holders.append(Holder(budget, peer_kind, priority))
+        budget.add_holder(holders[-1])
+    while budget.held_count < budget.capacity:
+        furthest_below_quota = min(
+            budget.counts_by_peer_kind,
+            key=lambda kind: budget.counts_by_peer_kind[kind] - budget.quotas_by_peer_kind[kind],
         )
-        pool.add_holder(Holder(pool, short, EvictionPriority.PINNED))
-    return pool, made
+        budget.add_holder(Holder(budget, furthest_below_quota, EvictionPriority.PINNED))
+    return budget, holders
 
 
 @pytest.mark.parametrize("demand", Demand, ids=lambda d: d.name)
-@pytest.mark.parametrize("within", [True, False])
-def test_what_goes_for_what(demand, within):
-    """Every worth alone: it goes if the table names it, else nobody does and no room is made."""
-    side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
-    for worth in EvictionPriority:
-        pool, (one,) = full(worth)
-        pool.quotas_by_peer_kind = {
-            x: pool.counts_by_peer_kind[x] + (1 if within and x is side else 0) for x in PeerKind
+@pytest.mark.parametrize("is_below_quota", [True, False])
+def test_what_goes_for_what(demand, is_below_quota):
+    """One holder of each priority: it is evicted if the table names it, else nothing is and the demand is
+    denied."""
+    demanding_kind = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
+    for priority in EvictionPriority:
+        budget, (holder,) = full_budget(priority)
+        budget.quotas_by_peer_kind = {
+            kind: budget.counts_by_peer_kind[kind] + (1 if is_below_quota and kind is demanding_kind else 0)
+            for kind in PeerKind
         }
-        may = worth in EVICTABLE_BY_DEMAND[demand][0 if within else 1]
-        assert pool.ensure_capacity(demand) is may and (one not in pool.priorities_by_holder) is may
+        is_evictable = priority in EVICTABLE_BY_DEMAND[demand][0 if is_below_quota else 1]
+        assert (
+            budget.ensure_capacity(demand) is is_evictable
+            and (holder not in budget.priorities_by_holder) is is_evictable
+        )
     assert EvictionPriority.PINNED not in EVICTABLE_BY_DEMAND[demand][0] + EVICTABLE_BY_DEMAND[demand][1]
 
 
-def test_a_side_beyond_its_right_never_takes_from_one_within():
-    """A crowd of silent owners may not close the links on which tasks are heard, nor the reverse."""
-    owners, links = (
+def test_a_peer_kind_above_its_quota_never_evicts_the_other_kind():
+    """Many silent clients must not evict the connections by which releases of tasks come, nor the reverse."""
+    client_priorities, host_priorities = (
         {EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.TRUSTED_CLIENT},
         {EvictionPriority.SPARE, EvictionPriority.ONLY_CONNECTION, EvictionPriority.NEW_ONLY_CONNECTION},
     )
-    for demand, (_, beyond) in EVICTABLE_BY_DEMAND.items():
-        assert set(beyond) <= (owners if demand is Demand.CLIENT else links)
+    for demand, (_, above_quota) in EVICTABLE_BY_DEMAND.items():
+        assert set(above_quota) <= (client_priorities if demand is Demand.CLIENT else host_priorities)
 
 
-def test_the_least_worth_goes_first_and_of_one_worth_the_longest_unused():
-    pool, made = full(
+def test_the_lowest_priority_is_evicted_first_and_of_equal_ones_the_longest_unused():
+    budget, holders = full_budget(
         EvictionPriority.ONLY_CONNECTION,
         EvictionPriority.SPARE,
         EvictionPriority.SPARE,
         EvictionPriority.ONLY_CONNECTION,
     )
-    pool.update_priority(made[1], was_used=True)
-    gone = []
-    for holder in made:
-        holder.evict = lambda holder=holder: (gone.append(made.index(holder)), pool.remove_holder(holder))
+    budget.update_priority(holders[1], was_used=True)
+    evicted = []
+    for holder in holders:
+        holder.evict = lambda holder=holder: (
+            evicted.append(holders.index(holder)),
+            budget.remove_holder(holder),
+        )
     for _ in range(4):
-        assert pool.ensure_capacity(Demand.ATTEMPT)
-        pool.add_holder(Holder(pool, PeerKind.HOSTS, EvictionPriority.PINNED))
-    assert gone == [2, 1, 0, 3] and not pool.ensure_capacity(Demand.ATTEMPT) and pool.denied_count == 1
+        assert budget.ensure_capacity(Demand.ATTEMPT)
+        budget.add_holder(Holder(budget, PeerKind.HOSTS, EvictionPriority.PINNED))
+    assert evicted == [2, 1, 0, 3] and not budget.ensure_capacity(Demand.ATTEMPT) and budget.denied_count == 1
 
 
-def test_what_is_worth_more_by_now_stays():
-    """Worth changes between two sweeps: a set-up goes out on a link that was filed as spare."""
-    pool, made = full(EvictionPriority.SPARE, EvictionPriority.SPARE)
-    made[0].now = EvictionPriority.PINNED
+def test_a_holder_whose_priority_has_risen_is_not_evicted():
+    """A priority may be out of date: a set-up was sent on a connection that is filed as SPARE."""
+    budget, holders = full_budget(EvictionPriority.SPARE, EvictionPriority.SPARE)
+    holders[0].priority = EvictionPriority.PINNED
     assert (
-        pool.ensure_capacity(Demand.ATTEMPT)
-        and made[0] in pool.priorities_by_holder
-        and made[1] not in pool.priorities_by_holder
+        budget.ensure_capacity(Demand.ATTEMPT)
+        and holders[0] in budget.priorities_by_holder
+        and holders[1] not in budget.priorities_by_holder
     )
 
 
-def test_who_waits_is_told_when_something_is_free_or_worth_less():
-    pool, (link,) = full(EvictionPriority.PINNED)
-    told = []
-    pool.on_capacity_freed = lambda: told.append(pool.held_count)
-    link.now = EvictionPriority.SPARE
-    pool.update_priority(link)
-    assert told == [pool.capacity]
-    pool.remove_holder(link)
-    assert told == [pool.capacity, pool.capacity - 1]
+def test_freed_capacity_and_a_lowered_priority_are_notified():
+    budget, (connection,) = full_budget(EvictionPriority.PINNED)
+    notified = []
+    budget.on_capacity_freed = lambda: notified.append(budget.held_count)
+    connection.priority = EvictionPriority.SPARE
+    budget.update_priority(connection)
+    assert notified == [budget.capacity]
+    budget.remove_holder(connection)
+    assert notified == [budget.capacity, budget.capacity - 1]
 
 
-def test_only_so_many_leave_at_once():
-    pool, made = full(*[EvictionPriority.ONLY_CONNECTION] * (MAX_CLOSING + 1))
-    assert [pool.begin_close(holder) for holder in made] == [True] * MAX_CLOSING + [False]
+def test_the_number_of_closing_connections_is_bounded():
+    budget, holders = full_budget(*[EvictionPriority.ONLY_CONNECTION] * (MAX_CLOSING + 1))
+    assert [budget.begin_close(holder) for holder in holders] == [True] * MAX_CLOSING + [False]
     assert (
-        pool.held_count + len(pool.closing_holders)
-        <= pool.capacity + MAX_CLOSING
-        < pool.capacity + RESERVED_DESCRIPTORS
+        budget.held_count + len(budget.closing_holders)
+        <= budget.capacity + MAX_CLOSING
+        < budget.capacity + RESERVED_DESCRIPTORS
     )
-    pool.remove_holder(made[0])
-    assert pool.begin_close(made[-1])
+    budget.remove_holder(holders[0])
+    assert budget.begin_close(holders[-1])
 
 
 @given(
@@ -142,83 +159,87 @@
 )
 @settings(max_examples=60, deadline=None)
 def test_random_histories_keep_the_distance(limit, steps):
-    """Counts, order and the bound agree with a plain account after every step."""
-    pool, alive = DescriptorBudget(limit), set()
+    """After every step the counts, the order and the limit agree with a plain set of the open holders."""
+    budget, open_holders = DescriptorBudget(limit), set()
 
-    def gone(holder):
-        alive.discard(holder)
-        pool.remove_holder(holder)
+    def remove(holder):
+        open_holders.discard(holder)
+        budget.remove_holder(holder)
 
     for kind, pick in steps * 3:
-        chosen = sorted(alive, key=id)[pick % len(alive)] if alive else None
+        chosen = sorted(open_holders, key=id)[pick % len(open_holders)] if open_holders else None
         if kind < 6 or chosen is None:
             demand = list(Demand)[pick % 4]
-            side = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
-            if pool.ensure_capacity(demand):
-                worths = OWNER_WORTHS if side is PeerKind.CLIENTS else LINK_WORTHS
-                holder = Holder(pool, side, worths[pick // 7 % len(worths)])
-                holder.evict = lambda holder=holder: gone(holder)
-                alive.add(holder)
-                pool.add_holder(holder)
+            peer_kind = PeerKind.CLIENTS if demand is Demand.CLIENT else PeerKind.HOSTS
+            if budget.ensure_capacity(demand):
+                priorities = CLIENT_PRIORITIES if peer_kind is PeerKind.CLIENTS else HOST_PRIORITIES
+                holder = Holder(budget, peer_kind, priorities[pick // 7 % len(priorities)])
+                holder.evict = lambda holder=holder: remove(holder)
+                open_holders.add(holder)
+                budget.add_holder(holder)
         elif kind < 8:
-            chosen.now = (OWNER_WORTHS if chosen.peer_kind is PeerKind.CLIENTS else LINK_WORTHS)[pick % 3]
-            if pick % 2:  # else it is noticed late
-                pool.update_priority(chosen)
+            chosen.priority = (
+                CLIENT_PRIORITIES if chosen.peer_kind is PeerKind.CLIENTS else HOST_PRIORITIES
+            )[pick % 3]
+            if pick % 2:  # otherwise the budget learns of the change only when it looks for one to evict
+                budget.update_priority(chosen)
         else:
-            gone(chosen)
+            remove(chosen)
         assert (
-            set(pool.priorities_by_holder) == alive
-            and len(alive) <= pool.capacity <= limit - RESERVED_DESCRIPTORS
+            set(budget.priorities_by_holder) == open_holders
+            and len(open_holders) <= budget.capacity <= limit - RESERVED_DESCRIPTORS
         )
-        assert pool.counts_by_peer_kind == {
-            side: sum(h.peer_kind is side for h in alive) for side in PeerKind
+        assert budget.counts_by_peer_kind == {
+            side: sum(other.peer_kind is side for other in open_holders) for side in PeerKind
         }
-        assert sum(map(len, pool.holders_by_priority)) == len(alive)
+        assert sum(map(len, budget.holders_by_priority)) == len(open_holders)
 
 
-def test_what_is_found_busy_at_the_last_look_stays_and_the_next_goes():
-    pool, made = full(EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.UNTRUSTED_CLIENT)
-    made[0].at_last = EvictionPriority.PINNED
-    assert pool.ensure_capacity(Demand.CLIENT)
-    assert made[0] in pool.priorities_by_holder and made[1] not in pool.priorities_by_holder
-    pool, made = full(EvictionPriority.UNTRUSTED_CLIENT)
-    made[0].at_last = EvictionPriority.PINNED
-    assert not pool.ensure_capacity(Demand.CLIENT) and made[0] in pool.priorities_by_holder
+def test_a_holder_with_unread_messages_is_not_evicted_but_the_next_one():
+    """Reading what has arrived just before the eviction shows that the connection is in use."""
+    budget, holders = full_budget(EvictionPriority.UNTRUSTED_CLIENT, EvictionPriority.UNTRUSTED_CLIENT)
+    holders[0].priority_after_read = EvictionPriority.PINNED
+    assert budget.ensure_capacity(Demand.CLIENT)
+    assert holders[0] in budget.priorities_by_holder and holders[1] not in budget.priorities_by_holder
+    budget, holders = full_budget(EvictionPriority.UNTRUSTED_CLIENT)
+    holders[0].priority_after_read = EvictionPriority.PINNED
+    assert not budget.ensure_capacity(Demand.CLIENT) and holders[0] in budget.priorities_by_holder
 
 
-# ---- newcomers ----
+# ---- clients that connect ----
 
 
-def crowd(pool, now, count):
+def connect_clients(budget, now, count):
     for _ in range(count):
-        assert pool.admit_client(now)
-        pool.add_holder(Holder(pool, PeerKind.CLIENTS, EvictionPriority.UNTRUSTED_CLIENT))
+        assert budget.admit_client(now)
+        budget.add_holder(Holder(budget, PeerKind.CLIENTS, EvictionPriority.UNTRUSTED_CLIENT))
 
 
-@pytest.mark.parametrize("per_standstill", [1, 10, 40, 60])
-def test_a_standstill_in_a_steady_rush_has_its_places(per_standstill):
-    """Strangers come and stay, so many in each standstill's time: as many places are free at its end."""
-    pool = DescriptorBudget(640)
-    for number in range(max(1_400, 20 * per_standstill)):
-        crowd(pool, 1e9 + number * ARRIVAL_WINDOW_MS / per_standstill, 1)
-    assert pool.held_count + per_standstill <= pool.capacity + 1
-    assert pool.held_count >= pool.capacity - 2 * per_standstill  # and no more than for that
+@pytest.mark.parametrize("arrivals_per_window", [1, 10, 40, 60])
+def test_a_steady_rate_of_arrivals_keeps_capacity_for_a_window_of_them(arrivals_per_window):
+    """Untrusted clients connect at a steady rate and stay: capacity for those of one window is left, and no
+    more."""
+    budget = DescriptorBudget(640)
+    for number in range(max(1_400, 20 * arrivals_per_window)):
+        connect_clients(budget, 1e9 + number * ARRIVAL_WINDOW_MS / arrivals_per_window, 1)
+    assert budget.held_count + arrivals_per_window <= budget.capacity + 1
+    assert budget.held_count >= budget.capacity - 2 * arrivals_per_window
 
 
-def test_what_is_kept_free_is_bounded_and_let_go_of():
-    pool = DescriptorBudget(640)
-    crowd(pool, 1e9, 2_000)
+def test_the_arrival_reserve_is_bounded_and_decays():
+    budget = DescriptorBudget(640)
+    connect_clients(budget, 1e9, 2_000)
     assert (
-        pool.arrival_reserve == pool.capacity // ARRIVAL_RESERVE_DIVISOR
-        and pool.held_count == pool.capacity - pool.arrival_reserve
+        budget.arrival_reserve == budget.capacity // ARRIVAL_RESERVE_DIVISOR
+        and budget.held_count == budget.capacity - budget.arrival_reserve
     )
-    crowd(pool, 1e9 + 60_000.0, 200)
-    crowd(pool, 1e9 + 90_000.0, 1)
-    assert pool.arrival_reserve == 1
+    connect_clients(budget, 1e9 + 60_000.0, 200)
+    connect_clients(budget, 1e9 + 90_000.0, 1)
+    assert budget.arrival_reserve == 1
 
 
-def test_only_strangers_make_way_before_there_is_need():
-    pool = DescriptorBudget(640)
-    for _ in range(pool.capacity - 1):
-        pool.add_holder(Holder(pool, PeerKind.CLIENTS, EvictionPriority.TRUSTED_CLIENT))
-    assert pool.admit_client(1e9) and pool.held_count == pool.capacity - 1
+def test_only_untrusted_clients_are_evicted_for_the_arrival_reserve():
+    budget = DescriptorBudget(640)
+    for _ in range(budget.capacity - 1):
+        budget.add_holder(Holder(budget, PeerKind.CLIENTS, EvictionPriority.TRUSTED_CLIENT))
+    assert budget.admit_client(1e9) and budget.held_count == budget.capacity - 1
