--- a/glencleat/platform_server/host_connection.py
+++ b/glencleat/platform_server/host_connection.py
@@ -1,7 +1,8 @@
-"""One connection to a host: set-ups out, answers and releases in.
+"""One connection to a host: sends set-ups, receives answers and releases.
 
-A connection reports facts to the exchange (`DeliveryOutcome`) and to the pool; what they mean for a task is
-the exchange's to decide, what they mean for the host the failure detector's. `connection_pool.py` opens them.
+A connection reports delivery outcomes to the exchange, which decides what they mean for a task, and its own
+state to the pool, whose failure detector decides what that means for the host. `connection_pool.py` opens
+connections.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
     from glencleat.platform_server.trace import Trace
 
 DESCRIPTOR_RETRY_MS = 800.0
-"""Until the next connect after one that failed because our process had no descriptor."""
+"""The wait before the next connect after one that failed because this process had no free descriptor."""
 
 LIVENESS_CHECK_MS = 500.0
-"""After a connection comes up: what the host still owed us has come by then."""
+"""The time after a connection opens within which the host has sent all releases that were unacknowledged."""
 
 CLOSE_TIMEOUT_MS = 500.0
-"""The time a host has to close a connection whose own half we have closed."""
+"""How long a host may take to close a connection after this process has closed its own half."""
 
 Host: TypeAlias = "PooledHost[HostConnection]"
-"""A host with its connections."""
+"""A host of the pool, with its connections."""
 
 
 class ConnectionPoolPort(Protocol):
-    """What a connection needs of the pool that opened it."""
+    """What a connection requires of the pool that opened it."""
 
     loop: Loop
     connection_limiter: ConnectionLimiter
@@ -46,31 +47,31 @@
     trace: Trace | None
 
     def report_outcome(self, attempt: SetupAttempt, outcome: DeliveryOutcome) -> None:
-        """Reports to the exchange, once it has finished what it is doing, that an attempt has failed."""
+        """Reports a failed attempt to the exchange, after the exchange's current operation."""
 
     def is_warming_up(self, host: Host) -> bool:
-        """Whether the host started a short time ago, by the machine list."""
+        """Whether the host is warming up, by the machine list."""
 
     def on_connected(self, host: Host, connection: HostConnection) -> None:
-        """The connection has come up."""
+        """The connection has opened."""
 
     def on_host_heard(self, host: Host) -> None:
-        """The host was heard, or a connection to it came up."""
+        """Data was received from the host, or a connection to it has opened."""
 
     def on_connect_failed(self, host: Host, *, refused: bool) -> None:
-        """A connect failed, for a reason other than a want of descriptors."""
+        """A connect failed for a reason other than a lack of descriptors."""
 
     def on_connection_lost(self, host: Host, connection: HostConnection, reason: str) -> None:
-        """A connection that we had not begun to close has ended."""
+        """A connection that the pool was not closing has ended."""
 
     def mark_changed(self, host: Host) -> None:
-        """The host may have to be maintained earlier than planned."""
+        """The host may need maintenance earlier than planned."""
 
 
 class HostConnection:
-    """One connection to a host, from before it is up until it has ended or is left to end.
+    """One connection to a host, from the start of its connect until it is closed or closing.
 
-    It is a `DescriptorHolder` of the descriptor budget.
+    It implements the descriptor budget's `DescriptorHolder`.
     """
 
     peer_kind = PeerKind.HOSTS
@@ -81,47 +82,47 @@
         Args:
             pool: The pool that opens it.
             host: The host to connect to.
-            is_liveness_check: It is opened beside another to see whether the host lives, and is not kept
-                unless it is used.
+            is_liveness_check: It is opened in addition to another one to check that the host is alive, and
+                is kept only if it is used.
         """
         self.pool = pool
         self.host = host
         self.loop = pool.loop
-        self.address = host.address  # the host may have another by the time that this comes up
+        self.address = host.address  # the host's may change before the connection opens
         self.is_liveness_check = is_liveness_check
-        # We end it: nothing more is sent, and its end says nothing of the host.
+        # Closed by this process: nothing more is sent, and its end is no evidence about the host.
         self.is_closing = False
-        # The host has closed it: what it said before is read, nothing more is sent.
+        # Closed by the host: what was sent before is still read, nothing more is sent.
         self.is_closed_by_host = False
         self.connected_at_ms = 0.0
-        self.stream: Stream | None = None  # from when it is up
+        self.stream: Stream | None = None  # None until it is open
         self.decoder = m.MessageDecoder()
-        self.waiting_attempts: list[SetupAttempt] = []  # until it is up
-        self.sent_attempts: dict[SetupAttempt, int] = {}  # the position in the stream at which each ends
-        # A late answer to a cancelled attempt would be taken for that to a retry of the task.
+        self.waiting_attempts: list[SetupAttempt] = []  # until it is open
+        self.sent_attempts: dict[SetupAttempt, int] = {}  # the stream offset at which each set-up ends
+        # A late answer to a cancelled attempt would be taken for the answer to a retry of its task.
         self.cancelled_task_ids: set[int] = set()
-        # An attempt had no answer here, and nothing was heard since.
+        # An attempt got no answer on it, and nothing was received since.
         self.is_unresponsive = False
         self.last_used_at_ms = self.loop.now()
         pool.connection_limiter.record_connect_begin(self.address, self.last_used_at_ms)
-        self.loop.spawn(self._run(), "host link")
+        self.loop.spawn(self._run(), "host connection")
 
     @property
     def open_attempt_count(self) -> int:
-        """Attempts that wait for the connection or for an answer on it."""
+        """The number of attempts that wait for the connection to open or for an answer."""
         return len(self.waiting_attempts) + len(self.sent_attempts)
 
     @property
     def is_idle(self) -> bool:
-        """It is up, with no attempt open on it."""
+        """Whether it is open and carries no open attempt."""
         return self.stream is not None and not self.open_attempt_count
 
     def detect_close_by_host(self, *, has_polled: bool = True) -> bool:
-        """Whether the host has closed it; what is sent after that is lost, and nobody could tell if unread.
+        """Whether the host has closed it: what is sent after that may be lost without notice.
 
         Args:
-            has_polled: The poller had a chance to report the close, so the system is only asked where it
-                reported something.
+            has_polled: The poller could have reported the close, so a system call is made only if it reported
+                something.
         """
         if (
             self.stream is not None
@@ -134,7 +135,7 @@
     # ---- DescriptorHolder ----
 
     def eviction_priority(self) -> EvictionPriority:
-        """What its descriptor is held for now."""
+        """Returns its current eviction priority."""
         host = self.host
         if not self.is_idle:
             return EvictionPriority.PINNED
@@ -143,46 +144,42 @@
             for other in host.connections
             if other is not self and other.stream is not None and not other.is_unresponsive
         )
-        # A liveness check goes before the connection that it is beside.
+        # A liveness check is evicted before the connection that it was opened in addition to.
         is_replaceable = any(self.is_liveness_check or not other.is_liveness_check for other in others_up)
         if is_replaceable or not (
             self.pool.exchange.placed_calls_by_host.get(host.name) or host.unsent_releases
         ):
             return EvictionPriority.SPARE
         if host.is_draining:
-            return EvictionPriority.PINNED  # the host takes no new connection while its tasks run
+            return EvictionPriority.PINNED  # the host accepts no new connection while its tasks run
         if self.loop.now() - self.connected_at_ms > LIVENESS_CHECK_MS:
             return EvictionPriority.ONLY_CONNECTION
         return EvictionPriority.NEW_ONLY_CONNECTION
 
     def read_pending(self) -> None:
-        """Nothing to do: what is unread is read after the connection is left."""
+        """Does nothing: unread data is still read after the connection begins to close."""
 
     def evict(self) -> None:
-        """Ends it so that its descriptor may serve another."""
+        """Closes it to free its descriptor."""
         self.host.is_connection_evicted = len(self.host.connections) == 1
-        self.close_gracefully("room is wanted")
+        self.close_gracefully("evicted to free its descriptor")
 
     # ---- closing ----
 
     def close_gracefully(self, reason: str) -> None:
-        """Ends it from our side, with no attempt open on it.
+        """Closes a connection that carries no open attempt.
 
-        Where tasks stand a release may be on its way: our half is closed, and what comes is read until the
-        host closes the other. An immediate close would lose the release, and the second in which it must be
-        passed on.
+        If the host has placed tasks, a release may be in transit: only this side's half is closed, and data
+        is read until the host closes the other. An immediate close would lose the release, which must be
+        forwarded within a second.
         """
         assert self.stream is not None
         self.is_closing = True
         self.host.remove_connection(self)
         if self.loop.now() - self.connected_at_ms > HOST_BACKOFF.reset_after_ms:
             self.host.backoff.reset()
-        has_standing_tasks = self.pool.exchange.placed_calls_by_host.get(self.host.name)
-        if (
-            has_standing_tasks
-            and self.stream.close_reason is None
-            and self.pool.descriptors.begin_close(self)
-        ):
+        has_placed_tasks = self.pool.exchange.placed_calls_by_host.get(self.host.name)
+        if has_placed_tasks and self.stream.close_reason is None and self.pool.descriptors.begin_close(self):
             stream = self.stream
             stream.shutdown_write()
             self.loop.call_in(CLOSE_TIMEOUT_MS, lambda: stream.close(reason))
@@ -190,10 +187,10 @@
             self.stream.close(reason)
 
     def abort(self, reason: str) -> None:
-        """Ends it at once: its host is no longer at that address.
+        """Closes it at once, since its host is no longer at that address.
 
-        A connection that still comes up would reach whoever is there now: it is ended when it is up, and what
-        waits for it has not run. To close it before would need the connect called off.
+        A connect in progress may reach the host that has the address now. It is not cancelled; the connection
+        is closed as soon as it opens, and the attempts that wait for it were not sent.
         """
         self.is_closing = True
         if self.stream is not None:
@@ -209,7 +206,7 @@
     # ---- attempts ----
 
     def add_attempt(self, attempt: SetupAttempt) -> None:
-        """Sends an attempt, now or when the connection is up."""
+        """Sends an attempt, now or when the connection opens."""
         attempt.connection = self
         self.is_liveness_check = False
         self.last_used_at_ms = self.loop.now()
@@ -233,14 +230,14 @@
         stream.try_send(data)
 
     def write(self, data: bytes) -> None:
-        """Queues bytes if it is up; a stream that breaks on them is noticed by its reader."""
+        """Queues bytes if it is open; the reader detects a stream that breaks on them."""
         if self.stream is not None:
             self.stream.try_send(data)
 
     def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
-        """Takes back an attempt and returns what is known of its delivery.
+        """Cancels an attempt and returns what is known of its delivery.
 
-        The cancellation is written to the host where the whole set-up was; else the connection is closed.
+        If the complete set-up was written, a cancellation is written too; otherwise the connection is closed.
         """
         self.pool.mark_changed(self.host)
         if attempt in self.waiting_attempts:
@@ -250,7 +247,7 @@
         if end is None or self.stream is None:
             return DeliveryOutcome.CONNECTION_LOST
         if self.stream.written_bytes < end:
-            self.stream.close("a set-up given up before it was sent whole")
+            self.stream.close("a set-up was cancelled before it was written completely")
             return DeliveryOutcome.NOT_SENT
         if self.stream.close_reason is not None:
             return DeliveryOutcome.CONNECTION_LOST
@@ -258,7 +255,7 @@
         self.cancelled_task_ids.add(attempt.call.setup.task_id)
         self.write(m.encode_with_cause(m.RELEASE, attempt.call.setup.task_id, m.CANCELLED))
         if self.stream.send_buffer or self.decoder.has_partial_message:
-            self.stream.close("a give-up that can't be written, or an answer that stopped short")
+            self.stream.close("a cancellation can't be written, or an answer is incomplete")
         return DeliveryOutcome.ANSWER_TIMEOUT
 
     # ---- the connection's coroutine ----
@@ -274,10 +271,10 @@
         self.connected_at_ms = self.loop.now()
         stream.close_callbacks.append(lambda _: self.pool.descriptors.remove_holder(self))
         if self.is_closing:
-            stream.close("its host has another address")
+            stream.close("the host's address has changed")
             return
         self.pool.on_connected(self.host, self)
-        self.detect_close_by_host(has_polled=False)  # it may be accepted and closed at once
+        self.detect_close_by_host(has_polled=False)  # the host may accept and close it at once
         waiting_attempts = self.waiting_attempts
         self.waiting_attempts = []
         for attempt in waiting_attempts:
@@ -292,23 +289,24 @@
         self.host.remove_connection(self)
         self.pool.descriptors.remove_holder(self)
         if self.is_closing:
-            return  # of an address that is no longer its host's
+            return  # the address is no longer its host's
         is_refused = error.code == errno.ECONNREFUSED
         if error.code in (errno.EMFILE, errno.ENFILE):
-            # Our fault: it says nothing of the host. Every tick would try again at once, for every host.
+            # A local fault, which is no evidence about the host. Without the wait every tick would retry the
+            # connects to all hosts.
             outcome = DeliveryOutcome.NOT_SENT
             self.host.next_connect_at_ms = self.loop.now() + DESCRIPTOR_RETRY_MS
         else:
             self.pool.on_connect_failed(self.host, refused=is_refused)
             outcome = DeliveryOutcome.REFUSED if is_refused else DeliveryOutcome.CONNECT_TIMEOUT
-        while self.waiting_attempts:  # one failure may make the exchange cancel another attempt of these
+        while self.waiting_attempts:  # the exchange may cancel another of them in response
             self.pool.exchange.on_attempt_failed(self.waiting_attempts.pop(0), outcome)
 
     def _read_messages(self, stream: Stream) -> Coroutine:
         while True:
             data = yield from stream.read()
             if not data:
-                raise StreamClosedError("the host closed it")
+                raise StreamClosedError("the host closed the connection")
             self.last_used_at_ms = self.loop.now()
             self.host.record_bytes(self.last_used_at_ms)
             self.host.backoff.reset()
@@ -330,39 +328,42 @@
         if message.kind in (m.RELEASE, m.RELEASE_COMPLETE) and message.task_id in host.pending_releases:
             del host.pending_releases[message.task_id]
             self.pool.mark_changed(host)
-        answered = next((a for a in self.sent_attempts if a.call.setup.task_id == message.task_id), None)
-        if answered is not None and message.kind in (m.ANSWER, m.RELEASE):
+        answered_attempt = next(
+            (a for a in self.sent_attempts if a.call.setup.task_id == message.task_id), None
+        )
+        if answered_attempt is not None and message.kind in (m.ANSWER, m.RELEASE):
             self.pool.mark_changed(host)
-            # Before the policy may bind anew: this connection is free again.
-            del self.sent_attempts[answered]
+            # Removed before the exchange runs: the policy may bind another call, which can use this
+            # connection.
+            del self.sent_attempts[answered_attempt]
         try:
             self.pool.exchange.on_host_message(host.name, self, message)
         except m.ProtocolError:
-            if answered is not None:
-                # An answer that can't be read is none: the attempt fails with the connection.
-                self.sent_attempts[answered] = 0
+            if answered_attempt is not None:
+                # A malformed answer is no answer: the attempt fails with the connection.
+                self.sent_attempts[answered_attempt] = 0
             raise
         if message.kind == m.RELEASE and not self.is_closing:
             self.write(m.encode(m.RELEASE_COMPLETE, message.task_id))
 
     def _handle_connection_lost(self, stream: Stream, reason: str) -> None:
-        """Fails the attempts that were open on it; tasks that stand are not affected."""
+        """Fails the attempts that were open on it; placed tasks are not affected."""
         stream.close(reason)
         self.host.remove_connection(self)
         self._unassign_releases()
         sent_attempts = self.sent_attempts
         self.sent_attempts = {}
         for attempt, end in sent_attempts.items():
-            is_sent_whole = stream.written_bytes >= end
-            outcome = DeliveryOutcome.CONNECTION_LOST if is_sent_whole else DeliveryOutcome.NOT_SENT
+            is_completely_sent = stream.written_bytes >= end
+            outcome = DeliveryOutcome.CONNECTION_LOST if is_completely_sent else DeliveryOutcome.NOT_SENT
             self.pool.exchange.on_attempt_failed(attempt, outcome)
         if not self.is_closing:
             self.pool.on_connection_lost(self.host, self, reason)
 
     def _unassign_releases(self) -> None:
         pending_releases = self.host.pending_releases
-        for task in [task for task, carrier in pending_releases.items() if carrier is self]:
+        for task in [task for task, connection in pending_releases.items() if connection is self]:
             if self.is_closing:
-                del pending_releases[task]  # all that was written before we ended it is read
+                del pending_releases[task]  # the host reads all that was written before the graceful close
             else:
                 pending_releases[task] = None
--- a/glencleat/platform_server/host_maintenance.py
+++ b/glencleat/platform_server/host_maintenance.py
@@ -1,7 +1,7 @@
-"""Periodic work on the hosts of the connection pool: liveness, unneeded connections, hosts that were removed.
+"""Periodic maintenance of the connection pool's hosts: liveness, unneeded connections, removed hosts.
 
-A tick maintains the hosts on which something has happened and those that are due; the others cost nothing.
-`_next_maintenance_ms` computes when a host is due, and whoever changes what that reads calls `mark_changed`.
+A tick maintains the hosts that have changed and those that are due; the others cost nothing.
+`_next_maintenance_ms` computes when a host is due, and code that changes its inputs calls `mark_changed`.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from glencleat.platform_server.host_registry import HostRegistry
 
 TICK_MS = 200.0
-"""Between two ticks."""
+"""The interval of ticks."""
 
-STANDSTILL_MS = 1_000.0
-"""A tick that comes so long after the one before shows that our process stood still."""
+STALL_MS = 1_000.0
+"""A longer interval between two ticks shows that the event loop was stalled."""
 
 SURPLUS_IDLE_MS = 4_000.0
-"""A connection not needed for so long is closed if another is up; clients keep theirs as long."""
+"""A connection unused for so long is closed if another is open; clients keep theirs as long."""
 
 
 class MaintenancePort(Protocol):
-    """What the maintenance needs of the connection pool."""
+    """What the maintenance requires of the connection pool."""
 
     loop: Loop
     registry: HostRegistry
@@ -42,43 +42,43 @@
 
     @property
     def exchange(self) -> Exchange:
-        """Knows which tasks stand where."""
+        """Keeps the placed tasks of each host."""
 
     def on_capacity_freed(self) -> None:
-        """A connection may be opened for an attempt that waits."""
+        """A connection may be opened for a queued attempt."""
 
     def reconnect(self, host: Host, demand: Demand = Demand.LIVENESS_CHECK) -> None:
-        """Opens a further connection, if one may be opened now."""
+        """Opens a further connection if one may be opened now."""
 
     def is_healthy(self, connection: HostConnection) -> bool:
-        """Whether the connection is up and may be used."""
+        """Whether the connection is open and may be used."""
 
     def update_eviction_priorities(self, host: Host) -> None:
-        """Files a host's connections in the descriptor budget by what they are worth now."""
+        """Refiles a host's connections in the descriptor budget by their current eviction priority."""
 
     def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
-        """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
+        """The tasks that were placed on the host before `before_ms`, in the loop's time, have ended."""
 
 
 class HostMaintenance:
-    """Ticks of the connection pool."""
+    """Runs the periodic ticks of the connection pool."""
 
     def __init__(self, pool: MaintenancePort) -> None:
         """Schedules the first tick."""
         self.pool = pool
-        # The longest unheard first: where there are more hosts than descriptors they take turns.
+        # The longest unheard first, so that hosts take turns if they outnumber the descriptors.
         self.due_hosts = DirtySet[Host](sort_key=lambda host: (host.last_heard_at_ms, host.creation_number))
-        self.unlisted_host_names: dict[str, None] = {}  # where tasks came to stand, and no list names it
+        self.unlisted_host_names: dict[str, None] = {}  # hosts of adopted tasks that no machine list names
         self.tick_count = 0
         self.last_tick_at_ms = pool.loop.now()
         pool.loop.call_in(TICK_MS, self._tick)
 
     def mark_changed(self, host: Host) -> None:
-        """Something has happened that may bring forward the time at which the host is due."""
+        """Records a change that may bring forward the time at which the host is due."""
         self.due_hosts.mark_dirty(host)
 
-    def on_standing_changed(self, name: str) -> None:
-        """The first task has come to stand at a host, or the last one has ended."""
+    def on_placed_tasks_changed(self, name: str) -> None:
+        """The first task was placed on a host, or its last one has ended."""
         host = self.pool.registry.hosts_by_name.get(name)
         if host is None:
             self.unlisted_host_names[name] = None
@@ -88,12 +88,12 @@
     def _tick(self) -> None:
         self.pool.loop.call_in(TICK_MS, self._tick)
         now_ms = self.pool.loop.now()
-        is_late = now_ms - self.last_tick_at_ms > STANDSTILL_MS
+        was_stalled = now_ms - self.last_tick_at_ms > STALL_MS
         self.last_tick_at_ms = now_ms
-        if is_late:
-            return  # after a standstill what hosts said meanwhile lies unread: it is read first
+        if was_stalled:
+            return  # after a stall, messages that hosts sent meanwhile are read first
         self.tick_count += 1
-        self.pool.on_capacity_freed()  # a moment ago the limiter may have permitted none
+        self.pool.on_capacity_freed()  # the connection limiter may permit a connect by now
         self._add_unlisted_hosts(now_ms)
         if DueQueue.is_self_checking:
             self._check_skipped_hosts(now_ms)
@@ -117,7 +117,7 @@
                 registry.add_host(name).record_removed(now_ms)
 
     def _maintain_host(self, host: Host, now_ms: float) -> None:
-        """Does all that has to be done at a host by now."""
+        """Does the work that is due at a host."""
         if host.name in self.pool.exchange.placed_calls_by_host:
             self._assess_host(host, now_ms)
         elif host.unsent_releases:
@@ -135,15 +135,15 @@
         self.due_hosts.put(host, NEVER)
 
     def _next_maintenance_ms(self, host: Host) -> float:
-        """When a host is due if nothing happens on it before; a time in the past is that of the next tick.
+        """Returns when a host is due if it does not change before; a time in the past means the next tick.
 
-        Each line answers one of `_assess_host`, `reconnect`, `_close_unneeded` and
+        Each condition mirrors one of `_assess_host`, `reconnect`, `_close_unneeded` and
         `update_eviction_priorities`; `_check_skipped_hosts` verifies that.
         """
-        has_standing_tasks = host.name in self.pool.exchange.placed_calls_by_host
+        has_placed_tasks = host.name in self.pool.exchange.placed_calls_by_host
         connections = host.connections
         due_ms = NEVER
-        if has_standing_tasks:
+        if has_placed_tasks:
             due_ms = host.next_assessment_ms(
                 has_address=host.has_address,
                 has_connection=bool(connections),
@@ -151,45 +151,45 @@
             )
         elif host.unsent_releases and host.has_address and not host.is_connecting:
             due_ms = host.next_connect_at_ms
-        if host.is_removed and not has_standing_tasks and not host.has_open_attempts:
+        if host.is_removed and not has_placed_tasks and not host.has_open_attempts:
             due_ms = -NEVER
         for connection in connections:
             if connection.is_idle:
-                due_ms = min(due_ms, self._idle_connection_due_ms(host, connection, has_standing_tasks))
+                due_ms = min(due_ms, self._idle_connection_due_ms(host, connection, has_placed_tasks))
         return due_ms
 
     def _idle_connection_due_ms(
-        self, host: Host, connection: HostConnection, has_standing_tasks: bool
+        self, host: Host, connection: HostConnection, has_placed_tasks: bool
     ) -> float:
         due_ms = NEVER
         if connection.is_liveness_check:
-            if not has_standing_tasks:
+            if not has_placed_tasks:
                 return -NEVER
         else:
             if len(host.connections) > 1:
                 due_ms = connection.last_used_at_ms + SURPLUS_IDLE_MS
-            if not (has_standing_tasks and host.is_draining):
+            if not (has_placed_tasks and host.is_draining):
                 due_ms = min(due_ms, connection.last_used_at_ms + self.pool.idle_ms)
         if self.pool.descriptors.priorities_by_holder.get(connection) is EvictionPriority.NEW_ONLY_CONNECTION:
             due_ms = min(due_ms, connection.connected_at_ms + host_connection.LIVENESS_CHECK_MS)
         return due_ms
 
     def _check_skipped_hosts(self, now_ms: float) -> None:
-        """Verifies the plain way that hosts which are not due need nothing. Tests switch this on."""
+        """Verifies by checking every host that those which are not due need nothing. Tests enable this."""
         due_hosts = self.due_hosts.collect_ready(now_ms)
-        filed = self.pool.descriptors.priorities_by_holder
+        priorities = self.pool.descriptors.priorities_by_holder
         for host in self.pool.registry.hosts_by_name.values():
             if host not in due_hosts:
                 due_ms = self._next_maintenance_ms(host)
                 assert due_ms > now_ms, (host.name, now_ms, due_ms, vars(host))
                 for connection in host.connections:
-                    priority = filed.get(connection)
+                    priority = priorities.get(connection)
                     assert priority in (None, connection.eviction_priority()), (host.name, vars(connection))
             assert host in self.pool.connected_hosts or not host.connections
             assert host in self.pool.releasing_hosts or not host.pending_releases
 
     def _assess_host(self, host: Host, now_ms: float) -> None:
-        """Asks the failure detector whether a host with standing tasks lives, and does what it says."""
+        """Has the failure detector assess a host with placed tasks, and takes the action it requests."""
         assessment = host.assess(
             now_ms,
             has_address=host.has_address,
@@ -205,37 +205,37 @@
             self.pool.reconnect(host)
 
     def _close_unneeded(self, host: Host, now_ms: float) -> None:
-        """Closes connections that nobody needs, and removes a host that the machine list has removed."""
-        has_standing_tasks = host.name in self.pool.exchange.placed_calls_by_host
-        by_need = sorted(
+        """Closes unneeded connections, and removes a host that the machine list has removed."""
+        has_placed_tasks = host.name in self.pool.exchange.placed_calls_by_host
+        by_usefulness = sorted(
             host.connections, key=lambda other: (not other.is_unresponsive, other.last_used_at_ms)
         )
-        for connection in by_need:
+        for connection in by_usefulness:
             if connection.is_idle:
-                self._close_if_unneeded(host, connection, now_ms, has_standing_tasks)
+                self._close_if_unneeded(host, connection, now_ms, has_placed_tasks)
         if (
             host.is_removed
             and host.name not in self.pool.exchange.placed_calls_by_host
             and not host.has_open_attempts
         ):
-            host.abort_connections("its host is gone")
+            host.abort_connections("the host was removed")
             self.pool.registry.remove_host(host)
 
     def _close_if_unneeded(
-        self, host: Host, connection: HostConnection, now_ms: float, has_standing_tasks: bool
+        self, host: Host, connection: HostConnection, now_ms: float, has_placed_tasks: bool
     ) -> None:
         idle_ms = 0.0 if connection.is_liveness_check else now_ms - connection.last_used_at_ms
         if idle_ms > SURPLUS_IDLE_MS and self._has_other_healthy(host, connection):
-            connection.close_gracefully("another is enough")
-            if has_standing_tasks:
-                # At once: a host that begins to drain later takes no connection for its releases.
+            connection.close_gracefully("another connection is open")
+            if has_placed_tasks:
+                # Now, since a host that begins to drain accepts no connection on which to send its releases.
                 self.pool.reconnect(host)
-        elif connection.is_liveness_check and not has_standing_tasks:
-            connection.close_gracefully("nothing stands there")
-        elif idle_ms > self.pool.idle_ms and not has_standing_tasks:
+        elif connection.is_liveness_check and not has_placed_tasks:
+            connection.close_gracefully("the host has no placed task")
+        elif idle_ms > self.pool.idle_ms and not has_placed_tasks:
             connection.close_gracefully("idle")
         elif idle_ms > self.pool.idle_ms and not host.is_draining:
-            # A new one first: the host would close this one with a release on its way.
+            # Opens the next one first: the host may close this one while a release is in transit.
             self.pool.reconnect(host)
 
     def _has_other_healthy(self, host: Host, connection: HostConnection) -> bool:
--- a/glencleat/platform_server/host_registry.py
+++ b/glencleat/platform_server/host_registry.py
@@ -1,4 +1,4 @@
-"""The hosts that the connection pool knows, kept up to date by the machine list."""
+"""The hosts of the connection pool, kept up to date by the machine list."""
 
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
 
 
 class HostObserver(Protocol):
-    """Who is notified of what the machine list changes."""
+    """Receives notifications of changes that the machine list makes."""
 
     def mark_changed(self, host: Host) -> None:
-        """The host may have to be maintained earlier than planned."""
+        """The host may need maintenance earlier than planned."""
 
     def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
-        """The tasks at the host that began to stand before `before_ms`, in the loop's time, have ended."""
+        """The tasks that were placed on the host before `before_ms`, in the loop's time, have ended."""
 
 
 class HostRegistry:
-    """Hosts by name and by address. Connections go by host: an address may pass from one to another."""
+    """Hosts by name and by address.
+
+    Connections are kept by host and not by address, since an address may pass from one host to another.
+    """
 
     def __init__(self, loop: Loop, channel: CommandChannel, random: Random, observer: HostObserver) -> None:
         """Starts empty.
 
         Args:
-            loop: Tells the time.
-            channel: Knows how far the clock of the machine list's sender differs from ours.
-            random: Draws the waits between connects to a host.
+            loop: Provides the time. channel: Provides the offset between the clock of the machine list's
+            sender and that of this process. random: Source of the jitter of waits between connects to a host.
             observer: Notified of changes.
         """
         self.loop = loop
@@ -60,13 +62,13 @@
         return host
 
     def remove_host(self, host: Host) -> None:
-        """Forgets a host."""
+        """Removes a host."""
         del self.hosts_by_name[host.name]
         if self.host_names_by_address.get(host.address) == host.name:
             del self.host_names_by_address[host.address]
 
     def apply_list_change(self, change: ListChange) -> None:
-        """Takes in a snapshot or a delta of the machine list."""
+        """Applies a snapshot or a delta of the machine list."""
         names = {entry.machine.name for entry in change.hosts}
         for name, host in self.hosts_by_name.items() if change.is_snapshot else ():
             if name not in names:
@@ -82,7 +84,7 @@
             return
         host.record_listed(draining=entry.machine.phase is api.MachinePhase.DRAINING)
         if entry.address != host.address:
-            host.abort_connections("its host has another address")
+            host.abort_connections("the host's address has changed")
             host.address = entry.address
             self.observer.mark_changed(host)
         previous_name = self.host_names_by_address.get(entry.address, name)
@@ -95,16 +97,18 @@
         previous_unix_ms = host.process_started_unix_ms
         host.process_started_unix_ms = started_unix_ms
         if previous_unix_ms is None or previous_unix_ms >= started_unix_ms:
-            # A start that was reported before says nothing new: by a clock that is behind it lies ahead for
-            # ever.
+            # A start that was reported before is no news: if this process's clock is behind, it lies in the
+            # future each time.
             return
         started_at_ms = estimate_start_ms(started_unix_ms - self.channel.clock_offset_ms, self.loop.now())
-        self.observer.declare_tasks_lost(host, "a later start is in the list", started_at_ms)
+        self.observer.declare_tasks_lost(
+            host, "the machine list shows a later start of its process", started_at_ms
+        )
 
     def _handle_address_taken(self, host: Host) -> None:
-        """Another host has its address: connections there would reach the wrong one."""
+        """Another host has taken the address: a connection to it would reach the wrong host."""
         host.record_removed(self.loop.now())
-        host.abort_connections("another host has its address")
+        host.abort_connections("another host has taken its address")
         host.address = NO_ADDRESS
         self.observer.mark_changed(host)
-        self.observer.declare_tasks_lost(host, "another host has its address")
+        self.observer.declare_tasks_lost(host, "another host has taken its address")
--- a/glencleat/platform_server/pending_queue.py
+++ b/glencleat/platform_server/pending_queue.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for a connection because nothing could be given up for one."""
+"""A queue of attempts for which no connection can be opened yet, because no descriptor could be freed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class AttemptSender(Protocol):
-    """What the queue needs of the pool, which sends its attempts."""
+    """The port by which the queue sends attempts; the connection pool implements it."""
 
     def has_destination(self, attempt: SetupAttempt) -> bool:
         """Whether the attempt's host is known and has an address."""
 
     def send_attempt(self, attempt: SetupAttempt, *, may_connect: bool) -> bool:
-        """Sends an attempt by an open connection or, if `may_connect`, a new one. False if there is none."""
+        """Sends an attempt on an open connection or, if `may_connect`, a new one. False if there is none."""
 
     def fail_attempt(self, attempt: SetupAttempt) -> None:
         """Reports to the exchange that the attempt was never sent."""
@@ -27,7 +27,7 @@
     """A bounded first-in, first-out queue of attempts. Their own time-outs bound how long they wait."""
 
     def __init__(self, loop: Loop, sender: AttemptSender) -> None:
-        """`sender` sends what is in the queue as soon as something may be free."""
+        """`sender` sends the queued attempts when capacity may have been freed."""
         self.loop = loop
         self.sender = sender
         self.attempts: dict[SetupAttempt, None] = {}
@@ -35,7 +35,7 @@
         self.is_service_scheduled = False
 
     def __len__(self) -> int:
-        """How many attempts wait."""
+        """The number of queued attempts."""
         return len(self.attempts)
 
     def add(self, attempt: SetupAttempt) -> bool:
@@ -47,22 +47,22 @@
         return True
 
     def discard(self, attempt: SetupAttempt) -> None:
-        """Takes out an attempt, if it is there."""
+        """Removes an attempt if it is queued."""
         self.attempts.pop(attempt, None)
 
     def schedule_service(self) -> None:
-        """Serves the queue in the next round of the event loop: capacity may have become free."""
+        """Schedules `serve` for the next round of the event loop: capacity may have been freed."""
         if self.attempts and not self.is_service_scheduled:
             self.is_service_scheduled = True
             self.loop.call_in(0.0, self.serve)
 
     def serve(self) -> None:
-        """Sends attempts in order; once nothing is free, only those whose host has a connection by now."""
+        """Sends attempts in order; when no capacity is left, only those whose host has a connection."""
         self.is_service_scheduled = False
         may_connect = True
         for attempt in list(self.attempts):
             if attempt not in self.attempts:
-                continue  # cancelled since, by what the exchange did on hearing of one before it
+                continue  # cancelled by the exchange when an earlier attempt of the queue failed
             if not self.sender.has_destination(attempt):
                 del self.attempts[attempt]
                 self.sender.fail_attempt(attempt)
--- a/glencleat/platform_server/pooled_host.py
+++ b/glencleat/platform_server/pooled_host.py
@@ -1,4 +1,4 @@
-"""A host as the connection pool keeps it: its connections, its pending releases and its failure detector."""
+"""The connection pool's state of a host: its connections, pending releases and failure detector."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from glencleat.platform_server.failure_detector import FailureDetector
 
 NO_ADDRESS: tuple[str, int] = ("", 0)
-"""The address of a host that no machine list locates."""
+"""The address of a host for which no machine list gives one."""
 
 
 class PooledConnection(Protocol):
-    """What a host has to know of its connections."""
+    """The interface of a connection that its host uses."""
 
     @property
     def stream(self) -> object | None:
-        """The stream, from when the connection is up."""
+        """The stream; None until the connection is open."""
 
     @property
     def open_attempt_count(self) -> int:
-        """Attempts that wait for the connection or for an answer on it."""
+        """The number of attempts that wait for the connection to open or for an answer."""
 
     def abort(self, reason: str) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=PooledConnection)
@@ -34,8 +34,8 @@
 class PooledHost(FailureDetector, Generic[ConnectionT]):
     """One host of the pool, with connections of the type `ConnectionT`.
 
-    `on_change` is called for all that may bring forward the time at which the pool has to maintain the host.
-    What only puts it off is found when that time comes.
+    `on_change` is called for every change that may bring forward the time at which the pool has to maintain
+    the host. A change that only defers it is noticed when that time comes.
     """
 
     def __init__(
@@ -50,31 +50,31 @@
 
         Args:
             name: The host's id in the machine list.
-            now_ms: The time at which it came to be known.
-            random: Draws the waits between connects.
-            creation_number: Its place among all hosts of the pool, in the order of their creation.
+            now_ms: The current time.
+            random: Source of the jitter of waits between connects.
+            creation_number: A sequence number that orders the hosts of the pool by creation.
             on_change: Called with this host; see the class.
         """
         super().__init__(now_ms)
         self.name = name
         self.creation_number = creation_number
         self.on_change = on_change
-        self.backoff = Backoff(HOST_BACKOFF, random)  # between two connects while the host can't be reached
+        self.backoff = Backoff(HOST_BACKOFF, random)  # between connects while the host can't be reached
         self.address = NO_ADDRESS
-        self.process_started_unix_ms: float | None = None  # as the machine list said last
+        self.process_started_unix_ms: float | None = None  # by the last machine list
         self.connections: dict[ConnectionT, None] = {}  # in the order of their creation
         self.next_connect_at_ms = 0.0
-        # Releases that the host has not acknowledged, and the connections that carry them.
+        # Releases that the host has not acknowledged, each with the connection it was written to.
         self.pending_releases: dict[int, ConnectionT | None] = {}
 
     def remove_connection(self, connection: ConnectionT) -> None:
-        """Forgets a connection that has ended or is left to end."""
+        """Removes a connection that has ended or is closing."""
         if connection in self.connections:
             del self.connections[connection]
             self.on_change(self)
 
     def abort_connections(self, reason: str) -> None:
-        """Ends all connections at once: the host is gone, or no longer at their address."""
+        """Closes all connections at once: the host was removed, or its address has changed."""
         for connection in list(self.connections):
             connection.abort(reason)
 
@@ -107,30 +107,30 @@
 
     @property
     def has_address(self) -> bool:
-        """A machine list says where the host is."""
+        """Whether a machine list gives the host's address."""
         return bool(self.address[1])
 
     @property
     def unsent_releases(self) -> list[int]:
-        """The ids of the tasks whose releases no open connection carries."""
+        """The ids of the tasks whose releases are not written to any open connection."""
         return [task for task, connection in self.pending_releases.items() if connection is None]
 
     @property
     def is_serving(self) -> bool:
-        """New tasks may be sent there, by the machine list."""
+        """Whether new tasks may be sent there, by the machine list."""
         return not (self.is_removed or self.is_draining)
 
     @property
     def has_open_attempts(self) -> bool:
-        """Attempts are open on a connection to it."""
+        """Whether any connection to it has open attempts."""
         return any(connection.open_attempt_count for connection in self.connections)
 
     @property
     def is_connecting(self) -> bool:
-        """A connection to it is coming up."""
+        """Whether a connection to it is being opened."""
         return any(connection.stream is None for connection in self.connections)
 
     @property
     def is_disconnected(self) -> bool:
-        """No connection to it is up."""
+        """Whether no connection to it is open."""
         return all(connection.stream is None for connection in self.connections)
--- a/tests/support/pool_world.py
+++ b/tests/support/pool_world.py
@@ -1,6 +1,6 @@
-"""The connection pool with its exchange on a virtual clock: no sockets, and hosts that follow a script.
+"""The connection pool and its exchange on a virtual clock, with fake hosts instead of sockets.
 
-Everything that passes between them is written down, so that two ways to do the work can be set side by side."""
+Every interaction is recorded, so that a test can compare the records of two implementations."""
 
 import errno
 from collections import Counter
@@ -28,7 +28,7 @@
 
 
 class Poller:
-    """Nothing ever comes of itself: time goes on to the next timer."""
+    """No I/O is ever ready: polling advances the clock to the next timer."""
 
     idle_ms = 0.0
 
@@ -57,10 +57,10 @@
         if self.close_reason is None:
             self.queued_bytes += len(data)
             self.written_bytes = self.queued_bytes
-            self.world.note("put", self.number, data)
-            self.world.loop.call_in(1.0, lambda: self.peer.hears(self, data))
+            self.world.add_record("write", self.number, data)
+            self.world.loop.call_in(1.0, lambda: self.peer.on_data(self, data))
 
-    def bring(self, data):
+    def receive(self, data):
         if self.close_reason is None:
             self.inbox.append(data)
             if self.reader is not None:
@@ -86,23 +86,25 @@
         return self.close_reason is not None or b"" in self.inbox
 
     def shutdown_write(self):
-        self.world.note("shut", self.number)
-        self.world.loop.call_in(3.0, lambda: self.bring(b""))
+        self.world.add_record("shutdown_write", self.number)
+        self.world.loop.call_in(3.0, lambda: self.receive(b""))
 
     def close(self, reason="closed"):
         if self.close_reason is None:
             self.close_reason = reason
-            self.world.note("close", self.number, reason)
+            self.world.add_record("close", self.number, reason)
             self.peer.streams.pop(self, None)
             if self.reader is not None:
                 reader, self.reader = self.reader, None
                 self.world.loop.wake(reader)
-            for call in self.close_callbacks:
-                call(reason)
+            for callback in self.close_callbacks:
+                callback(reason)
 
 
 class FakeHost:
-    """`mode`: up, refuses, silent (nothing comes up). What has ended is owed until it was heard."""
+    """A host in one of the modes up, refuses (connections) and silent (connects time out).
+
+    The release of an ended task is sent on each new connection until it is acknowledged."""
 
     def __init__(self, world, name, address):
         self.world = world
@@ -111,100 +113,102 @@
         self.mode = "up"
         self.streams = {}
         self.tasks = {}
-        self.owed = {}
+        self.unacknowledged_releases = {}
 
-    def up(self, stream):
+    def on_connected(self, stream):
         self.streams[stream] = None
-        for task in self.owed:
-            stream.bring(m.encode_with_cause(m.RELEASE, task, m.ENDED))
+        for task in self.unacknowledged_releases:
+            stream.receive(m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
-    def hears(self, stream, data):
+    def on_data(self, stream, data):
         if self.mode == "silent" or stream.close_reason is not None:
             return
         for message in read(data):
             task = message.task_id
             if message.kind == m.SETUP:
-                self._asked(stream, task)
+                self._on_setup(stream, task)
             elif message.kind == m.RELEASE_COMPLETE:
-                self.owed.pop(task, None)
+                self.unacknowledged_releases.pop(task, None)
             elif message.kind == m.RELEASE:
                 self.tasks.pop(task, None)
                 if task % 5:
-                    self.say(stream, m.encode(m.RELEASE_COMPLETE, task))
+                    self.send(stream, m.encode(m.RELEASE_COMPLETE, task))
 
-    def _asked(self, stream, task):
+    def _on_setup(self, stream, task):
         if task % 7 == 3:
-            return  # it hangs
+            return  # the set-up is never answered
         if task % 7 == 5:
-            self.say(stream, m.encode_with_cause(m.RELEASE, task, m.REJECTED))
+            self.send(stream, m.encode_with_cause(m.RELEASE, task, m.REJECTED))
             return
         self.tasks[task] = stream
-        self.say(stream, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"}), 1.0 + task % 40)
+        self.send(stream, m.encode(m.ANSWER, task, {m.DESCRIPTION: b"ok"}), 1.0 + task % 40)
 
-    def say(self, stream, data, in_ms=1.0):
-        self.world.loop.call_in(in_ms, lambda: self.mode != "silent" and stream.bring(data))
+    def send(self, stream, data, in_ms=1.0):
+        self.world.loop.call_in(in_ms, lambda: self.mode != "silent" and stream.receive(data))
 
-    def ends(self, task):
-        """On its own link, or on any, or on the next."""
-        link = self.tasks.pop(task)
-        self.owed[task] = None
-        link = link if link in self.streams else next(iter(self.streams), None)
-        if link is not None:
-            self.say(link, m.encode_with_cause(m.RELEASE, task, m.ENDED))
+    def end_task(self, task):
+        """Sends the release on the task's connection if open, else on any open one, else on the next one
+        opened."""
+        stream = self.tasks.pop(task)
+        self.unacknowledged_releases[task] = None
+        stream = stream if stream in self.streams else next(iter(self.streams), None)
+        if stream is not None:
+            self.send(stream, m.encode_with_cause(m.RELEASE, task, m.ENDED))
 
-    def notes(self):
+    def send_observations(self):
         for task, stream in list(self.tasks.items()):
             if stream in self.streams:
-                self.say(stream, m.encode(m.OBSERVATION, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
+                self.send(stream, m.encode(m.OBSERVATION, task, {m.TOPIC: b"cores", m.VALUE: b"1"}))
 
-    def breaks(self, most=99):
-        for stream in list(self.streams)[:most]:
-            stream.bring(b"")
+    def break_connections(self, limit=99):
+        for stream in list(self.streams)[:limit]:
+            stream.receive(b"")
 
 
-class Module:
-    """Binds anew, refuses, moves another task or does nothing, by numbers alone."""
+class ScriptedPolicy:
+    """A policy that retries, rejects, migrates another task or does nothing, depending on ids alone."""
 
     def __init__(self, world):
-        self.world, self.stands = world, {}
+        self.world, self.placed_calls = world, {}
 
     def handle(self, now, event):
-        self.world.note("event", event)
+        self.world.add_record("event", event)
         if isinstance(event, api.PlacementRequested):
             if event.machine is not None:
-                self.stands[event.call_id] = None
+                self.placed_calls[event.call_id] = None
                 return []
-            return [api.Bind(event.call_id, self.world.target, 900.0)]
+            return [api.Bind(event.call_id, self.world.target_host, 900.0)]
         if isinstance(event, api.AttemptAccepted):
-            self.stands[event.call_id] = None
+            self.placed_calls[event.call_id] = None
         elif isinstance(event, api.CallAbandoned):
-            self.stands.pop(event.call_id, None)
+            self.placed_calls.pop(event.call_id, None)
         elif isinstance(event, api.AttemptEnded):
-            return self._back(event)
+            return self._on_attempt_ended(event)
         return []
 
-    def _back(self, event):
+    def _on_attempt_ended(self, event):
         if not event.is_call_closed:
             names = sorted(self.world.hosts.hosts_by_name)
             if event.attempt < 2 and names:
                 return [api.Bind(event.call_id, names[(event.call_id + event.attempt) % len(names)], 900.0)]
             return [api.Reject(event.call_id)]
-        self.stands.pop(event.call_id, None)
-        if event.call_id % 3 == 0 and self.stands:
-            return [api.Migrate(next(iter(self.stands)))]
+        self.placed_calls.pop(event.call_id, None)
+        if event.call_id % 3 == 0 and self.placed_calls:
+            return [api.Migrate(next(iter(self.placed_calls)))]
         return []
 
 
 class World:
-    """The exchange's Ports as well; its owners are one connection that stays."""
+    """Assembles pool and exchange and implements the exchange's ports; there is one client, which stays
+    connected."""
 
-    def __init__(self, room=40, patch=None):
+    def __init__(self, capacity=40, patch=None):
         self.clock = Clock()
         self.record = []
         self.counts = Counter()
         self.loop = Loop(self.clock, Poller(self.clock))
-        self.descriptors = DescriptorBudget(room + RESERVED_DESCRIPTORS)
-        self.descriptors.capacity = room
+        self.descriptors = DescriptorBudget(capacity + RESERVED_DESCRIPTORS)
+        self.descriptors.capacity = capacity
         self.channel = CommandChannel(1.7e12)
         self.hosts = ConnectionPool(
             loop=self.loop,
@@ -215,8 +219,8 @@
             random=Random(1),
             log=self.log,
         )
-        self.join_ports()
-        self.exchange = Exchange(SETTINGS, Module(self), self, 250.0)
+        self.bind_ports()
+        self.exchange = Exchange(SETTINGS, ScriptedPolicy(self), self, 250.0)
         self.hosts.exchange = self.exchange
         for name in (
             "on_attempt_failed",
@@ -225,16 +229,16 @@
             "on_host_message",
             "check_send",
         ):
-            self._spy(name)
-        self.owner = Owner()
+            self._record_calls(name)
+        self.client = Owner()
         self.peers = {}
-        self.target = ""
-        self.no_files = False
+        self.target_host = ""
+        self.has_no_descriptors = False
         if patch is not None:
             patch.setattr(host_connection, "connect", lambda loop, address, ms: self.connect(address, ms))
 
-    def join_ports(self):
-        """The ports that the exchange asks of the pool and the loop."""
+    def bind_ports(self):
+        """Binds the exchange's ports that the pool and the loop implement."""
         self.now = self.loop.now
         self.call_in = self.loop.call_in
         self.offer_attempt = self.hosts.offer_attempt
@@ -243,40 +247,40 @@
         self.release_task = self.hosts.release_task
         self.request_load_report = self.hosts.request_load_report
 
-    def note(self, *what):
+    def add_record(self, *what):
         self.counts[what[0]] += 1
         self.record.append((self.clock.at, *map(repr, what)))
 
-    def _spy(self, name):
-        real = getattr(self.exchange, name)
+    def _record_calls(self, name):
+        method = getattr(self.exchange, name)
 
-        def told(*args, **more):
+        def record_call(*args, **more):
             plain = [
                 (a.call.call_id, a.number) if hasattr(a, "call") else a.host.name if hasattr(a, "host") else a
                 for a in args
             ]
-            self.note(name, plain, sorted(more.items()))
-            return real(*args, **more)
+            self.add_record(name, plain, sorted(more.items()))
+            return method(*args, **more)
 
-        setattr(self.exchange, name, told)
+        setattr(self.exchange, name, record_call)
 
     def connect(self, address, timeout_ms):
-        self.note("connect", address)
-        if self.no_files:
+        self.add_record("connect", address)
+        if self.has_no_descriptors:
             raise ConnectError(address, errno.EMFILE)
         peer = self.peers.get(address)
         mode = peer.mode if peer is not None else "silent"
         yield from self.loop.sleep(2.0 if mode != "silent" else timeout_ms)
         if mode == "up":
             stream = FakeStream(self, peer, self.counts["connect"])
-            peer.up(stream)
+            peer.on_connected(stream)
             return stream
         raise ConnectError(address, errno.ECONNREFUSED if mode == "refuses" else errno.ETIMEDOUT)
 
-    # ---- Ports that are not the hosts' ----
+    # ---- ports of the exchange that the pool does not implement ----
 
     def send_to_client(self, client, data, must_deliver):
-        self.note("owner", data)
+        self.add_record("client", data)
 
     def is_client_waiting(self, client, task, must_poll):
         return True
@@ -285,9 +289,9 @@
         pass
 
     def log(self, text):
-        self.note("log", text)
+        self.add_record("log", text)
 
-    # ---- what a script does ----
+    # ---- actions of a script ----
 
     def advance(self, ms):
         end = self.clock.at + ms
@@ -297,25 +301,25 @@
             self.loop.run_once()
         self.clock.at = max(self.clock.at, end)
 
-    def peer(self, name, port):
+    def add_peer(self, name, port):
         return self.peers.setdefault(("127.0.0.1", port), FakeHost(self, name, ("127.0.0.1", port)))
 
-    def told(self, *entries, whole=False):
-        """Each of (name, port, phase, when it started in Unix milliseconds)."""
+    def apply_list(self, *entries, is_snapshot=False):
+        """Applies entries of (name, port, phase, start of the process in Unix milliseconds)."""
         found = [
             HostEntry(api.Machine(name, "std", "a", 0, phase), ("127.0.0.1", port), started)
             for name, port, phase, started in entries
         ]
-        self.hosts.apply_list_change(ListChange(whole, tuple(found)))
+        self.hosts.apply_list_change(ListChange(is_snapshot, tuple(found)))
 
-    def ask(self, task, host, cls="safe", **more):
-        self.target = host
+    def request_setup(self, task, host, cls="safe", **more):
+        self.target_host = host
         (message,) = read(setup(task, cls=cls, **more))
-        self.exchange.on_client_setup(self.owner, message, 0.0)
+        self.exchange.on_client_setup(self.client, message, 0.0)
 
     def adopt(self, task, host):
-        self.ask(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
+        self.request_setup(task, host, extras=f"cores:1;memory:2;service:web;at:{host}")
 
-    def release(self, task):
+    def release_by_client(self, task):
         (message,) = read(m.encode_with_cause(m.RELEASE, task, m.ENDED))
-        self.exchange.on_client_release(self.owner, message)
+        self.exchange.on_client_release(self.client, message)
