--- a/tests/platform_server/conftest.py
+++ b/tests/platform_server/conftest.py
@@ -1,4 +1,4 @@
-"""Worlds of the platform server's tests."""
+"""Fixtures of the platform server's tests."""
 
 import pytest
 
@@ -8,8 +8,9 @@
 
 @pytest.fixture
 def virtual_time_world():
-    """As `world`, on a clock that leaps: what is due in time is so however busy the machine is."""
-    made = World(loop=leaping_loop())
-    yield made
-    for sock in made.clients:
+    """Like `world`, on a virtual clock that jumps to the next timer, so that deadlines hold on a busy
+    machine."""
+    world = World(loop=leaping_loop())
+    yield world
+    for sock in world.clients:
         sock.close()
--- a/tests/platform_server/test_ticks.py
+++ b/tests/platform_server/test_ticks.py
@@ -284,10 +284,8 @@
 def test_a_connection_that_responds_again_lowers_the_priority_of_the_other_one(monkeypatch):
     """The self-check of the next tick fails if the other connection is not refiled."""
     world, _ = make_world(1, monkeypatch)
-    for task in (
-        8,
-        10,
-    ):  # neither the second nor its cancellation is answered: its connection is unresponsive
+    # Neither the second set-up nor its cancellation is answered: its connection is unresponsive.
+    for task in (8, 10):
         world.request_setup(task, "h0", "unsafe")
     world.advance(1_500.0)
     host = world.hosts.hosts_by_name["h0"]
