--- a/tests/platform_server/test_connection_descriptors.py
+++ b/tests/platform_server/test_connection_descriptors.py
@@ -213,7 +213,8 @@
 
 
 def test_a_liveness_check_is_closed_before_the_first_connection_and_with_the_last_task(world, monkeypatch):
-    """Closing the connection that carries set-ups in its place caused another to be opened for them."""
+    """A connection that carries set-ups has a cost: closing it in place of the check incurred the cost
+    again."""
     monkeypatch.setattr(failure_detector, "QUIET_MS", 20.0)
     (peer,), client = standing(world, 1)
     (first,) = live(world)
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -1,6 +1,7 @@
-"""Connections that one side ends as the other uses them: links, idle clients, releases, hand-overs.
+"""Connections that one side closes while the other uses them: to hosts, of idle clients, and at hand-overs.
 
-As in test_races.py, whatever is sent lies unread until the test lets the loop run."""
+As in test_races.py, sent data stays unread until the test runs the loop. "Race:" names the order of
+events."""
 
 import socket
 
@@ -15,17 +16,18 @@
 from tests.support.exchange_world import read, setup
 from tests.support.socket_world import Peer, World, cancel, kinds, linked, settled, stands
 
-# ---- links and connections that the other side has closed ----
+# ---- connections that the peer has closed ----
 
 
-def test_nothing_is_sent_on_a_link_that_its_host_has_closed(world):
-    """Held: the close of an idle link lies unread. What would have been sent on it may have run."""
+def test_nothing_is_sent_on_a_connection_that_its_host_has_closed(world):
+    """Race: the close of an idle connection is unread when an attempt is sent. Its outcome would be
+    unknown."""
     peer, sock = linked(world)
     peer.streams[0].close()
-    world.loop.poller.poll(0.0)  # as each round begins; its readers have not had their turn
+    world.loop.poller.poll(0.0)  # as a round of the loop begins, before its readers run
     world.module.next.append([api.Bind(2, "h1", 2000.0)])
-    call = setup(1, cls="unsafe")
-    (message,) = read(call)
+    data = setup(1, cls="unsafe")
+    (message,) = read(data)
     world.exchange.on_client_setup(next(iter(world.owners.connections)), message, 0.0)
     settled(world)
     assert not world.told(api.AttemptEnded) and [
@@ -34,8 +36,8 @@
     assert sorted(world.exchange.placed_calls_by_host["h1"]) == [1, 9] and sock
 
 
-def test_nothing_is_sent_on_a_link_that_was_ended_as_it_came_up(world):
-    """Held: the host takes the connection and closes it before we know that it is up."""
+def test_nothing_is_sent_on_a_connection_that_was_closed_as_it_opened(world):
+    """Race: the host accepts the connection and closes it before the pool knows that it is open."""
     listener = socket.create_server(("127.0.0.1", 0))
     sock = world.client()
     world.list(("h1", listener.getsockname()))
@@ -44,64 +46,65 @@
         world.loop._step(*world.loop.ready.popleft())
     listener.accept()[0].close()
     settled(world)
-    assert world.back() == [api.Outcome.NOT_SENT]  # and not lost: it never ran
+    assert world.back() == [api.Outcome.NOT_SENT]  # not LOST, since it never ran
     listener.close()
 
 
 def test_a_release_goes_by_a_connection_whose_client_is_there(world):
-    """Held: the close of the connection on which the task came lies unread as its end is told."""
+    """Race: the close of the connection on which the task was requested is unread when its end is
+    reported."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     other = world.client()
     world.ask(other, 8)
     world.ask(sock, 1)
     world.until(lambda: len(world.exchange.placed_calls_by_host.get("h1", ())) == 2)
-    assert world.says(sock)  # what lies unread would make its close a reset, which a write is told of
+    assert world.says(sock)  # with unread data its close would be a reset, which a write would detect
     sock.close()
-    world.loop.poller.poll(0.0)  # as each round begins
+    world.loop.poller.poll(0.0)  # as a round of the loop begins
     world.exchange.declare_tasks_lost("h1")
     settled(world)
-    told = [(x.kind, x.task_id) for x in read(world.says(other))]
-    assert told[0] == (m.ANSWER, 8) and sorted(told[1:]) == [(m.RELEASE, 1), (m.RELEASE, 8)]
+    received = [(x.kind, x.task_id) for x in read(world.says(other))]
+    assert received[0] == (m.ANSWER, 8) and sorted(received[1:]) == [(m.RELEASE, 1), (m.RELEASE, 8)]
 
 
-# ---- releases on links that break ----
+# ---- releases on connections that break ----
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_release_is_written_again_unless_it_was_heard(world, heard):
-    """Held: the link breaks before the host has said anything of it."""
+@pytest.mark.parametrize("is_acknowledged", [True, False])
+def test_a_release_is_written_again_unless_it_was_acknowledged(world, is_acknowledged):
+    """Race: the connection breaks before or after the host has acknowledged the release."""
     peer, sock = linked(world)
     sock.send(cancel(9))
     world.until(lambda: m.RELEASE in kinds(peer))
-    if heard:
+    if is_acknowledged:
         peer.streams[0].send(m.encode(m.RELEASE_COMPLETE, 9))
         settled(world)
     peer.streams[0].close()
     end = world.loop.now() + 1_500.0
     world.until(lambda: len(peer.streams) == 2 or world.loop.now() > end)
     settled(world)
-    assert kinds(peer).count(m.RELEASE) == (1 if heard else 2)
+    assert kinds(peer).count(m.RELEASE) == (1 if is_acknowledged else 2)
 
 
 # ---- idle connections ----
 
 
-def test_a_set_up_that_lies_unread_keeps_its_connection(world, monkeypatch):
-    """Held: the sweep comes before the reader, as after a standstill."""
+def test_a_connection_with_an_unread_set_up_is_not_closed_as_silent(world, monkeypatch):
+    """Race: the sweep runs before the reader, as after a stall of the loop."""
     monkeypatch.setattr(client_connections, "MESSAGE_TIMEOUT_MS", -1.0)
     sock = world.client()
     world.until(lambda: world.owners.connections)
-    (owner,) = world.owners.connections
+    (client,) = world.owners.connections
     sock.send(setup(1))
     world.owners._sweep()
-    assert owner.stream.close_reason is None
+    assert client.stream.close_reason is None
     settled(world)
     assert world.told(api.PlacementRequested)
 
 
-def test_a_connection_is_not_idle_while_a_set_up_lies_unread_on_it(world):
-    """Held: both are told in one round, the newcomer first."""
+def test_a_connection_is_not_idle_while_it_has_an_unread_set_up(world):
+    """Race: a new connection and the set-up are handled in one round, the new connection first."""
     world.descriptors.capacity, world.descriptors.quotas_by_peer_kind = (
         2,
         {PeerKind.CLIENTS: 2, PeerKind.HOSTS: 0},
@@ -118,7 +121,7 @@
     assert world.told(api.PlacementRequested) and world.says(busy) == b""
 
 
-def test_a_connection_is_not_idle_while_an_answer_is_unsent_on_it(world, monkeypatch):
+def test_a_connection_is_not_idle_while_it_has_an_unsent_answer(world, monkeypatch):
     world.descriptors.capacity, world.descriptors.quotas_by_peer_kind = (
         2,
         {PeerKind.CLIENTS: 2, PeerKind.HOSTS: 0},
@@ -126,7 +129,7 @@
     clients = [world.client(), world.client()]
     world.until(lambda: len(world.owners.connections) == 2)
     first, second = world.owners.connections
-    first.stream.send_buffer += b"\0"  # as if its client had not read the rest
+    first.stream.send_buffer += b"\0"  # as if the client had stopped reading
     world.descriptors.update_priority(first)
     assert world.descriptors.ensure_capacity(Demand.CLIENT)
     assert first.stream.close_reason is None and second.stream.close_reason is not None
@@ -135,31 +138,31 @@
     assert first.stream.close_reason == "it reads nothing" and clients
 
 
-def test_one_that_drips_a_message_is_closed_in_time(world, monkeypatch):
+def test_a_client_that_sends_a_message_byte_by_byte_is_closed_in_time(world, monkeypatch):
     monkeypatch.setattr(client_connections, "MESSAGE_TIMEOUT_MS", 100.0)
     monkeypatch.setattr(client_connections, "SWEEP_MS", 10.0)
     world.owners._sweep()
     sock = world.client()
     sock.send(m.encode(m.PROBE, 1))
-    drip = iter(setup(1))
+    remaining_bytes = iter(setup(1))
 
-    def more():
+    def send_next_byte():
         if sock.fileno() >= 0 and world.owners.connections:
-            sock.send(bytes((next(drip),)))
-            world.loop.call_in(5.0, more)
+            sock.send(bytes((next(remaining_bytes),)))
+            world.loop.call_in(5.0, send_next_byte)
 
     world.until(lambda: world.owners.connections)
-    more()
+    send_next_byte()
     world.until(
         lambda: not world.owners.connections, ms=600.0
-    )  # a message of 60 bytes and more drips on for longer
+    )  # the complete message of over 60 bytes would take longer
 
 
 # ---- hand-overs ----
 
 
-def placed(world):
-    """A host, and a client whose task 1 stands there and who has read so."""
+def place_task(world):
+    """Returns a host and a client that has a task 1 place_task there and has read the answer."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
@@ -168,18 +171,20 @@
     return peer, sock
 
 
-def named(task, host="h1"):
+def adoption(task, host="h1"):
+    """A set-up that names a task as place_task on a host, by `at`."""
     return setup(task, extras=f"cores:1;memory:1;service:s;at:{host}", wait=None)
 
 
-def test_an_end_that_came_before_its_task_was_named_is_told(world):
-    """After a restart: the host tells what ended on our first connection, before any client has come."""
-    peer, sock = placed(world)
+def test_an_end_that_arrived_before_its_task_was_adopted_is_reported(world):
+    """After a restart the host reports ended tasks on the first connection, before any client has
+    connected."""
+    peer, sock = place_task(world)
     peer.streams[0].send(
         m.encode_with_cause(m.RELEASE, 77, m.ENDED) + m.encode_with_cause(m.RELEASE, 78, m.FAILED)
     )
     settled(world)
-    sock.send(named(77) + named(78) + named(79))
+    sock.send(adoption(77) + adoption(78) + adoption(79))
     settled(world)
     assert list(world.exchange.placed_calls_by_host["h1"]) == [1, 79]
     assert world.says(sock) == m.encode_with_cause(m.RELEASE, 77, m.ENDED) + m.encode_with_cause(
@@ -187,29 +192,29 @@
     )
 
 
-def test_a_task_named_again_as_its_release_is_on_its_way_stays_over(world):
-    peer, sock = placed(world)
+def test_a_task_adopted_while_its_release_is_in_transit_stays_ended(world):
+    peer, sock = place_task(world)
     peer.streams[0].send(m.encode_with_cause(m.RELEASE, 1, m.ENDED))
     settled(world)
-    sock.send(named(1))  # sent before the release was read
+    sock.send(adoption(1))  # sent before the release was read
     settled(world)
     assert not world.exchange.placed_calls_by_host and world.says(sock) == m.encode_with_cause(
         m.RELEASE, 1, m.ENDED
     )
     with pytest.raises(BlockingIOError):
-        sock.recv(100)  # told once
+        sock.recv(100)  # reported once
 
 
-def test_a_task_that_was_called_lost_behind_a_cut_may_be_handed_over(world):
-    """Its host never said that it ended."""
-    _, sock = placed(world)
+def test_a_task_reported_lost_during_a_network_partition_may_be_adopted(world):
+    """Its host never reported its end."""
+    _, sock = place_task(world)
     world.exchange.declare_tasks_lost("h1")
-    sock.send(named(1))
+    sock.send(adoption(1))
     settled(world)
     assert list(world.exchange.placed_calls_by_host["h1"]) == [1]
 
 
-def test_ends_are_kept_for_a_time():
+def test_ends_of_tasks_are_kept_for_the_retention_time():
     world = Virtual()
     world.asks(1, api.Bind(1, "h1", 300.0))
     world.host(m.RELEASE, 77, cause=m.ENDED)
@@ -218,27 +223,28 @@
     assert 77 in world.exchange.placed_calls_by_host["h1"]
 
 
-# ---- newcomers faster than they are taken ----
+# ---- clients that connect faster than they are accepted ----
 
 
-def test_a_flood_that_is_faster_than_rounds_passes_no_limit():
-    """Real connections, `PER` in each standstill's time, none taken meanwhile: all that are ours and all that
-    wait in the listen backlog, which operators count as ours, stay within the limit at each instant."""
-    per, world, now = 48, World(room=400), [1e6]
+def test_a_burst_of_connects_within_a_round_of_the_loop_stays_within_the_limit():
+    """Clients connect, `per_window` in each ARRIVAL_WINDOW_MS, and none is accepted within it. Accepted
+    connections and those in the listen backlog, which operators count as well, stay within the limit at all
+    times."""
+    per_window, world, now = 48, World(room=400), [1e6]
     world.loop.clock.now = lambda: now[0]
-    came, most = [], 0
+    sockets, peak_count = [], 0
     try:
         for _ in range(30):
-            for _ in range(per):
-                came.append(socket.create_connection(world.address))
-            world.loop.poller.poll(0.0)  # what those who were closed by us last time owe is not looked at
-            most = max(most, world.descriptors.held_count + per)
+            for _ in range(per_window):
+                sockets.append(socket.create_connection(world.address))
+            world.loop.poller.poll(0.0)  # also handles the ends of connections that were evicted before
+            peak_count = max(peak_count, world.descriptors.held_count + per_window)
             now[0] += ARRIVAL_WINDOW_MS
             for _ in range(3):
                 world.loop.run_once(may_wait=False)
-            assert world.owners.listener.accept_pending() == 0, "all were taken"
-        assert most <= 400 + RESERVED_DESCRIPTORS and world.descriptors.peak_count <= 400
-        assert world.descriptors.denied_count == 0 and world.descriptors.held_count > 400 - 2 * per
+            assert world.owners.listener.accept_pending() == 0, "all were accepted"
+        assert peak_count <= 400 + RESERVED_DESCRIPTORS and world.descriptors.peak_count <= 400
+        assert world.descriptors.denied_count == 0 and world.descriptors.held_count > 400 - 2 * per_window
     finally:
-        for sock in came:
+        for sock in sockets:
             sock.close()
