--- a/tests/platform_server/test_garbage.py
+++ b/tests/platform_server/test_garbage.py
@@ -1,5 +1,7 @@
-"""What is over is freed at once: nothing is left to the collector, whose pass over a flood's garbage was a
-standstill of 100 ms, in which newcomers piled up beyond the limit on descriptors."""
+"""Ended connections and calls are freed by reference counts and leave nothing to the cycle collector.
+
+A pass of the collector over the garbage of a burst stalled the loop for 100 ms, in which so many clients
+connected that the limit on descriptors was exceeded."""
 
 import gc
 import socket
@@ -15,8 +17,9 @@
 COUNT = 12
 
 
-def left(world, act):
-    """What only the collector would free after `act` was done COUNT times, by type; the first are warm-up."""
+def count_garbage(world, act):
+    """Counts by type the objects that only the collector frees after COUNT runs of `act`, following a
+    warm-up."""
     for number in range(3):
         act(number)
     gc.collect()
@@ -27,55 +30,55 @@
         world.module.events.clear()
         gc.set_debug(gc.DEBUG_SAVEALL)
         gc.collect()
-        return Counter(type(found).__name__ for found in gc.garbage)
+        return Counter(type(item).__name__ for item in gc.garbage)
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
         gc.enable()
 
 
-def goes(world):
+def disconnect(world):
     sock = world.clients.pop()
     sock.close()
     settled(world, 6)
 
 
-def asks_and_leaves(world, number):
+def request_and_disconnect(world, number):
     world.client().send(setup(100 + number))
     settled(world, 4)
-    goes(world)
+    disconnect(world)
 
 
-def sends_half(world, number):
+def send_incomplete_set_up(world, number):
     world.client().send(setup(100 + number)[:9])
     settled(world, 4)
-    goes(world)
+    disconnect(world)
 
 
-def sends_what_is_none(world, number):
+def send_malformed_message(world, number):
     world.client().send(b"\xff" * 40)
     settled(world, 4)
-    goes(world)
+    disconnect(world)
 
 
-def is_refused(world, number):
+def have_call_rejected(world, number):
     world.calls += 1
     world.module.next.append([api.Reject(world.calls)])
     world.client().send(setup(100 + number))
     settled(world, 4)
-    goes(world)
+    disconnect(world)
 
 
-def is_placed_and_released(world, number):
+def place_and_release_by_client(world, number):
     sock = world.client()
     world.ask(sock, 100 + number)
     world.until(lambda: 100 + number in world.exchange.placed_calls_by_host.get("h1", {}))
     sock.send(cancel(100 + number))
     settled(world, 6)
-    goes(world)
+    disconnect(world)
 
 
-def is_placed_and_ends(world, number):
+def place_and_release_by_host(world, number):
     task = 100 + number
     world.ask(world.client(), task)
     world.until(lambda: task in world.exchange.placed_calls_by_host.get("h1", {}))
@@ -84,61 +87,61 @@
             stream.send(m.encode_with_cause(m.RELEASE, task, m.ENDED))
             break
     settled(world, 6)
-    goes(world)
+    disconnect(world)
 
 
-def comes_to_nothing(world, task, host, timeout=2000.0):
-    """The attempt does, then the module refuses it."""
-    back = []
+def fail_attempt(world, task, host, timeout=2000.0):
+    """The attempt on the host fails, and the policy then rejects the call."""
+    ended_call_ids = []
 
     def handle(_, event):
         if isinstance(event, api.PlacementRequested):
             return [api.Bind(event.call_id, host, timeout)]
         if isinstance(event, api.AttemptEnded):
-            back.append(event.call_id)
+            ended_call_ids.append(event.call_id)
             return [api.Reject(event.call_id)]
         return []
 
     world.module.handle = handle
     world.client().send(setup(task))
-    world.until(lambda: back)
-    goes(world)
+    world.until(lambda: ended_call_ids)
+    disconnect(world)
 
 
-def is_given_up_at_its_host(world, number):
-    comes_to_nothing(world, 100 + number, "mute", timeout=5.0)
+def time_out_at_host(world, number):
+    fail_attempt(world, 100 + number, "mute", timeout=5.0)
 
 
-def finds_a_host_that_refuses(world, number):
-    comes_to_nothing(world, 100 + number, "away")
+def bind_to_refusing_host(world, number):
+    fail_attempt(world, 100 + number, "away")
 
 
-def comes_and_goes(world, number):
+def connect_and_disconnect(world, number):
     world.client()
     settled(world, 4)
-    goes(world)
+    disconnect(world)
 
 
-def opens_a_link(world, number):
+def open_host_connection(world, number):
     host = world.hosts.hosts_by_name["h1"]
-    link = world.hosts._open_connection(host)
-    world.until(lambda: link.stream is not None)
-    link.abort("of no further use")
+    connection = world.hosts._open_connection(host)
+    world.until(lambda: connection.stream is not None)
+    connection.abort("closed by the test")
     settled(world, 6)
     world.peer.streams.clear()
 
 
-ENDS = (
-    comes_and_goes, asks_and_leaves, sends_half, sends_what_is_none, is_refused, is_placed_and_released,
-    is_placed_and_ends, is_given_up_at_its_host, finds_a_host_that_refuses, opens_a_link,
+SCENARIOS = (
+    connect_and_disconnect, request_and_disconnect, send_incomplete_set_up, send_malformed_message,
+    have_call_rejected, place_and_release_by_client, place_and_release_by_host, time_out_at_host, bind_to_refusing_host, open_host_connection,
 )  # fmt: skip
 
 
-@pytest.mark.parametrize("act", ENDS, ids=lambda act: act.__name__)
+@pytest.mark.parametrize("act", SCENARIOS, ids=lambda act: act.__name__)
 def test_nothing_is_left_to_the_collector(world, act):
     world.peer, world.mute = Peer(world.loop, stands), Peer(world.loop)
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
         world.list(("h1", world.peer.address), ("mute", world.mute.address), ("away", closed.getsockname()))
-    found = left(world, lambda number: act(world, number))
-    assert not found, found
+    garbage = count_garbage(world, lambda number: act(world, number))
+    assert not garbage, garbage
--- a/tests/platform_server/test_races.py
+++ b/tests/platform_server/test_races.py
@@ -1,7 +1,8 @@
-"""Races of the live path on real connections, each made to happen every time.
+"""Races between clients, hosts and the platform server on real connections, each reproduced
+deterministically.
 
-One loop runs the program and its peers: as long as the test does not run it, whatever is sent lies unread, so
-that the order in which things come is the test's. What is held, and where, is said in each."""
+One loop runs the server and its peers. Sent data stays unread until the test runs the loop, so the test
+determines the order of events; "Race:" in a docstring names that order."""
 
 import itertools
 import json
@@ -34,18 +35,18 @@
         sock.close()
 
 
-LEAVES = pytest.mark.parametrize("how", ["cancels", "closes"])
+LEAVING_MODES = pytest.mark.parametrize("how", ["cancels", "closes"])
 
 
-# ---- a client that left ----
+# ---- a client that cancelled or disconnected ----
 
 
-@LEAVES
+@LEAVING_MODES
 def test_a_client_that_left_before_its_set_up_was_read_is_not_served(world, how):
     peer, sock = linked(world)
     world.module.next.append([api.Bind(2, "h1", 2000.0)])
     sock.send(setup(1))
-    leave(sock, how)  # both lie unread
+    leave(sock, how)  # both are unread
     settled(world)
     assert (
         sent(peer) == [9]
@@ -55,26 +56,26 @@
 
 
 def test_an_end_behind_hundreds_of_set_ups_is_seen_before_the_first(world):
-    """Sixteen messages of one connection have their turn at a time; before, the rest went on for the dead."""
+    """Sixteen messages of a connection are handled per turn; the others were still served after the client
+    had gone."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.module.next += [[api.Bind(n, "h1", 2000.0)] for n in range(1, 301)]
     sock.send(b"".join(setup(n) for n in range(1, 301)))
     sock.close()
     settled(world)
-    assert (
-        m.SETUP not in kinds(peer) and len(world.told(api.PlacementRequested)) <= 1
-    )  # whose attempt did not leave
+    # At most one call reaches the policy, and its attempt is not sent.
+    assert m.SETUP not in kinds(peer) and len(world.told(api.PlacementRequested)) <= 1
 
 
-@LEAVES
+@LEAVING_MODES
 def test_a_client_that_left_while_a_connection_came_up_is_not_served(world, how):
-    """Held: the link is up before the client leaves, and nobody has been told of either."""
+    """Race: the connection opens, then the client leaves, before the server has processed either."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
-    world.loop.poller.poll(0.0)  # the client's socket is not at the head of what is ready any more
-    for _ in range(len(world.loop.ready)):  # the connect is begun, and is up at once; the loop polls nothing
+    world.loop.poller.poll(0.0)  # the client's socket is no longer first among the ready ones
+    for _ in range(len(world.loop.ready)):  # begins the connect, which completes at once, without polling
         world.loop._step(*world.loop.ready.popleft())
     leave(sock, how)
     settled(world)
@@ -82,14 +83,14 @@
     assert world.back() == [api.Outcome.NOT_SENT] and world.exchange.open_call_count == 0
 
 
-@LEAVES
+@LEAVING_MODES
 def test_a_client_that_left_between_two_attempts_has_no_second_one(world, how):
-    """Held: the refusal and the client's leaving both lie unread, the refusal first."""
+    """Race: the rejection and the client's leaving are both unread, the rejection first."""
     first, second = Peer(world.loop), Peer(world.loop, stands)
     sock, other = world.client(), world.client()
     world.list(("h1", first.address), ("h2", second.address))
     world.ask(other, 9, host="h2")
-    world.until(lambda: "h2" in world.exchange.placed_calls_by_host)  # a link is up there
+    world.until(lambda: "h2" in world.exchange.placed_calls_by_host)  # a connection to it is open
     world.ask(sock, 1)
     world.until(lambda: first.got)
     world.module.next.append([api.Bind(2, "h2", 2000.0)])
@@ -100,26 +101,26 @@
     assert world.exchange.open_call_count == 0
 
 
-@LEAVES
+@LEAVING_MODES
 def test_a_client_that_left_while_it_waited_for_a_descriptor_is_not_served(world, how):
-    """Held: the descriptor is free before the loop has told of the client's leaving."""
+    """Race: a connection becomes available before the loop has reported that the client left."""
     peer, sock = linked(world)
-    (link,) = world.hosts.hosts_by_name["h1"].connections
+    (connection,) = world.hosts.hosts_by_name["h1"].connections
     peer.script = lambda stream, message: None
-    world.ask(sock, 5)  # which keeps the link
-    link.is_unresponsive, world.descriptors.capacity = True, 0  # it takes nothing more, and there is no other
+    world.ask(sock, 5)  # keeps the connection in use
+    connection.is_unresponsive, world.descriptors.capacity = True, 0  # not usable, and no other may be opened
     world.ask(sock, 1)
     assert len(world.hosts.pending_queue) == 1
-    link.is_unresponsive = False
+    connection.is_unresponsive = False
     leave(sock, how)
     world.hosts.pending_queue.serve()
     settled(world)
     assert sent(peer) == [9, 5]
 
 
-@LEAVES
-def test_a_yes_for_a_client_that_left_is_taken_back(world, how):
-    """Held: the host's yes and the client's leaving both lie unread, the yes first."""
+@LEAVING_MODES
+def test_an_acceptance_for_a_client_that_left_is_cancelled(world, how):
+    """Race: the host's acceptance and the client's leaving are both unread, the acceptance first."""
     peer, sock = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
@@ -131,7 +132,7 @@
     assert world.back() == [api.Outcome.STOPPED] and not world.told(api.AttemptAccepted)
 
 
-def test_what_a_client_that_left_says_of_standing_tasks_still_counts(world):
+def test_a_release_of_a_placed_task_by_a_client_that_left_is_applied(world):
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
@@ -145,7 +146,7 @@
     assert m.RELEASE in kinds(peer) and not world.exchange.placed_calls_by_host
 
 
-def test_an_inbox_tells_what_lies_in_it():
+def test_an_inbox_reports_its_unread_messages():
     inbox = Inbox()
     data = setup(1) + setup(2) + cancel(2) + setup(2)[:20]
     for byte in data:
@@ -157,8 +158,8 @@
         inbox.next_message() is None
         and inbox.has_partial_message
         and inbox.is_client_waiting(2)
-        and len(inbox.arrivals) == 2
-    )  # not one a byte
+        and len(inbox.arrivals) == 2  # not one per byte
+    )
     inbox.feed(setup(2)[20:], 9.0)
     assert inbox.next_message()[1] == 9.0 and not inbox.has_partial_message
     inbox.feed(b"\0\1", 10.0)
@@ -169,20 +170,20 @@
     assert not inbox.is_client_waiting(1)
 
 
-# ---- what is looked at last before the first byte leaves ----
+# ---- the check before the first byte of an attempt is sent ----
 
 
-def test_an_attempt_leaves_only_if_all_is_as_it_was_when_it_was_decided():
+def test_an_attempt_is_sent_only_if_the_conditions_of_its_decision_still_hold():
     for values in itertools.product((False, True), repeat=5):
-        seen = AttemptEvidence(*values)
+        evidence = AttemptEvidence(*values)
         expected = (
             None
             if all(values)
             else DeliveryOutcome.CLIENT_GONE
-            if not seen.is_client_waiting
+            if not evidence.is_client_waiting
             else DeliveryOutcome.NOT_SENT
         )
-        assert check_send(seen) is expected
+        assert check_send(evidence) is expected
     assert (
         is_harmless_to_send(SAFE, 0.0, 1e9, 2.0)
         and is_harmless_to_send(UNSAFE, None, 1e9, 2.0)
@@ -201,7 +202,8 @@
 
 @pytest.mark.parametrize("phase", [api.MachinePhase.DRAINING, api.MachinePhase.REMOVED])
 def test_what_waited_for_a_connection_is_not_sent_to_a_host_that_drains(world, phase):
-    """Held: the link is up, nobody has been told, when the list tells the drain."""
+    """Race: the connection has opened but was not processed when the machine list changes the host's
+    phase."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
@@ -210,20 +212,22 @@
     assert m.SETUP not in kinds(peer) and world.back() == [api.Outcome.NOT_SENT]
 
 
-def test_what_was_decided_too_long_ago_is_not_sent_to_a_cold_host(world, monkeypatch):
-    """It would meet the turn of another allocator there."""
+def test_an_attempt_decided_too_long_ago_is_not_sent_to_a_host_that_warms_up(world, monkeypatch):
+    """It would arrive in the time slice of another allocator."""
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     monkeypatch.setattr(world.hosts, "is_warming_up", lambda host: True)
     world.ask(sock, 1)
-    (attempt,) = (a for link in world.hosts.hosts_by_name["h1"].connections for a in link.waiting_attempts)
+    (attempt,) = (
+        a for connection in world.hosts.hosts_by_name["h1"].connections for a in connection.waiting_attempts
+    )
     attempt.bound_at_ms -= 1.0
     world.exchange.settings = replace(SETTINGS, warm_up_window_ms=1.0)
     settled(world)
     assert m.SETUP not in kinds(peer) and world.back() == [api.Outcome.NOT_SENT]
 
 
-def test_a_keyed_attempt_decided_in_its_window_does_not_leave_after_it():
+def test_an_attempt_with_an_idempotency_key_is_not_sent_after_its_window():
     world = Virtual()
     world.asks(7, api.Bind(1, "h1", 300.0), cls="keyed")
     world.module.next.append([api.Bind(1, "h2", 6000.0)])
@@ -236,52 +240,53 @@
     assert world.exchange.check_send(second, True, False) is DeliveryOutcome.NOT_SENT
 
 
-def test_nothing_queues_behind_bytes_that_a_host_does_not_read(world):
+def test_no_attempt_queues_behind_bytes_that_a_host_does_not_read(world):
     peer, sock = Peer(world.loop, stands), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1)
     world.until(lambda: "h1" in world.exchange.placed_calls_by_host)
-    (link,) = world.hosts.hosts_by_name["h1"].connections
-    link.stream.send_buffer += b"\0"  # as if the socket had taken no more
+    (connection,) = world.hosts.hosts_by_name["h1"].connections
+    connection.stream.send_buffer += b"\0"  # as if the socket buffer were full
     world.ask(sock, 2)
     world.until(lambda: len(peer.streams) == 2 and m.SETUP in kinds(peer)[1:])
     assert peer.got[-1][0] is peer.streams[1]
 
 
-# ---- a standstill: everything that came meanwhile lies unread, and timers are due ----
+# ---- a stall of the loop: what arrived meanwhile is unread, and timers are due ----
 
 
-def standstill(world, ms):
-    """The clock goes on without the loop."""
+def stall(world, ms):
+    """Advances the clock without running the loop."""
     now = world.loop.clock.now
     world.loop.clock.now = lambda: now() + ms
 
 
-def test_an_answer_that_lies_unread_is_no_time_out(world):
-    """Held: the answer came in time; when the loop goes on, the time-out is due."""
+def test_an_unread_answer_prevents_a_time_out(world):
+    """Race: the answer arrived in time, but the time-out is due when the loop continues."""
     peer, sock = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1, timeout=500.0)
     world.until(lambda: peer.got)
     stands(*peer.got[0])
-    standstill(world, 600.0)
+    stall(world, 600.0)
     settled(world)
     assert list(world.exchange.placed_calls_by_host["h1"]) == [1] and not world.told(api.AttemptEnded)
 
 
-def test_what_lies_unread_at_a_time_out_puts_it_off_once(world):
+def test_unread_data_defers_a_time_out_once(world):
     peer, sock = Peer(world.loop), world.client()
     world.list(("h1", peer.address))
     world.ask(sock, 1, timeout=500.0)
     world.until(lambda: peer.got)
     peer.streams[0].send(m.encode(m.PROGRESS, 1))
-    standstill(world, 600.0)
+    stall(world, 600.0)
     settled(world)
     assert world.back() == [api.Outcome.TIMED_OUT]
 
 
-def test_a_drain_that_lies_unread_is_known_to_a_timer_that_is_due(world):
-    """Held: the event came while we stood still; a held task's timer is due in the same round."""
+def test_an_unread_drain_is_applied_before_timers_that_are_due(world):
+    """Race: the watch event arrived during a stall, and the timer of a queued call is due in the same
+    round."""
     peer, sock = linked(world)
     entry = {
         "instanceId": "h1",
@@ -290,38 +295,43 @@
         "machineType": "std",
     }
     drain = {"cursor": 1, "nodes": {"instances": [{**entry, "lifecycle": "DRAINING"}]}}
-    tower = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
-    asking = Backoff(BackoffPolicy(1.0, 1.0, 9e9), world.hosts.random)
+    channel_server = Tower(world.loop, lambda n: b"1\n" if n > 1 else b" ")
+    backoff = Backoff(BackoffPolicy(1.0, 1.0, 9e9), world.hosts.random)
     watch_client.WatchClient(
-        world.loop, world.channel, asking, tower.address, world.hosts.apply_list_change, world.logs.append
+        world.loop,
+        world.channel,
+        backoff,
+        channel_server.address,
+        world.hosts.apply_list_change,
+        world.logs.append,
     )
-    world.until(lambda: tower.got)
-    sock.send(setup(1))  # the module holds it
+    world.until(lambda: channel_server.got)
+    sock.send(setup(1))  # the policy does not place it yet
     world.until(lambda: len(world.told(api.PlacementRequested)) == 2)
     world.module.next.append([api.Bind(2, "h1", 2000.0)])
-    tower.streams[0].send(json.dumps(drain).encode() + b"\n")
+    channel_server.streams[0].send(json.dumps(drain).encode() + b"\n")
     world.loop.call_in(
         0.0, lambda: world.exchange.event_dispatcher.dispatch_event(api.ReachabilityChanged("h1", True))
-    )  # any event will do
-    standstill(world, 5.0)
+    )  # any event has the policy bind the call
+    stall(world, 5.0)
     settled(world)
     assert sent(peer) == [9] and world.back() == [api.Outcome.NOT_SENT]
 
 
-def test_a_host_is_not_given_up_for_our_own_standstill(world, monkeypatch):
-    """Held: a word of it lies unread, and a sweep is due that last heard of it eight seconds ago."""
+def test_a_host_is_not_declared_dead_for_a_stall_of_the_loop(world, monkeypatch):
+    """Race: a message of the host is unread when a tick is due, eight seconds after the last one was read."""
     peer, _ = linked(world)
     peer.listener.close()
     host = world.hosts.hosts_by_name["h1"]
     host.record_connect_failure(world.loop.now(), refused=True, disconnected=False)
     peer.streams[0].send(m.encode(m.OBSERVATION, 9, {m.TOPIC: b"cores", m.VALUE: b"1"}))
-    standstill(world, 8_000.0)
+    stall(world, 8_000.0)
     settled(world)
     assert list(world.exchange.placed_calls_by_host["h1"]) == [9]
 
 
-def test_an_answer_by_the_module_on_hearing_of_a_client_that_left_is_no_fault(world):
-    """It turns away the second call of a connection on hearing of the first."""
+def test_a_policy_may_reject_another_call_on_the_event_that_a_client_left(world):
+    """When the first call of a connection is abandoned, the policy rejects the second one."""
     sock = world.client()
     sock.send(setup(1) + setup(2))
     world.until(lambda: len(world.told(api.PlacementRequested)) == 2)
@@ -330,11 +340,13 @@
         world.exchange.calls_by_id[first].setup.task_id,
         world.exchange.calls_by_id[second].setup.task_id,
     ]
-    (owner,) = world.owners.connections
-    others = {task: world.exchange.calls_by_task_id[task].call_id for task in order}
-    left = next(iter(owner.open_task_ids))
-    world.module.next.append([api.Reject(next(n for task, n in others.items() if task != left))])
-    world.exchange.on_client_gone(owner)
+    (client,) = world.owners.connections
+    call_ids_by_task = {task: world.exchange.calls_by_task_id[task].call_id for task in order}
+    abandoned_task = next(iter(client.open_task_ids))
+    world.module.next.append(
+        [api.Reject(next(n for task, n in call_ids_by_task.items() if task != abandoned_task))]
+    )
+    world.exchange.on_client_gone(client)
     assert not world.exchange.calls_by_id and [event.call_id for event in world.told(api.CallAbandoned)] == [
-        others[left]
+        call_ids_by_task[abandoned_task]
     ]
