--- a/glencleat/platform_protocol/__init__.py
+++ b/glencleat/platform_protocol/__init__.py
@@ -1,4 +1,5 @@
-"""The platform's protocol without I/O: messages, the command channel, and the exchange with the module.
+"""The platform's protocol without I/O: message codec, command channel, and the exchange with the policy.
 
-No sockets and no clock here: time is an argument. `glencleat/platform_server/` has the sockets and
-the process."""
+Nothing here opens a socket or reads a clock; time is an argument. `glencleat/platform_server/` has the
+sockets and the process.
+"""
--- a/glencleat/platform_protocol/command_channel.py
+++ b/glencleat/platform_protocol/command_channel.py
@@ -1,8 +1,9 @@
-"""The command channel: bytes to numbered events to machines; what is missing, repeated or broken.
+"""The command channel: decodes numbered events into changes of the machine list and detects gaps and repeats.
 
-Imports the interface, the settings' names and messages' ProtocolError.
-`glencleat/platform_server/watch_client.py` gives it what a
-connection brings and asks `encode_resume` what to write on a new one."""
+Imports the interface, the settings' names and `ProtocolError` of messages.
+`glencleat/platform_server/watch_client.py` feeds it received bytes and writes `encode_resume()` on each new
+connection.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +18,17 @@
 from glencleat.platform_protocol.messages import ProtocolError
 from glencleat.platform_settings import PHASES
 
-MAX_LINE_BYTES = 4 << 20  # bytes: a whole list of some ten thousand machines
-MAX_STALE_CURSORS = (
-    3  # words in a row, a second apart, that the last number is below ours: not one that was under way
-)
-# How old a start can be that the list has only now told, and by clocks that agree: beyond, they do not.
+MAX_LINE_BYTES = 4 << 20  # a snapshot of some ten thousand machines
+# Heartbeats in a row, a second apart, whose cursor is below ours. A single one may have been in flight.
+MAX_STALE_CURSORS = 3
+# The list reports a start at most MAX_LIST_DELAY_MS late. A reported start that is more than
+# MAX_CLOCK_SKEW_MS old, or in the future, means that the clocks disagree.
 MAX_LIST_DELAY_MS, MAX_CLOCK_SKEW_MS = 10_000.0, 60_000.0
-MAX_LEAVING_MACHINES = 10_000  # machines told as draining or gone that are remembered
+MAX_LEAVING_MACHINES = 10_000  # draining and removed machines that are remembered
 
 
 class MachineEntry(msgspec.Struct, rename="camel"):
-    """A machine as an event tells it; times are Unix milliseconds."""
+    """A machine in an event; times are Unix milliseconds."""
 
     instance_id: str
     host_port: str
@@ -40,12 +41,14 @@
 
 
 class MachineListPayload(msgspec.Struct):
+    """The machines of an event: all that there are if `reset` is set, else those that changed."""
+
     reset: bool = False
     instances: list[MachineEntry] = []
 
 
 class ChannelEvent(msgspec.Struct):
-    """One numbered event, or with no nodes the channel's word which number is the last."""
+    """One numbered event; without nodes it is a heartbeat that names the cursor of the last event."""
 
     cursor: int
     nodes: MachineListPayload | None = None
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A machine and where it listens; `started_unix_ms` is Unix time, 0 for long ago."""
+    """A machine and its address; `started_unix_ms` is Unix time, 0 if it started long ago."""
 
     machine: api.Machine
     address: tuple[str, int]
@@ -62,121 +65,146 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What one event changed: all of the list, or some of it."""
+    """The hosts of one event: the complete list if it is a snapshot, else those that changed."""
 
     is_snapshot: bool
     hosts: tuple[HostEntry, ...]
 
 
 def parse_address(text: str, min_port: int = 1) -> tuple[str, int]:
-    """`10.1.0.9:5080` as host and port; ProtocolError on another form or a port below `min_port`."""
+    """Parses an address such as `10.1.0.9:5080` into host and port.
+
+    Raises:
+        ProtocolError: The text has another form, or the port is below `min_port`.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not min_port <= int(port) < 65_536:
-        raise ProtocolError(f"no address: {text[:60]!r}")
+        raise ProtocolError(f"not an address HOST:PORT: {text[:60]!r}")
     return host, int(port)
 
 
-def estimate_start_ms(told_ms: float, now: float) -> float:
-    """When a process started whose start was told just now, on our clock; `told_ms`: by the list's clock.
+def estimate_start_ms(reported_ms: float, now: float) -> float:
+    """Returns when a process started, on our clock, whose start the machine list has just reported.
 
-    It can't be in the future, nor minutes ago: then the clocks differ, and all that is known is that it was
-    before now. Harm: what came to stand there after the start is taken for what stood before it."""
-    return told_ms if now - MAX_CLOCK_SKEW_MS <= told_ms <= now else now
+    A reported start in the future or minutes ago means that the clocks disagree; then all that is known is
+    that the process started before now. The cost of that estimate: tasks placed there after the actual start
+    are taken for tasks of the previous process.
+
+    Args:
+        reported_ms: The start by the machine list's clock.
+        now: The current time on our clock.
+    """
+    return reported_ms if now - MAX_CLOCK_SKEW_MS <= reported_ms <= now else now
 
 
 class CommandChannel:
-    """The list as told so far. `clock_offset_ms` is Unix time less the module's clock."""
+    """The machine list by all events so far. `clock_offset_ms` is Unix time less the policy's clock."""
 
     def __init__(self, clock_offset_ms: float) -> None:
         self.clock_offset_ms = clock_offset_ms
         self.cursor = 0
-        self.hosts_by_name: dict[str, HostEntry] = {}  # those not gone
+        self.hosts_by_name: dict[str, HostEntry] = {}  # without removed ones
         self.buffer = bytearray()
         self.decoder = msgspec.json.Decoder(ChannelEvent | int, strict=False)
-        self.gap_cursor = 0  # the cursor at which a gap was met: once asked for again, it is no gap any more
-        self.stale_cursor_count = 0  # words in a row that told an older number than ours
-        self.is_resyncing = (
-            False  # the service's numbers are others: the next whole list counts, whatever its number
-        )
-        self.resync_cursor = 0  # our number when that was found
-        self.leaving_by_name: dict[
-            str, tuple[float, api.MachinePhase]
-        ] = {}  # by name: its start, and what was told of it
+        # The first missing cursor of the last gap. Events that are still missing after a second request don't
+        # exist.
+        self.gap_cursor = 0
+        self.stale_cursor_count = 0  # consecutive heartbeats with a cursor below ours
+        # The service has restarted its numbering: the next snapshot applies whatever its cursor.
+        self.is_resyncing = False
+        self.resync_cursor = 0  # our cursor when that was detected
+        # Draining and removed machines: start time and phase.
+        self.leaving_by_name: dict[str, tuple[float, api.MachinePhase]] = {}
 
     def encode_resume(self) -> bytes:
-        """What a new connection begins with; what an earlier one left half said is dropped."""
+        """Returns the request to write on a new connection; drops a partial line of the previous one."""
         self.buffer.clear()
         self.stale_cursor_count = 0
         return b"resume %d\n" % (0 if self.is_resyncing else self.cursor)
 
-    def load_initial_list(self, known: dict[str, Any], now: float) -> list[ListChange]:
-        """The events of the start, from the configuration."""
+    def load_initial_list(self, initial_list: dict[str, Any], now: float) -> list[ListChange]:
+        """Applies the events in the configuration's `known` object and returns their changes.
+
+        Raises:
+            ProtocolError: An event is malformed.
+        """
         try:
-            events = [msgspec.convert(raw, ChannelEvent, strict=False) for raw in known.get("cmds") or []]
+            events = [
+                msgspec.convert(raw, ChannelEvent, strict=False) for raw in initial_list.get("cmds") or []
+            ]
         except msgspec.ValidationError as error:
             raise ProtocolError(f"known: {error}") from None
-        news = [self._event(event, event.nodes, now) for event in events if event.nodes is not None]
-        self.cursor = max(self.cursor, int(known.get("cursor") or 0))
-        return news
+        changes = [self._apply_event(event, event.nodes, now) for event in events if event.nodes is not None]
+        self.cursor = max(self.cursor, int(initial_list.get("cursor") or 0))
+        return changes
 
     def feed(self, data: bytes, now: float) -> Iterable[ListChange]:
-        """The news in what came now; ProtocolError when the connection is of no further use."""
+        """Appends received bytes and yields the changes of the events that are now complete.
+
+        Raises:
+            ProtocolError: The connection has to be replaced: the bytes are malformed, or events are missing.
+        """
         self.buffer += data
         while (end := self.buffer.find(b"\n")) >= 0:
             line = bytes(self.buffer[:end])
             del self.buffer[: end + 1]
             if line.strip():
-                yield from self._line(line, now)
+                yield from self._process_line(line, now)
         if len(self.buffer) > MAX_LINE_BYTES:
-            raise ProtocolError(f"a line of over {MAX_LINE_BYTES} bytes")
+            raise ProtocolError(f"line longer than {MAX_LINE_BYTES} bytes")
 
-    def _line(self, line: bytes, now: float) -> Iterable[ListChange]:
+    def _process_line(self, line: bytes, now: float) -> Iterable[ListChange]:
         try:
             event = self.decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise ProtocolError(f"no event: {error}") from None
+            raise ProtocolError(f"invalid event: {error}") from None
         if isinstance(event, int) or event.nodes is None:
-            self._last(event if isinstance(event, int) else event.cursor)
+            self._process_heartbeat(event if isinstance(event, int) else event.cursor)
             return
         if self.is_resyncing:
             if event.nodes.reset:
                 self.is_resyncing = False
-                yield self._event(event, event.nodes, now)
+                yield self._apply_event(event, event.nodes, now)
             return
         if event.cursor <= self.cursor:
-            return  # told twice
+            return  # a repeat
         if event.cursor > self.cursor + 1 and not event.nodes.reset:
-            self._gap(event.cursor)
-        yield self._event(event, event.nodes, now)
-
-    def _last(self, last: int) -> None:
-        """The service's word of its last number.
-
-        One that lost its state, or an old copy of it, counts from below ours, and all that it told would be
-        taken for a repeat: drains too. So it is asked for everything. What it then tells again never makes a
-        machine serve of which a later number said otherwise (`_phase`); the harm is that a drain called off
-        in between is not seen until its numbers pass ours or the machine starts anew."""
+            self._request_missing_events(event.cursor)
+        yield self._apply_event(event, event.nodes, now)
+
+    def _process_heartbeat(self, last_cursor: int) -> None:
+        """Compares the cursor of the service's last event with ours.
+
+        A service that has lost its state, or was restored from an old copy, numbers its events from below our
+        cursor, so all of them, drains included, would be dropped as repeats. It is therefore asked for
+        everything. Events that it then repeats never return a machine to service that a later event had
+        reported as draining or removed (`_resolve_phase`). The cost: a drain cancelled in between is not seen
+        until the service's cursor passes ours or the machine restarts.
+        """
         if self.is_resyncing:
             return
-        self.stale_cursor_count = self.stale_cursor_count + 1 if last < self.cursor else 0
-        if last > self.cursor:
-            self._gap(last)
+        self.stale_cursor_count = self.stale_cursor_count + 1 if last_cursor < self.cursor else 0
+        if last_cursor > self.cursor:
+            self._request_missing_events(last_cursor)
         elif self.stale_cursor_count >= MAX_STALE_CURSORS:
             self.is_resyncing, self.resync_cursor = True, max(self.resync_cursor, self.cursor)
-            raise ProtocolError(f"the channel is at {last}, we were told {self.cursor}: asking for all of it")
+            raise ProtocolError(
+                f"the channel's last event is {last_cursor}, we have applied {self.cursor}:"
+                " requesting all events"
+            )
 
-    def _phase(self, entry: MachineEntry, cursor: int) -> api.MachinePhase:
+    def _resolve_phase(self, entry: MachineEntry, cursor: int) -> api.MachinePhase:
         phase = PHASES[entry.lifecycle]
-        started, told = self.leaving_by_name.get(entry.instance_id, (-1.0, phase))
+        started_unix_ms, known_phase = self.leaving_by_name.get(entry.instance_id, (-1.0, phase))
         if (
             cursor <= self.resync_cursor
-            and started == entry.started_at_ms
+            and started_unix_ms == entry.started_at_ms
             and phase is api.MachinePhase.SERVING
         ):
-            return told
+            return known_phase
         return phase
 
-    def _note(self, host: HostEntry) -> None:
+    def _record_phase(self, host: HostEntry) -> None:
         name = host.machine.name
         self.leaving_by_name.pop(name, None)
         if host.machine.phase is not api.MachinePhase.SERVING:
@@ -184,18 +212,18 @@
             if len(self.leaving_by_name) > MAX_LEAVING_MACHINES:
                 del self.leaving_by_name[next(iter(self.leaving_by_name))]
 
-    def _gap(self, told: int) -> None:
-        """Asks again for what was skipped, by a new connection; if that skips it too, there is no more."""
+    def _request_missing_events(self, received_cursor: int) -> None:
+        """Requests skipped events again on a new connection; if skipped once more, they don't exist."""
         if self.gap_cursor != self.cursor + 1:
             self.gap_cursor = self.cursor + 1
-            raise ProtocolError(f"the channel is at {told}, we are at {self.cursor}")
+            raise ProtocolError(f"the channel is at event {received_cursor}, we have applied {self.cursor}")
 
-    def _event(self, event: ChannelEvent, nodes: MachineListPayload, now: float) -> ListChange:
-        hosts = tuple(self._host(entry, event.cursor, now, nodes.reset) for entry in nodes.instances)
+    def _apply_event(self, event: ChannelEvent, nodes: MachineListPayload, now: float) -> ListChange:
+        hosts = tuple(self._read_host(entry, event.cursor, now, nodes.reset) for entry in nodes.instances)
         if nodes.reset:
             self.hosts_by_name = {}
         for host in hosts:
-            self._note(host)
+            self._record_phase(host)
             if host.machine.phase is api.MachinePhase.REMOVED:
                 self.hosts_by_name.pop(host.machine.name, None)
             else:
@@ -203,37 +231,43 @@
         self.cursor = event.cursor
         return ListChange(nodes.reset, hosts)
 
-    def _ready(self, entry: MachineEntry, known: HostEntry | None, now: float, whole: bool) -> float | None:
-        """When it came up, on the module's clock: never later than now, and if told as a change not long ago.
+    def _estimate_ready_ms(
+        self, entry: MachineEntry, known: HostEntry | None, now: float, is_snapshot: bool
+    ) -> float | None:
+        """Returns when a machine came up, on the policy's clock: at most `now`, and recent if in a delta.
 
-        A clock that is minutes ahead of the list's would make a machine that is cold look warm to all."""
-        started = entry.started_at_ms
-        if started <= 0.0:
+        Without the lower bound, a clock minutes ahead of the list's would make a machine that is warming up
+        look long started.
+        """
+        started_unix_ms = entry.started_at_ms
+        if started_unix_ms <= 0.0:
             return None
-        if known is not None and known.started_unix_ms == started:
+        if known is not None and known.started_unix_ms == started_unix_ms:
             return known.machine.ready_at_ms
-        least = -math.inf if whole else now - MAX_LIST_DELAY_MS
-        return min(now, max(started - self.clock_offset_ms, least))
+        earliest_ms = -math.inf if is_snapshot else now - MAX_LIST_DELAY_MS
+        return min(now, max(started_unix_ms - self.clock_offset_ms, earliest_ms))
 
-    def _host(self, entry: MachineEntry, cursor: int, now: float, whole: bool) -> HostEntry:
+    def _read_host(self, entry: MachineEntry, cursor: int, now: float, is_snapshot: bool) -> HostEntry:
         if entry.lifecycle not in PHASES:
-            raise ProtocolError(f"no state of a machine: {entry.lifecycle[:40]!r}")
+            raise ProtocolError(f"unknown machine lifecycle: {entry.lifecycle[:40]!r}")
         known = self.hosts_by_name.get(entry.instance_id)
+        # An entry without free capacity leaves the last known value unchanged.
         cores, memory = (known.machine.free_cores, known.machine.free_memory) if known else (0.0, 0.0)
         if entry.free is not None and len(entry.free) == 2 and all(map(math.isfinite, entry.free)):
             cores, memory = entry.free
-        ready = self._ready(entry, known, now, whole)
+        ready_at_ms = self._estimate_ready_ms(entry, known, now, is_snapshot)
         machine = api.Machine(
             entry.instance_id,
             entry.machine_type,
             entry.zone,
             entry.cell,
-            self._phase(entry, cursor),
+            self._resolve_phase(entry, cursor),
             cores,
             memory,
-            ready,
+            ready_at_ms,
         )
         return HostEntry(machine, parse_address(entry.host_port), entry.started_at_ms)
 
     def list_machines(self) -> tuple[api.Machine, ...]:
+        """Returns all machines that have not been removed."""
         return tuple(host.machine for host in self.hosts_by_name.values())
--- a/glencleat/platform_protocol/delivery.py
+++ b/glencleat/platform_protocol/delivery.py
@@ -1,8 +1,10 @@
-"""What is known of an attempt that came to nothing, and whether one may still leave.
+"""Outcomes of attempts that failed without the host's answer, and the check before an attempt is sent.
 
-No I/O; imports the interface. A link asks `check_send` at the last instant before the first byte of a set-up
-leaves: what was decided may be a wait for a descriptor or a connection old by then. Guards against an attempt
-for a client that left, to a host that drains, past its time, or that would be a second effect."""
+No I/O; imports the interface. A connection calls `check_send` immediately before it writes the first byte of
+a set-up, because the attempt may have waited for a descriptor or a connection since the policy bound it. The
+check prevents attempts for a client that has left, to a host that drains, after the deadline, and attempts
+that could take effect a second time.
+"""
 
 from __future__ import annotations
 
@@ -13,17 +15,17 @@
 
 
 class DeliveryOutcome(Enum):
-    """What a link can tell of an attempt that came to nothing without the host's word."""
+    """How an attempt failed without the host's answer, as far as its connection can tell."""
 
-    REFUSED = "the connection was refused"
-    CONNECT_TIMEOUT = "no connection came up in time"
-    NOT_SENT = "its last byte never reached the kernel"
-    CLIENT_GONE = "its client had left before its first byte did"
-    CONNECTION_LOST = "the connection broke after it was sent"
-    ANSWER_TIMEOUT = "no answer in time after it was sent"
+    REFUSED = "the host refused the connection"
+    CONNECT_TIMEOUT = "the connection was not established in time"
+    NOT_SENT = "the last byte was never written to the socket"
+    CLIENT_GONE = "the client left before the first byte was written"
+    CONNECTION_LOST = "the connection was lost after the attempt was sent"
+    ANSWER_TIMEOUT = "no answer came in time after the attempt was sent"
 
 
-# Only the last two may have run: see interface.py, contract 7.
+# Only attempts with the last two outcomes may have run: see interface.py, contract 7.
 OUTCOMES_BY_DELIVERY = {
     DeliveryOutcome.REFUSED: api.Outcome.UNREACHABLE,
     DeliveryOutcome.CONNECT_TIMEOUT: api.Outcome.UNREACHABLE,
@@ -37,33 +39,52 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEvidence:
-    """What is looked at, all at one instant."""
+    """The conditions under which an attempt may be sent, all evaluated at the same instant."""
 
     is_client_waiting: bool
-    is_host_serving: bool  # by the list: it neither drains nor is gone
-    is_in_time: bool  # of the attempt
-    is_harmless: bool  # a run beside those of earlier attempts is none or is dropped
-    is_turn_valid: bool  # where its host is cold: it was decided so lately that it counts in our turn there
-
-
-def is_harmless_to_send(cls: api.TaskClass, first_ms: float | None, now: float, tick_ms: float) -> bool:
-    """Whether one more attempt does no harm now; `first_ms`: when the first that may have run could be in."""
-    if first_ms is None or cls.idempotency is api.Idempotency.IDEMPOTENT:
+    is_host_serving: bool  # by the machine list: neither draining nor removed
+    is_in_time: bool  # before the attempt's deadline
+    is_harmless: bool  # earlier attempts have not run, or a second run has no further effect
+    is_turn_valid: bool  # on a host that is warming up: bound recently enough to count in our time slice
+
+
+def is_harmless_to_send(
+    task_class: api.TaskClass, first_uncertain_at_ms: float | None, now: float, tick_ms: float
+) -> bool:
+    """Returns whether a further attempt can't take effect a second time if it is sent now.
+
+    Args:
+        task_class: The class of the task.
+        first_uncertain_at_ms: The earliest time at which an attempt that may have run could have arrived at
+            its host; None if no attempt may have run.
+        now: The current time.
+        tick_ms: The platform's clock tick; two of them are subtracted from the deduplication window.
+    """
+    if first_uncertain_at_ms is None or task_class.idempotency is api.Idempotency.IDEMPOTENT:
         return True
     return (
-        cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-        and now <= first_ms + cls.deduplication_window_ms - 2.0 * tick_ms
+        task_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+        and now <= first_uncertain_at_ms + task_class.deduplication_window_ms - 2.0 * tick_ms
     )
 
 
-def is_turn_valid(cold: bool, waited_ms: float, window_ms: float) -> bool:
-    """The module's turns at a cold host lie a quarter of its window apart: later ones meet the next."""
-    return not cold or window_ms <= 0.0 or waited_ms <= 0.25 * window_ms
+def is_turn_valid(is_warming_up: bool, waited_ms: float, window_ms: float) -> bool:
+    """Returns whether an attempt is still within the time slice in which the policy bound it.
+
+    The policy's time slices on a host that is warming up are a quarter of its warm-up window apart; an
+    attempt that waited longer would be sent in the next slice.
+    """
+    return not is_warming_up or window_ms <= 0.0 or waited_ms <= 0.25 * window_ms
 
 
-def check_send(seen: AttemptEvidence) -> DeliveryOutcome | None:
-    """Why it may not leave, or None. The client first: nobody is owed anything for the rest then."""
-    if not seen.is_client_waiting:
+def check_send(evidence: AttemptEvidence) -> DeliveryOutcome | None:
+    """Returns why the attempt must not be sent, None if it may be.
+
+    The client is checked first: if it has left, the call ends whatever the other conditions are.
+    """
+    if not evidence.is_client_waiting:
         return DeliveryOutcome.CLIENT_GONE
-    may = seen.is_host_serving and seen.is_in_time and seen.is_harmless and seen.is_turn_valid
-    return None if may else DeliveryOutcome.NOT_SENT
+    may_send = (
+        evidence.is_host_serving and evidence.is_in_time and evidence.is_harmless and evidence.is_turn_valid
+    )
+    return None if may_send else DeliveryOutcome.NOT_SENT
--- a/glencleat/platform_protocol/ended_tasks.py
+++ b/glencleat/platform_protocol/ended_tasks.py
@@ -1,17 +1,20 @@
-"""Ends of standing tasks that were heard lately, for clients that name a task (`at`) as or after it ends.
+"""Placed tasks whose end was reported recently, for clients that name such a task (`at`) around that time.
 
-No I/O: time is an argument. After a restart hosts tell what ended as soon as a connection is up, and clients
-name what they hold as soon as we are ready: either may come first. And a task that we hold may be named again
-while its release is on its way to the client. Guards against adopting what is over: it would never end."""
+No I/O: time is an argument. After a restart, hosts report ended tasks as soon as a connection is up, and
+clients name the tasks that they hold as soon as this process is ready; either may come first. A client may
+also name a task while its release is on the way to it. Without this record a task that has ended would be
+adopted, and its end would never be reported again.
+"""
 
 from __future__ import annotations
 
-RETENTION_MS = 10_000.0  # ends are due within 8 s
-MAX_ENDED_TASKS = 4_000  # the oldest go first
+RETENTION_MS = 10_000.0  # ends have to be reported within 8 s
+MAX_ENDED_TASKS = 4_000  # beyond it the oldest are dropped
 
 
 class EndedTasks:
-    """
+    """The recently ended tasks by id and host, each with its cause and whether a client was notified.
+
     >>> ends = EndedTasks()
     >>> ends.record_end(7, "h1", 16, is_reported=False, now=0.0)
     >>> ends.claim(7, "h2", 1.0), ends.claim(7, "h1", 1.0), ends.claim(7, "h1", 1.0)
@@ -19,25 +22,36 @@
     """
 
     def __init__(self) -> None:
-        self.ends_by_task_and_host: dict[
-            tuple[int, str], tuple[int, bool, float]
-        ] = {}  # task and host; the oldest first
-
-    def record_end(self, task: int, host: str, cause: int, is_reported: bool, now: float) -> None:
-        """`is_reported`: a client was; else nobody who holds it is known."""
-        self.ends_by_task_and_host.pop((task, host), None)
-        self.ends_by_task_and_host[task, host] = cause, is_reported, now
+        # By task id and host, the oldest first: cause, whether a client was notified, time of the report.
+        self.ends_by_task_and_host: dict[tuple[int, str], tuple[int, bool, float]] = {}
+
+    def record_end(self, task_id: int, host: str, cause: int, is_reported: bool, now: float) -> None:
+        """Records that a host reported a task's end.
+
+        Args:
+            task_id: The platform's id of the task.
+            host: The host that reported it.
+            cause: The cause in the host's release.
+            is_reported: A client was notified; False if the client that holds the task is not known.
+            now: The current time.
+        """
+        self.ends_by_task_and_host.pop((task_id, host), None)
+        self.ends_by_task_and_host[task_id, host] = cause, is_reported, now
         while (
             len(self.ends_by_task_and_host) > MAX_ENDED_TASKS
             or now - next(iter(self.ends_by_task_and_host.values()))[2] > RETENTION_MS
         ):
             del self.ends_by_task_and_host[next(iter(self.ends_by_task_and_host))]
 
-    def claim(self, task: int, host: str, now: float) -> tuple[int, bool] | None:
-        """The cause by which it ended there and whether a client was told, who is from now on; None if
-        nothing was heard of it lately."""
-        cause, told, when = self.ends_by_task_and_host.get((task, host), (0, True, -float("inf")))
-        if now - when > RETENTION_MS:
+    def claim(self, task_id: int, host: str, now: float) -> tuple[int, bool] | None:
+        """Returns the cause of a recent end and whether a client had been notified of it, and marks it so.
+
+        None if no end of that task on that host was reported within the retention time.
+        """
+        cause, is_reported, ended_at_ms = self.ends_by_task_and_host.get(
+            (task_id, host), (0, True, -float("inf"))
+        )
+        if now - ended_at_ms > RETENTION_MS:
             return None
-        self.ends_by_task_and_host[task, host] = cause, True, when
-        return cause, told
+        self.ends_by_task_and_host[task_id, host] = cause, True, ended_at_ms
+        return cause, is_reported
--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -1,15 +1,17 @@
-"""Owners' and hosts' messages, the module between them: calls, attempts and tasks that stand.
+"""The exchange between clients, hosts and the policy: calls, attempts and placed tasks.
 
-Imports messages, set-ups, `allocator.contract` and the interface. `glencleat/platform_server/`
-tells what passed on its
-links and does what Ports says; time is an argument. The only place of the live path that knows the module.
+Imports messages, set-up requests, `allocator.contract`, `allocator.event_dispatcher` and the interface.
+`glencleat/platform_server/` passes it received messages and connection failures, and implements
+`ExchangePorts`; the time comes from there too. No other module on the platform's path knows the policy.
 
-  state      begins with           ends with
-  PENDING    a set-up              Bind -> IN_FLIGHT; Refuse, Fail: answered -> over; the owner leaves -> over
-  IN_FLIGHT  the module's Bind     an answer -> PLACED; every other end of the attempt -> PENDING, or over
-  PLACED     a host's answer, `at` the host's release, the owner's, a move, the host lost -> over
+  state      entered by         left by
+  PENDING    a set-up           Bind -> IN_FLIGHT; Reject, Fail or the client leaves -> closed
+  IN_FLIGHT  the policy's Bind  a host's answer -> PLACED; any other end of the attempt -> PENDING or closed
+  PLACED     a host's answer,   a release by the host or a client, a migration, the host is lost -> closed
+             `at` in a set-up
 
-What is over is forgotten at once: a word that comes later finds nothing and changes nothing."""
+A closed call is removed at once: messages for it that arrive later find nothing and change nothing.
+"""
 
 from __future__ import annotations
 
@@ -44,58 +46,74 @@
 
 
 class SetupState(Enum):
+    """The states of a call; the module's docstring has the transitions."""
+
     PENDING = "taken"
     IN_FLIGHT = "out"
     PLACED = "stands"
 
 
 class ClientPort(Protocol):
-    """A connection of owners, as far as the exchange knows it."""
+    """What the exchange needs of a client's connection."""
 
-    open_task_ids: set[int]  # ids that an answer is owed to on it
+    open_task_ids: set[int]  # tasks whose answer is still due on it
 
 
 class TimerHandle(Protocol):
-    def cancel(self) -> None: ...
+    """A scheduled callback."""
+
+    def cancel(self) -> None:
+        """Prevents the callback from running."""
 
 
 class ExchangePorts(Protocol):
-    """What the exchange asks of the sockets. None of these may call the exchange back before it returns."""
+    """What the exchange needs of the sockets. None of these may call the exchange before it returns."""
 
     def send_to_client(self, client: Any, data: bytes, must_deliver: bool) -> None:
-        """On that connection; if it is gone, what is `must_deliver` goes by any other or by the next."""
+        """Writes a message to a client's connection.
+
+        If that is closed, a message that `must_deliver` is written to another trusted connection, or to the
+        next one that becomes trusted.
+        """
 
     def is_client_waiting(self, client: Any, task: int, must_poll: bool) -> bool:
-        """Whether its client waits for the answer, by all that had come on that connection when this round of
-        the loop began; `must_poll`: by this instant, at the price of asking the system."""
+        """Returns whether the client still waits for the task's answer.
+
+        Decided by what had been received on its connection when this round of the loop began; with
+        `must_poll` by what has been received until now, which costs a system call.
+        """
 
     def mark_trusted(self, client: Any) -> None:
-        """What came on that connection stands: no bad client's, so that releases may be told there."""
+        """Marks a connection on which a task was placed; pending releases may be written to it."""
 
     def offer_attempt(self, attempt: SetupAttempt) -> None:
-        """Sends `attempt.encode_setup(now)` to its host, and tells of a failure by `on_attempt_failed`,
-        later."""
+        """Sends `attempt.encode_setup(now)` to its host; later reports a failure by `on_attempt_failed`."""
 
     def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
-        """Takes it back: the give-up is written, or its connection closed. What is known of it."""
+        """Writes a cancellation to the host or closes the connection; returns how far the attempt had got."""
 
     def has_unread_bytes(self, attempt: SetupAttempt) -> bool:
-        """Whether something came on the connection that it went by and has not been read."""
+        """Returns whether bytes have been received, but not read, on the attempt's connection."""
 
     def release_task(self, host: str, task: int) -> None:
-        """Releases a standing task at its host, at once or as soon as the host can be reached."""
+        """Releases a placed task on its host, at once or as soon as the host can be reached."""
 
     def request_load_report(self, host: str, token: int) -> bool:
-        """Asks the host for its report; False if there is no way to."""
+        """Requests a load report of the host; returns False if the request can't be sent."""
+
+    def call_in(self, in_ms: float, call: Callable[[], None]) -> TimerHandle:
+        """Schedules a callback."""
+
+    def now(self) -> float:
+        """Returns the current time in milliseconds."""
 
-    def call_in(self, in_ms: float, call: Callable[[], None]) -> TimerHandle: ...
-    def now(self) -> float: ...
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Writes a log line."""
 
 
 @dataclass(slots=True, eq=False)
 class SetupCall:
-    """A task from its set-up until it is over."""
+    """A client's set-up, until it is answered without a placement or the placed task has ended."""
 
     call_id: int
     setup: SetupRequest
@@ -103,15 +121,14 @@
     state: SetupState = SetupState.PENDING
     attempt_count: int = 0
     attempt: SetupAttempt | None = None
-    placed_at_ms: float = 0.0  # when it came to stand
-    first_uncertain_at_ms: float | None = (
-        None  # the earliest moment at which an attempt that may have run could be there
-    )
+    placed_at_ms: float = 0.0
+    # The earliest time at which an attempt that may have run could have reached its host.
+    first_uncertain_at_ms: float | None = None
 
 
 @dataclass(slots=True, eq=False)
 class SetupAttempt:
-    """One Bind. `connection` is the sockets' own."""
+    """One Bind of the policy. `connection` belongs to the implementer of the ports."""
 
     call: SetupCall
     number: int
@@ -123,13 +140,18 @@
 
     @property
     def is_in_flight(self) -> bool:
-        """It waits for the host's answer."""
+        """Whether it waits for the host's answer."""
         return self.call.attempt is self and self.call.state is SetupState.IN_FLIGHT
 
     def encode_setup(self, now: float) -> bytes:
+        """Returns the set-up for the host: the client's, with the time that the attempt has left."""
         setup = self.call.setup
-        wait = max(1, round(self.deadline_at_ms - now))
-        parameters = {m.CLASS: setup.task_class.name.encode(), m.TIMEOUT: b"%d" % wait, m.NAME: setup.name}
+        remaining_ms = max(1, round(self.deadline_at_ms - now))
+        parameters = {
+            m.CLASS: setup.task_class.name.encode(),
+            m.TIMEOUT: b"%d" % remaining_ms,
+            m.NAME: setup.name,
+        }
         if setup.key is not None:
             parameters[m.KEY] = setup.key
         parameters[m.DESCRIPTION] = setup.description
@@ -137,85 +159,86 @@
 
 
 class Exchange:
-    """One allocator's calls. `list_machines` is set by whoever joins the parts."""
+    """All calls of one allocator. The process that assembles the parts sets `list_machines`."""
 
     def __init__(
         self, settings: api.Settings, module: DecisionModule, ports: ExchangePorts, probe_timeout_ms: float
     ) -> None:
         self.ports, self.probe_timeout_ms, self.settings = ports, probe_timeout_ms, settings
         self.contract = ContractChecker(module)
-        self.event_dispatcher = EventDispatcher(self.contract, ports.now, self._act)
+        self.event_dispatcher = EventDispatcher(self.contract, ports.now, self._execute_action)
         self.setup_reader = SetupReader(settings)
-        self.calls_by_id: dict[int, SetupCall] = {}  # by the module's number
-        self.calls_by_task_id: dict[int, SetupCall] = {}  # by the platform's id
-        self.placed_calls_by_host: dict[str, dict[int, SetupCall]] = {}  # host -> id -> call
+        self.calls_by_id: dict[int, SetupCall] = {}  # by the policy's call id
+        self.calls_by_task_id: dict[int, SetupCall] = {}  # by the platform's task id
+        self.placed_calls_by_host: dict[str, dict[int, SetupCall]] = {}  # by host, then by task id
         self.ended_tasks = EndedTasks()
-        self.hosts_by_probe_token: dict[int, str] = {}  # token -> host
+        self.hosts_by_probe_token: dict[int, str] = {}
         self.last_probe_token = 0
         self.list_machines: Callable[[], tuple[api.Machine, ...]] = tuple
-        self.on_placed_changed: Callable[[str], None] = lambda host: (
-            None
-        )  # told of a host's first, and of its last
+        # Called when a host's first task is placed and when its last one has ended.
+        self.on_placed_changed: Callable[[str], None] = lambda host: None
         self.invalid_setup_count = self.call_count = self.late_answer_count = 0
-        self.failed_attempts_by_outcome: dict[api.Outcome, int] = {}  # attempts that came to nothing
+        self.failed_attempts_by_outcome: dict[api.Outcome, int] = {}
 
     @property
     def open_call_count(self) -> int:
-        """Calls that an answer is owed to."""
+        """The number of calls without a final answer."""
         return sum(call.state is not SetupState.PLACED for call in self.calls_by_id.values())
 
-    # ---- the module ----
+    # ---- actions of the policy ----
 
-    def _act(self, action: api.Action) -> None:
+    def _execute_action(self, action: api.Action) -> None:
         self.action_handlers[type(action)](self, action)
 
-    def _bind(self, action: api.Bind) -> None:
+    def _start_attempt(self, action: api.Bind) -> None:
         call, now = self.calls_by_id[action.call_id], self.ports.now()
         attempt = SetupAttempt(call, call.attempt_count, action.machine, now, now + action.timeout_ms)
         call.attempt_count, call.attempt, call.state = call.attempt_count + 1, attempt, SetupState.IN_FLIGHT
-        attempt.timer = self.ports.call_in(action.timeout_ms, lambda: self._timed_out(attempt))
+        attempt.timer = self.ports.call_in(action.timeout_ms, lambda: self._handle_timeout(attempt))
         self.ports.offer_attempt(attempt)
 
-    def _timed_out(self, attempt: SetupAttempt, looked: bool = False) -> None:
+    def _handle_timeout(self, attempt: SetupAttempt, has_deferred: bool = False) -> None:
         if not attempt.is_in_flight:
             return
-        if not looked and self.ports.has_unread_bytes(attempt):
-            # After a standstill its answer may lie there: what was out in time is no time-out.
-            attempt.timer = self.ports.call_in(0.0, lambda: self._timed_out(attempt, looked=True))
+        if not has_deferred and self.ports.has_unread_bytes(attempt):
+            # After this process has stood still, an answer that came in time may be unread: read it first.
+            attempt.timer = self.ports.call_in(0.0, lambda: self._handle_timeout(attempt, has_deferred=True))
             return
-        self._back(attempt, OUTCOMES_BY_DELIVERY[self.ports.cancel_attempt(attempt)])
+        self._end_attempt(attempt, OUTCOMES_BY_DELIVERY[self.ports.cancel_attempt(attempt)])
 
-    def _refuse(self, action: api.Reject) -> None:
-        stay = {m.RETRY_AFTER: b"%d" % round(action.retry_after_ms)} if action.retry_after_ms >= 1.0 else {}
-        self._answer(self.calls_by_id[action.call_id], m.REJECTED, stay)
+    def _reject_call(self, action: api.Reject) -> None:
+        retry_after = (
+            {m.RETRY_AFTER: b"%d" % round(action.retry_after_ms)} if action.retry_after_ms >= 1.0 else {}
+        )
+        self._close_unplaced(self.calls_by_id[action.call_id], m.REJECTED, retry_after)
 
-    def _fail(self, action: api.Fail) -> None:
-        self._answer(self.calls_by_id[action.call_id], m.FAILED, {})
+    def _fail_call(self, action: api.Fail) -> None:
+        self._close_unplaced(self.calls_by_id[action.call_id], m.FAILED, {})
 
-    def _answer(self, call: SetupCall, cause: int, more: dict[int, bytes]) -> None:
-        """The final answer that is no placing. Nothing is kept of the call."""
-        data = m.encode_with_cause(m.RELEASE, call.setup.task_id, cause, more)
-        self._forget(call)
+    def _close_unplaced(self, call: SetupCall, cause: int, extra_parameters: dict[int, bytes]) -> None:
+        """Sends a final answer other than a placement and removes the call."""
+        data = m.encode_with_cause(m.RELEASE, call.setup.task_id, cause, extra_parameters)
+        self._remove_call(call)
         self.ports.send_to_client(call.client, data, must_deliver=False)
 
-    def _move(self, action: api.Migrate) -> None:
+    def _migrate_task(self, action: api.Migrate) -> None:
         call = self.calls_by_id[action.call_id]
         if call.state is SetupState.PLACED:
             self.ports.send_to_client(call.client, m.encode(m.MIGRATE, call.setup.task_id), must_deliver=True)
-            self._cut(call)
+            self._stop_task(call)
 
-    def _probe(self, action: api.Probe) -> None:
+    def _start_probe(self, action: api.Probe) -> None:
         self.last_probe_token += 1
         token = self.last_probe_token
         self.hosts_by_probe_token[token] = action.machine
         if self.ports.request_load_report(action.machine, token):
             self.ports.call_in(
-                self.probe_timeout_ms, lambda: self._tested(token, api.Outcome.TIMED_OUT, None)
+                self.probe_timeout_ms, lambda: self._end_probe(token, api.Outcome.TIMED_OUT, None)
             )
         else:
-            self.ports.call_in(0.0, lambda: self._tested(token, api.Outcome.UNREACHABLE, None))
+            self.ports.call_in(0.0, lambda: self._end_probe(token, api.Outcome.UNREACHABLE, None))
 
-    def _tested(self, token: int, outcome: api.Outcome, report: api.LoadReport | None) -> None:
+    def _end_probe(self, token: int, outcome: api.Outcome, report: api.LoadReport | None) -> None:
         host = self.hosts_by_probe_token.pop(token, None)
         if host is not None:
             self.event_dispatcher.dispatch_event(api.ProbeEnded(host, outcome, report))
@@ -225,254 +248,288 @@
             action.delay_ms, lambda: self.event_dispatcher.dispatch_event(api.TimerFired(action.token))
         )
 
-    def _watch(self, _: api.WatchMachineList) -> None:
-        # The sockets hold a channel at all times: what it told is what there is.
+    def _send_snapshot(self, _: api.WatchMachineList) -> None:
+        # The process always watches the command channel, so its current list is the answer.
         self.event_dispatcher.dispatch_event(
             api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, self.list_machines())
         )
 
-    def _log(self, action: api.LogMessage) -> None:
+    def _write_log(self, action: api.LogMessage) -> None:
         self.ports.log(action.text)
 
     action_handlers: dict[type, Callable[[Exchange, Any], None]] = {
-        api.Bind: _bind,
-        api.Reject: _refuse,
-        api.Fail: _fail,
-        api.Migrate: _move,
-        api.Probe: _probe,
+        api.Bind: _start_attempt,
+        api.Reject: _reject_call,
+        api.Fail: _fail_call,
+        api.Migrate: _migrate_task,
+        api.Probe: _start_probe,
         api.SetTimer: _set_timer,
-        api.WatchMachineList: _watch,
-        api.LogMessage: _log,
+        api.WatchMachineList: _send_snapshot,
+        api.LogMessage: _write_log,
     }
 
-    # ---- what ends an attempt ----
+    # ---- the end of an attempt ----
 
-    def _back(
+    def _end_attempt(
         self,
         attempt: SetupAttempt,
         outcome: api.Outcome,
-        why: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
+        reason: api.OutcomeReason = api.OutcomeReason.UNSPECIFIED,
         report: api.LoadReport | None = None,
-        left: bool = False,
+        has_client_left: bool = False,
     ) -> None:
-        """The one end of every attempt, with the evidence as the module's outcome."""
+        """Ends an attempt and notifies the policy; every attempt and every placed task ends here."""
         call, now = attempt.call, self.ports.now()
         if attempt.timer is not None:
             attempt.timer.cancel()
-        stood = call.state is SetupState.PLACED
+        was_placed = call.state is SetupState.PLACED
         call.state, call.attempt = SetupState.PENDING, None
-        over = stood or left
-        if over:
-            self._forget(call, attempt.host)
-        if stood and outcome is not api.Outcome.STOPPED:
+        is_call_closed = was_placed or has_client_left
+        if is_call_closed:
+            self._remove_call(call, attempt.host)
+        if was_placed and outcome is not api.Outcome.STOPPED:
             cause = m.ENDED if outcome is api.Outcome.COMPLETED else m.FAILED
             self.ports.send_to_client(
                 call.client, m.encode_with_cause(m.RELEASE, call.setup.task_id, cause), must_deliver=True
             )
-        spent = max(0.0, now - attempt.bound_at_ms)
+        elapsed_ms = max(0.0, now - attempt.bound_at_ms)
         if outcome not in NEVER_RAN and call.first_uncertain_at_ms is None:
             call.first_uncertain_at_ms = attempt.bound_at_ms
-        if not stood:
+        if not was_placed:
             self.failed_attempts_by_outcome[outcome] = self.failed_attempts_by_outcome.get(outcome, 0) + 1
-            if outcome is not api.Outcome.REJECTED and not left:
+            if outcome is not api.Outcome.REJECTED and not has_client_left:
                 self.ports.log(
-                    f"host {attempt.host}: attempt {attempt.number} {outcome.value} after {spent:.0f} ms"
+                    f"host {attempt.host}: attempt {attempt.number} {outcome.value} after {elapsed_ms:.0f} ms"
                 )
-        told = api.AttemptEnded(call.call_id, attempt.number, attempt.host, outcome, spent, over, why, report)
-        self.event_dispatcher.dispatch_event(*([api.CallAbandoned(call.call_id)] if left else []), told)
+        ended = api.AttemptEnded(
+            call.call_id, attempt.number, attempt.host, outcome, elapsed_ms, is_call_closed, reason, report
+        )
+        self.event_dispatcher.dispatch_event(
+            *([api.CallAbandoned(call.call_id)] if has_client_left else []), ended
+        )
 
-    def _forget(self, call: SetupCall, host: str = "") -> None:
+    def _remove_call(self, call: SetupCall, host: str = "") -> None:
         self.calls_by_id.pop(call.call_id, None)
         self.calls_by_task_id.pop(call.setup.task_id, None)
         call.client.open_task_ids.discard(call.setup.task_id)
-        there = self.placed_calls_by_host.get(host)
-        if there is not None:
-            there.pop(call.setup.task_id, None)
-            if not there:
+        placed_calls = self.placed_calls_by_host.get(host)
+        if placed_calls is not None:
+            placed_calls.pop(call.setup.task_id, None)
+            if not placed_calls:
                 del self.placed_calls_by_host[host]
                 self.on_placed_changed(host)
 
-    def _stands(self, call: SetupCall, host: str) -> None:
+    def _mark_placed(self, call: SetupCall, host: str) -> None:
         call.state, call.placed_at_ms = SetupState.PLACED, self.ports.now()
         call.client.open_task_ids.discard(call.setup.task_id)
         self.ports.mark_trusted(call.client)
-        there = self.placed_calls_by_host.setdefault(host, {})
-        there[call.setup.task_id] = call
-        if len(there) == 1:
+        placed_calls = self.placed_calls_by_host.setdefault(host, {})
+        placed_calls[call.setup.task_id] = call
+        if len(placed_calls) == 1:
             self.on_placed_changed(host)
 
-    def _cut(self, call: SetupCall) -> None:
-        """Ends a standing task of ours at its host: moved, or released by its owner."""
+    def _stop_task(self, call: SetupCall) -> None:
+        """Releases a placed task on its host because it migrates or its client has released it."""
         attempt = call.attempt
         assert attempt is not None
         self.ports.release_task(attempt.host, call.setup.task_id)
-        self._back(attempt, api.Outcome.STOPPED)
+        self._end_attempt(attempt, api.Outcome.STOPPED)
 
-    def on_attempt_failed(self, attempt: SetupAttempt, fact: DeliveryOutcome) -> None:
-        """A link's word on an attempt that is out; of one that is back already it changes nothing."""
+    def on_attempt_failed(self, attempt: SetupAttempt, outcome: DeliveryOutcome) -> None:
+        """Handles the failure of an attempt on its connection; ignored if the attempt has ended already."""
         if attempt.is_in_flight:
-            self._back(attempt, OUTCOMES_BY_DELIVERY[fact], left=fact is DeliveryOutcome.CLIENT_GONE)
+            self._end_attempt(
+                attempt,
+                OUTCOMES_BY_DELIVERY[outcome],
+                has_client_left=outcome is DeliveryOutcome.CLIENT_GONE,
+            )
 
-    def check_send(self, attempt: SetupAttempt, serves: bool, cold: bool) -> DeliveryOutcome | None:
-        """Asked by a link at the last instant before its first byte leaves: why it may not, or None."""
+    def check_send(
+        self, attempt: SetupAttempt, is_host_serving: bool, is_warming_up: bool
+    ) -> DeliveryOutcome | None:
+        """Returns why an attempt must not be sent, None if it may be.
+
+        A connection calls it immediately before it writes the attempt's first byte.
+        """
         call, now = attempt.call, self.ports.now()
-        seen = AttemptEvidence(
+        evidence = AttemptEvidence(
             self.ports.is_client_waiting(call.client, call.setup.task_id, must_poll=True),
-            serves,
+            is_host_serving,
             now < attempt.deadline_at_ms,
             is_harmless_to_send(
                 call.setup.task_class, call.first_uncertain_at_ms, now, self.settings.tick_ms
             ),
-            is_turn_valid(cold, now - attempt.bound_at_ms, self.settings.warm_up_window_ms),
+            is_turn_valid(is_warming_up, now - attempt.bound_at_ms, self.settings.warm_up_window_ms),
         )
-        return check_send(seen)
+        return check_send(evidence)
 
     def declare_tasks_lost(self, host: str, before_ms: float = math.inf) -> int:
-        """The host's process is known to have ended: what came to stand there `before_ms` is over."""
-        ended = [
+        """Ends the tasks placed on a host before a given time, because its process has ended.
+
+        Returns how many there were.
+        """
+        lost_calls = [
             call for call in self.placed_calls_by_host.get(host, {}).values() if call.placed_at_ms < before_ms
         ]
-        for call in ended:
+        for call in lost_calls:
             if call.attempt is not None:
-                self._back(call.attempt, api.Outcome.LOST)
-        return len(ended)
+                self._end_attempt(call.attempt, api.Outcome.LOST)
+        return len(lost_calls)
 
     # ---- hosts ----
 
-    def on_host_message(self, host: str, link: Any, message: m.PlatformMessage) -> None:
-        """A whole message of a host; ProtocolError if it can't be read, before anything is changed."""
+    def on_host_message(self, host: str, connection: Any, message: m.PlatformMessage) -> None:
+        """Handles a message of a host.
+
+        Raises:
+            ProtocolError: The message is invalid; nothing has been changed.
+        """
         if message.kind == m.PROBE_ANSWER:
             outcome = api.Outcome.COMPLETED if message.cause == 1 else api.Outcome.ERROR
             report = value_mapping.read_load_report(message)
             if self.hosts_by_probe_token.get(message.task_id) == host:
-                self._tested(message.task_id, outcome, report)
+                self._end_probe(message.task_id, outcome, report)
             return
-        attempt = self._attempt(message.task_id, host)
-        awaited = attempt is not None and attempt.is_in_flight and attempt.connection is link
+        attempt = self._find_attempt(message.task_id, host)
+        is_awaited = attempt is not None and attempt.is_in_flight and attempt.connection is connection
         if message.kind == m.ANSWER:
             if m.DESCRIPTION not in message.parameters:
-                raise m.ProtocolError("an answer without a description")
-            if attempt is not None and awaited:
-                self._accepted(attempt, message)
+                raise m.ProtocolError("the answer has no description")
+            if attempt is not None and is_awaited:
+                self._handle_answer(attempt, message)
             else:
-                self.late_answer_count += (
-                    1  # after its time, a second time, or of nothing: the page says it means nothing
-                )
+                # Late, repeated, or for an unknown task: by the protocol page such an answer has no effect.
+                self.late_answer_count += 1
         elif message.kind == m.RELEASE:
-            cause, why, report = (
+            cause, reason, report = (
                 message.cause,
                 value_mapping.read_reason(message),
                 value_mapping.read_load_report(message),
             )
             if attempt is not None and attempt.call.state is SetupState.PLACED:
                 self.ended_tasks.record_end(message.task_id, host, cause, True, self.ports.now())
-                self._back(attempt, OUTCOMES_AFTER_PLACEMENT.get(cause, api.Outcome.LOST), why, report)
-            elif attempt is not None and awaited:
-                self._back(attempt, OUTCOMES_BEFORE_PLACEMENT.get(cause, api.Outcome.LOST), why, report)
+                self._end_attempt(
+                    attempt, OUTCOMES_AFTER_PLACEMENT.get(cause, api.Outcome.LOST), reason, report
+                )
+            elif attempt is not None and is_awaited:
+                self._end_attempt(
+                    attempt, OUTCOMES_BEFORE_PLACEMENT.get(cause, api.Outcome.LOST), reason, report
+                )
             elif message.task_id not in self.calls_by_task_id:
                 self.ended_tasks.record_end(message.task_id, host, cause, False, self.ports.now())
         elif message.kind == m.OBSERVATION:
-            self._note(attempt, message)
+            self._handle_observation(attempt, message)
 
-    def _attempt(self, task: int, host: str) -> SetupAttempt | None:
-        """Ours at that host under the platform's id, out or standing."""
-        call = self.calls_by_task_id.get(task)
+    def _find_attempt(self, task_id: int, host: str) -> SetupAttempt | None:
+        """Returns our attempt or placed task on that host, None if there is none."""
+        call = self.calls_by_task_id.get(task_id)
         attempt = call.attempt if call is not None else None
         return attempt if attempt is not None and attempt.host == host else None
 
-    def _accepted(self, attempt: SetupAttempt, message: m.PlatformMessage) -> None:
+    def _handle_answer(self, attempt: SetupAttempt, message: m.PlatformMessage) -> None:
         call = attempt.call
         if not self.ports.is_client_waiting(call.client, call.setup.task_id, must_poll=False):
-            # Its client left before it could be told: nobody would ever end it.
+            # The client left before it could be notified, so no client would ever release the task.
             self.ports.release_task(attempt.host, call.setup.task_id)
-            self._back(attempt, api.Outcome.STOPPED, left=True)
+            self._end_attempt(attempt, api.Outcome.STOPPED, has_client_left=True)
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self._stands(call, attempt.host)
+        self._mark_placed(call, attempt.host)
         description = {m.DESCRIPTION: message.parameters[m.DESCRIPTION]}
         self.ports.send_to_client(
             call.client, m.encode(m.ANSWER, call.setup.task_id, description), must_deliver=False
         )
-        spent = max(0.0, self.ports.now() - attempt.bound_at_ms)
+        elapsed_ms = max(0.0, self.ports.now() - attempt.bound_at_ms)
         self.event_dispatcher.dispatch_event(
-            api.AttemptAccepted(call.call_id, attempt.number, attempt.host, spent)
+            api.AttemptAccepted(call.call_id, attempt.number, attempt.host, elapsed_ms)
         )
 
-    def _note(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
+    def _handle_observation(self, attempt: SetupAttempt | None, message: m.PlatformMessage) -> None:
         topic, value = message.get_text(m.TOPIC), m.parse_number(message.get_text(m.VALUE) or "0")
         if attempt is not None and attempt.call.state is SetupState.PLACED and topic in OBSERVATION_KINDS:
             self.event_dispatcher.dispatch_event(
                 api.TaskObserved(attempt.call.call_id, attempt.host, OBSERVATION_KINDS[topic], value)
             )
 
-    # ---- owners ----
+    # ---- clients ----
 
     def on_client_setup(
-        self, owner: ClientPort, message: m.PlatformMessage, waited_ms: float, late: bool = False
+        self, client: ClientPort, message: m.PlatformMessage, waited_ms: float, is_late: bool = False
     ) -> bool:
-        """A set-up that waited so long in our socket and loop; whether it could be used. `late`: we end.
-
-        ProtocolError: it can't even be answered."""
-        task = message.task_id
-        known = self.calls_by_task_id.get(task)
-        if known is not None and known.client is owner and known.state is not SetupState.PLACED:
-            # An answer under this number would be taken for the first one's, which is still owed.
-            raise m.ProtocolError("a second set-up under the number of an open one")
+        """Handles a client's set-up and returns whether it was valid.
+
+        Args:
+            client: The connection on which it came.
+            message: The set-up.
+            waited_ms: How long it waited in our socket and loop, which is subtracted from its timeout.
+            is_late: It arrived after the graceful shutdown had stopped accepting calls.
+
+        Raises:
+            ProtocolError: An answer to it could not be told from the answer to an earlier set-up.
+        """
+        task_id = message.task_id
+        known = self.calls_by_task_id.get(task_id)
+        if known is not None and known.client is client and known.state is not SetupState.PLACED:
+            # The client would take an answer with this id for that to the first set-up, which is still due.
+            raise m.ProtocolError(f"second set-up for task {task_id}, which is still open")
         try:
             setup = self.setup_reader.read(message)
         except SetupError as error:
-            return self._unusable(owner, task, str(error))
+            return self._refuse_invalid(client, task_id, str(error))
         if setup.machine is not None:
-            self._adopt(owner, setup)
+            self._adopt_task(client, setup)
         elif known is not None:
-            return self._unusable(owner, task, "the number of another open set-up")
-        elif late:
-            self._turn_away(owner, task, m.REJECTED, "it came after the end had begun")
+            return self._refuse_invalid(client, task_id, "another open set-up has the same task id")
+        elif is_late:
+            self._refuse_setup(client, task_id, m.REJECTED, "it came after the end had begun")
         elif setup.timeout_ms - waited_ms <= 0.0:
-            self._turn_away(owner, task, m.EXPIRED, "it came after its time")
+            self._refuse_setup(client, task_id, m.EXPIRED, "its timeout had passed before it was read")
         else:
-            self._take(owner, setup, setup.timeout_ms - waited_ms)
+            self._open_call(client, setup, setup.timeout_ms - waited_ms)
         return True
 
-    def _unusable(self, owner: ClientPort, task: int, why: str) -> bool:
+    def _refuse_invalid(self, client: ClientPort, task_id: int, reason: str) -> bool:
         self.invalid_setup_count += 1
-        self._turn_away(owner, task, m.INVALID_CONTENTS, why)
+        self._refuse_setup(client, task_id, m.INVALID_CONTENTS, reason)
         return False
 
-    def _turn_away(self, owner: ClientPort, task: int, cause: int, why: str) -> None:
-        self.ports.log(f"turned away: {why}")
-        self.ports.send_to_client(owner, m.encode_with_cause(m.RELEASE, task, cause), must_deliver=False)
+    def _refuse_setup(self, client: ClientPort, task_id: int, cause: int, reason: str) -> None:
+        """Answers a set-up that the policy is not notified of."""
+        self.ports.log(f"turned away: {reason}")
+        self.ports.send_to_client(client, m.encode_with_cause(m.RELEASE, task_id, cause), must_deliver=False)
 
-    def _new(self, owner: ClientPort, setup: SetupRequest) -> SetupCall:
-        self.call_count += 1  # the module's numbers count with it
-        call = SetupCall(self.call_count, setup, owner)
+    def _create_call(self, client: ClientPort, setup: SetupRequest) -> SetupCall:
+        self.call_count += 1  # also the policy's call id
+        call = SetupCall(self.call_count, setup, client)
         self.calls_by_id[call.call_id] = self.calls_by_task_id[setup.task_id] = call
         return call
 
-    def _asked(self, call: SetupCall, left_ms: float) -> api.PlacementRequested:
-        s = call.setup
+    def _make_placement_request(self, call: SetupCall, remaining_ms: float) -> api.PlacementRequested:
+        setup = call.setup
         return api.PlacementRequested(
             call.call_id,
-            s.task_class.name,
-            s.service,
-            s.cores,
-            s.memory,
-            left_ms,
-            s.tenant,
+            setup.task_class.name,
+            setup.service,
+            setup.cores,
+            setup.memory,
+            remaining_ms,
+            setup.tenant,
             None,
-            s.machine,
-            s.is_retry,
+            setup.machine,
+            setup.is_retry,
         )
 
-    def _take(self, owner: ClientPort, setup: SetupRequest, left_ms: float) -> None:
-        if not self.ports.is_client_waiting(owner, setup.task_id, must_poll=False):
-            return  # its cancel or its client's end came while it lay unread: nothing is owed
-        owner.open_task_ids.add(setup.task_id)
-        self.event_dispatcher.dispatch_event(self._asked(self._new(owner, setup), left_ms))
+    def _open_call(self, client: ClientPort, setup: SetupRequest, remaining_ms: float) -> None:
+        if not self.ports.is_client_waiting(client, setup.task_id, must_poll=False):
+            return  # cancelled, or the client has left, while the set-up was unread: no answer is due
+        client.open_task_ids.add(setup.task_id)
+        self.event_dispatcher.dispatch_event(
+            self._make_placement_request(self._create_call(client, setup), remaining_ms)
+        )
 
-    def _adopt(self, owner: ClientPort, setup: SetupRequest) -> None:
-        """A task that runs already. One that we hold is named again at every start, and changes nothing."""
+    def _adopt_task(self, client: ClientPort, setup: SetupRequest) -> None:
+        """Adopts a task that already runs; clients name each at every start, so a known one is ignored."""
         if setup.task_id in self.calls_by_task_id or setup.machine is None:
             return
         now = self.ports.now()
@@ -481,51 +538,53 @@
             if not ended[1]:
                 cause = m.ENDED if ended[0] == m.ENDED else m.FAILED
                 self.ports.send_to_client(
-                    owner, m.encode_with_cause(m.RELEASE, setup.task_id, cause), must_deliver=True
+                    client, m.encode_with_cause(m.RELEASE, setup.task_id, cause), must_deliver=True
                 )
             return
-        call = self._new(owner, setup)
+        call = self._create_call(client, setup)
         call.attempt_count, call.attempt = 1, SetupAttempt(call, 0, setup.machine, now, now)
-        self._stands(call, setup.machine)
-        self.event_dispatcher.dispatch_event(self._asked(call, 0.0))
+        self._mark_placed(call, setup.machine)
+        self.event_dispatcher.dispatch_event(self._make_placement_request(call, 0.0))
 
-    def on_client_release(self, owner: ClientPort, message: m.PlatformMessage) -> None:
-        """An open set-up is given up on its own connection; what stands may be ended on any."""
+    def on_client_release(self, client: ClientPort, message: m.PlatformMessage) -> None:
+        """Handles a client's release: of an open call on its own connection, of a placed task on any."""
         call = self.calls_by_task_id.get(message.task_id)
         if call is None:
             return
         if call.state is SetupState.PLACED:
             self.ports.send_to_client(
-                owner, m.encode(m.RELEASE_COMPLETE, message.task_id), must_deliver=False
+                client, m.encode(m.RELEASE_COMPLETE, message.task_id), must_deliver=False
             )
-            self._cut(call)
-        elif call.client is owner:
-            self._leaves(call)
-
-    def on_client_gone(self, owner: ClientPort) -> None:
-        """The connection has ended: nobody waits for what was open on it. What stands goes on."""
-        for task in list(owner.open_task_ids):
-            if task in self.calls_by_task_id:  # else the module answered it on hearing of one before
-                self._leaves(self.calls_by_task_id[task])
-
-    def _leaves(self, call: SetupCall) -> None:
+            self._stop_task(call)
+        elif call.client is client:
+            self._abandon_call(call)
+
+    def on_client_gone(self, client: ClientPort) -> None:
+        """Abandons the open calls of a connection that has ended; placed tasks are kept."""
+        for task_id in list(client.open_task_ids):
+            # The policy may have answered a call when it was notified that an earlier one is abandoned.
+            if task_id in self.calls_by_task_id:
+                self._abandon_call(self.calls_by_task_id[task_id])
+
+    def _abandon_call(self, call: SetupCall) -> None:
         if call.attempt is not None and call.state is SetupState.IN_FLIGHT:
-            fact = self.ports.cancel_attempt(call.attempt)
-            sent = fact in (DeliveryOutcome.ANSWER_TIMEOUT, DeliveryOutcome.CONNECTION_LOST)
-            outcome = api.Outcome.STOPPED if sent else OUTCOMES_BY_DELIVERY[fact]
-            self._back(call.attempt, outcome, left=True)
+            delivery = self.ports.cancel_attempt(call.attempt)
+            was_sent = delivery in (DeliveryOutcome.ANSWER_TIMEOUT, DeliveryOutcome.CONNECTION_LOST)
+            outcome = api.Outcome.STOPPED if was_sent else OUTCOMES_BY_DELIVERY[delivery]
+            self._end_attempt(call.attempt, outcome, has_client_left=True)
         else:
-            self._forget(call)
+            self._remove_call(call)
             self.event_dispatcher.dispatch_event(api.CallAbandoned(call.call_id))
 
     # ---- machines ----
 
     def on_reachability_changed(self, host: str, is_reachable: bool) -> None:
-        """The links' word on a host that they tried by themselves."""
+        """Notifies the policy of a reachability that the connection pool found out by itself."""
         self.event_dispatcher.dispatch_event(api.ReachabilityChanged(host, is_reachable))
 
-    def apply_list_change(self, news: ListChange) -> None:
-        kind = api.ListUpdateKind.SNAPSHOT if news.is_snapshot else api.ListUpdateKind.DELTA
+    def apply_list_change(self, change: ListChange) -> None:
+        """Notifies the policy of a change of the machine list."""
+        kind = api.ListUpdateKind.SNAPSHOT if change.is_snapshot else api.ListUpdateKind.DELTA
         self.event_dispatcher.dispatch_event(
-            api.MachineListUpdated(kind, tuple(host.machine for host in news.hosts))
+            api.MachineListUpdated(kind, tuple(host.machine for host in change.hosts))
         )
--- a/glencleat/platform_protocol/inbox.py
+++ b/glencleat/platform_protocol/inbox.py
@@ -1,8 +1,9 @@
-"""What a client's connection has brought and nobody has handled yet, and what it already tells.
+"""The received but unprocessed bytes of a client's connection.
 
-No I/O; imports messages. A client that closes or cancels has gone from the moment its bytes are here, however
-many messages wait their turn before them. Messages are read once, in order; releases are found ahead of that.
-Guards against: an attempt for a client that left, because its cancel or its end lay behind other bytes."""
+No I/O; imports messages. Messages are processed once and in order, but releases are found as soon as they are
+received: a client that has closed or cancelled counts as gone at once, even if its release or close is queued
+behind other messages. Otherwise attempts would be sent for clients that have left.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,8 @@
 
 
 class Inbox:
-    """
+    """A receive buffer that finds releases ahead of the messages queued before them.
+
     >>> inbox = Inbox()
     >>> inbox.feed(m.encode(m.SETUP, 7) + m.encode_with_cause(m.RELEASE, 7, m.CANCELLED), None)
     >>> inbox.is_client_waiting(7), inbox.is_client_waiting(8), inbox.next_message()[0].kind == m.SETUP
@@ -21,49 +23,58 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.consumed_bytes = 0  # bytes handed out since the start
-        self.scanned_bytes = 0  # of the buffer: whole messages, in which releases were looked for
-        self.release_ends_by_task_id: dict[
-            int, int
-        ] = {}  # id -> where the last release of it that waits here ends
-        self.arrivals: deque[tuple[int, float | None]] = deque()  # where a piece ends, when the system had it
-        self.error: str | None = None  # why what comes after the whole messages is none
-        self.is_closed = False  # the client closed: whatever else is in here, nobody waits for an answer
+        self.consumed_bytes = 0  # returned as messages since the start
+        self.scanned_bytes = 0  # of the buffer: complete messages that were searched for releases
+        # The stream position at which the last unprocessed release of each task ends.
+        self.release_ends_by_task_id: dict[int, int] = {}
+        # For each piece received: the stream position of its end, and its receive time.
+        self.arrivals: deque[tuple[int, float | None]] = deque()
+        self.error: str | None = None  # why the bytes after the complete messages are invalid
+        self.is_closed = False  # by the client: nobody waits for an answer to what is still buffered
 
     @property
     def has_partial_message(self) -> bool:
-        """All that is left is the beginning of a message."""
+        """Whether the buffer holds nothing but the beginning of a message."""
         return bool(self.buffer) and not self.scanned_bytes and self.error is None
 
     @property
     def has_next(self) -> bool:
-        """`next_message` has something to tell."""
+        """Whether `next_message` would return a message or raise an error."""
         return self.scanned_bytes > 0 or self.error is not None
 
-    def feed(self, data: bytes, arrived: float | None) -> None:
-        """`arrived`: when the system had the last of it, None where it does not tell."""
+    def feed(self, data: bytes, received_at_unix_ms: float | None) -> None:
+        """Appends received bytes and searches the messages that are now complete for releases.
+
+        Args:
+            data: The bytes received.
+            received_at_unix_ms: When the kernel received the last of them; None if it does not report that.
+        """
         self.buffer += data
         if len(self.arrivals) > 1 and self.arrivals[-2][0] >= self.consumed_bytes + self.scanned_bytes:
-            self.arrivals.pop()  # more of the same half message: what counts is its last byte
-        self.arrivals.append((self.consumed_bytes + len(self.buffer), arrived))
+            # A further piece of the same partial message: only the time of its last byte is needed.
+            self.arrivals.pop()
+        self.arrivals.append((self.consumed_bytes + len(self.buffer), received_at_unix_ms))
         if self.error is not None:
             return
         try:
             while (end := m.find_message_end(self.buffer, self.scanned_bytes)) is not None:
-                _, kind, task = m.HEADER.unpack_from(self.buffer, self.scanned_bytes)
+                _, kind, task_id = m.HEADER.unpack_from(self.buffer, self.scanned_bytes)
                 if kind == m.RELEASE:
-                    self.release_ends_by_task_id[task] = self.consumed_bytes + end
+                    self.release_ends_by_task_id[task_id] = self.consumed_bytes + end
                 self.scanned_bytes = end
         except m.ProtocolError as error:
-            self.error = str(error)  # its traceback would hold all that leads here
+            self.error = str(error)  # the exception's traceback would keep the frames alive
 
-    def is_client_waiting(self, task: int) -> bool:
-        """Whether its client still waits for the answer to this open request, by all that is here."""
-        return not self.is_closed and task not in self.release_ends_by_task_id
+    def is_client_waiting(self, task_id: int) -> bool:
+        """Whether the client still waits for the answer to this open request, by all bytes received."""
+        return not self.is_closed and task_id not in self.release_ends_by_task_id
 
     def next_message(self) -> tuple[m.PlatformMessage, float | None] | None:
-        """The next whole message and when its last byte was here; ProtocolError where the bytes can't be
-        one."""
+        """Returns the next complete message and when its last byte was received, None if there is none.
+
+        Raises:
+            ProtocolError: The next bytes are not a valid message.
+        """
         if not self.scanned_bytes:
             if self.error is not None:
                 raise m.ProtocolError(self.error)
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -1,6 +1,8 @@
-"""A set-up of an owner, read and checked against the settings: what is taken, and what is turned away unread.
+"""Parses a client's set-ups and validates them against the settings.
 
-Imports messages and the interface. The exchange calls it; nothing here depends on what happened before."""
+Imports messages and the interface. The exchange calls it; a result depends on the message and the settings
+alone.
+"""
 
 from __future__ import annotations
 
@@ -9,102 +11,109 @@
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
 
-MAX_TEXT_LENGTH = 128  # characters of a name, a key, a service
+MAX_TEXT_LENGTH = 128  # characters of a name, key, service, tenant or host
 MAX_TIMEOUT_MS = 3_600_000.0
 
 
 class SetupError(Exception):
-    """Whole, yet not to be used; the owner is answered so."""
+    """A well-formed message that is not a usable set-up; the client is notified of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetupRequest:
-    """One set-up: what goes on to a host unchanged, and what the module is asked."""
+    """A validated set-up: the fields forwarded to a host, and those that the policy decides by."""
 
     task_id: int
     task_class: api.TaskClass
     name: bytes
     key: bytes | None
     description: bytes
-    timeout_ms: float  # from when the owner sent it
+    timeout_ms: float  # from when the client sent it
     is_retry: bool
     tenant: str | None
     service: str
     cores: float
     memory: float
-    machine: str | None  # the machine that holds it already: no answer is owed
+    machine: str | None  # on which the task already runs: the client expects no answer
 
 
 class SetupReader:
-    """Reads set-ups under one configuration's settings."""
+    """Reads set-ups and checks them against one allocator's settings."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.classes_by_name = {c.name: c for c in settings.classes}
+        self.classes_by_name = {task_class.name: task_class for task_class in settings.classes}
         sizes = list(settings.machine_sizes.values())
-        self.max_cores = max(s.cores for s in sizes) * settings.cores_overcommit
-        self.max_memory = max(s.memory for s in sizes) * settings.memory_overcommit
+        self.max_cores = max(size.cores for size in sizes) * settings.cores_overcommit
+        self.max_memory = max(size.memory for size in sizes) * settings.memory_overcommit
 
     def read(self, message: m.PlatformMessage) -> SetupRequest:
-        """The set-up; BadSetup says what is wrong with it."""
+        """Returns the validated set-up.
+
+        Raises:
+            SetupError: It can't be used; the message says why.
+        """
         try:
-            return self._read(message)
+            return self._parse_request(message)
         except m.ProtocolError as error:
             raise SetupError(str(error)) from None
 
-    def _read(self, message: m.PlatformMessage) -> SetupRequest:
+    def _parse_request(self, message: m.PlatformMessage) -> SetupRequest:
         if not message.task_id:
-            raise SetupError("no id")
-        cls = self.classes_by_name.get(self._need(message, m.CLASS, "class"))
-        if cls is None:
-            raise SetupError(f"no class {message.get_text(m.CLASS)!r}")
-        name, extras = self._need(message, m.NAME, "name"), m.parse_fields(message.get_text(m.EXTRAS) or "")
+            raise SetupError("the task id is 0")
+        task_class = self.classes_by_name.get(self._get_required(message, m.CLASS, "class"))
+        if task_class is None:
+            raise SetupError(f"class {message.get_text(m.CLASS)!r} does not exist")
+        name, extras = (
+            self._get_required(message, m.NAME, "name"),
+            m.parse_fields(message.get_text(m.EXTRAS) or ""),
+        )
         key = message.get_text(m.KEY)
-        if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
-            raise SetupError("no key in a keyed class")
-        at = extras.get("at")
+        if task_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY and not key:
+            raise SetupError(f"class {task_class.name!r} requires an idempotency key")
+        machine = extras.get("at")
         if m.DESCRIPTION not in message.parameters:
-            raise SetupError("no description")
-        for text in (name, key, extras.get("service"), at, message.get_text(m.TENANT)):
+            raise SetupError("the description is missing")
+        for text in (name, key, extras.get("service"), machine, message.get_text(m.TENANT)):
             if text is not None and len(text) > MAX_TEXT_LENGTH:
-                raise SetupError("a text that is too long")
+                raise SetupError(f"a text of {len(text)} characters; at most {MAX_TEXT_LENGTH} are allowed")
         if not extras.get("service"):
-            raise SetupError("no service")
+            raise SetupError("the service is missing")
         return SetupRequest(
             message.task_id,
-            cls,
+            task_class,
             name.encode(),
             key.encode() if key else None,
             message.parameters[m.DESCRIPTION],
-            self._wait(message, at),
+            self._read_timeout(message, machine),
             message.get_text(m.RETRY) == "1",
             message.get_text(m.TENANT) or None,
             extras["service"],
-            self._figure(extras, "cores", self.max_cores),
-            self._figure(extras, "memory", self.max_memory),
-            at,
+            self._read_amount(extras, "cores", self.max_cores),
+            self._read_amount(extras, "memory", self.max_memory),
+            machine,
         )
 
     @staticmethod
-    def _need(message: m.PlatformMessage, code: int, what: str) -> str:
+    def _get_required(message: m.PlatformMessage, code: int, label: str) -> str:
         text = message.get_text(code)
         if not text:
-            raise SetupError(f"no {what}")
+            raise SetupError(f"the {label} is missing")
         return text
 
     @staticmethod
-    def _wait(message: m.PlatformMessage, at: str | None) -> float:
+    def _read_timeout(message: m.PlatformMessage, machine: str | None) -> float:
         text = message.get_text(m.TIMEOUT)
-        if at is not None and text is None:
+        if machine is not None and text is None:
             return 0.0
-        readable = text is not None and len(text) <= 10 and text.isdecimal()
-        if text is None or not readable or not (at or 0 < int(text) <= MAX_TIMEOUT_MS):
-            raise SetupError(f"no time to wait: {text and text[:40]!r}")
+        is_number = text is not None and len(text) <= 10 and text.isdecimal()
+        if text is None or not is_number or not (machine or 0 < int(text) <= MAX_TIMEOUT_MS):
+            raise SetupError(f"missing or invalid timeout: {text and text[:40]!r}")
         return float(text)
 
     @staticmethod
-    def _figure(extras: dict[str, str], name: str, most: float) -> float:
-        """A figure that some machine could take, by the settings."""
+    def _read_amount(extras: dict[str, str], name: str, max_value: float) -> float:
+        """Reads an amount of a resource; the largest machine with overcommit is the upper bound."""
         value = m.parse_number(extras.get(name, "")[:40])
-        if not 0.0 < value <= most:
-            raise SetupError(f"{name} out of range: {value}")
+        if not 0.0 < value <= max_value:
+            raise SetupError(f"{name} out of range: {value} is not between 0 and {max_value}")
         return value
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -1,7 +1,7 @@
-"""What hosts say of reasons, figures and notes, in the module's types.
+"""Maps causes, reasons, observations and load reports of hosts to the interface's types.
 
-Imports messages, the interface and the settings' names; `platform_protocol/exchange.py` asks it.
-ProtocolError where a figure can't be read."""
+Imports messages, the interface and the platform's settings; `platform_protocol/exchange.py` uses it.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 OUTCOMES_AFTER_PLACEMENT = {
     m.ENDED: api.Outcome.COMPLETED,
     m.STOPPED: api.Outcome.STOPPED,
-}  # every other cause: LOST
+}  # every other cause, here and above, means LOST
 REASONS = {
     "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
@@ -34,13 +34,24 @@
     "served": api.ObservationKind.SERVICE_LEVEL,
     "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-REPORT_FIELDS = {"util": "busy", "queue": "q"}  # names on the sockets -> in the settings, where they differ
+# A load report's names in messages, where they differ from those in the settings.
+REPORT_FIELDS = {"util": "busy", "queue": "q"}
 
 
 def read_reason(message: m.PlatformMessage) -> api.OutcomeReason:
+    """Returns the reason that a release gives; UNSPECIFIED if it is absent or unknown.
+
+    Raises:
+        ProtocolError: The reason is not printable ASCII.
+    """
     return REASONS.get(message.get_text(m.TOPIC) or "", api.OutcomeReason.UNSPECIFIED)
 
 
 def read_load_report(message: m.PlatformMessage) -> api.LoadReport | None:
+    """Returns the load report that a message carries, None without one.
+
+    Raises:
+        ProtocolError: It is malformed, or a value is not a finite number.
+    """
     raw = m.parse_fields(message.get_text(m.REPORT) or "")
     return read_report({REPORT_FIELDS.get(name, name): m.parse_number(value) for name, value in raw.items()})
--- a/tests/platform_protocol/test_messages.py
+++ b/tests/platform_protocol/test_messages.py
@@ -1,4 +1,4 @@
-"""Bytes and messages, the command channel, and what of a set-up is usable."""
+"""The message codec, the validation of set-ups, and the command channel."""
 
 import json
 from functools import partial
@@ -21,19 +21,19 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(MESSAGES, st.lists(st.integers(1, 50), min_size=1, max_size=20))
-def test_messages_come_whole_in_any_cuts(told, cuts):
-    data, decoder, found = b"".join(m.encode(*one) for one in told), m.MessageDecoder(), []
+def test_messages_decode_from_any_fragmentation(sent, fragment_sizes):
+    data, decoder, decoded = b"".join(m.encode(*fields) for fields in sent), m.MessageDecoder(), []
     while data:
-        cut = cuts[len(data) % len(cuts)]
-        decoder.feed(data[:cut])
-        data = data[cut:]
-        found += [(x.kind, x.task_id, x.parameters) for x in decoder.messages()]
-    assert found == told and not decoder.has_partial_message
+        size = fragment_sizes[len(data) % len(fragment_sizes)]
+        decoder.feed(data[:size])
+        data = data[size:]
+        decoded += [(message.kind, message.task_id, message.parameters) for message in decoder.messages()]
+    assert decoded == sent and not decoder.has_partial_message
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.binary(max_size=200))
-def test_noise_is_the_peers_error_and_nothing_else(data):
+def test_random_bytes_raise_only_protocol_errors(data):
     decoder = m.MessageDecoder()
     decoder.feed(data)
     try:
@@ -53,33 +53,33 @@
         (b"\x00\x09\x02" + b"\0" * 8, "unknown type 2"),
         (b"\x00\x0a\x01" + b"\0" * 9, "within a parameter"),
         (b"\x00\x0d\x01" + b"\0" * 8 + b"\x64\x00\x05x", "parameter 100 of 5 bytes"),
-        (b"\x00\x0f\x01" + b"\0" * 8 + b"\x64\0\0\x64\0\0", "parameter 100 twice"),
+        (b"\x00\x0f\x01" + b"\0" * 8 + b"\x64\0\0\x64\0\0", "parameter 100 occurs twice"),
     ],
 )
-def test_what_is_no_message(data, why):
+def test_invalid_message(data, why):
     decoder = m.MessageDecoder()
     decoder.feed(data)
     with pytest.raises(m.ProtocolError, match=why):
         list(decoder.messages())
 
 
-def test_a_message_before_the_noise_is_given_first():
+def test_valid_message_before_invalid_bytes_is_yielded():
     decoder = m.MessageDecoder()
     decoder.feed(m.encode(m.PROBE, 5) + b"\xff\xff")
-    found = decoder.messages()
-    assert next(found).task_id == 5
+    messages = decoder.messages()
+    assert next(messages).task_id == 5
     with pytest.raises(m.ProtocolError):
-        next(found)
+        next(messages)
 
 
-def test_a_message_that_is_too_long_is_our_error():
+def test_encoding_a_too_long_message_raises_encode_error():
     with pytest.raises(m.EncodeError):
         m.encode(m.ANSWER, 1, {m.DESCRIPTION: b"x" * m.MAX_MESSAGE_BYTES})
 
 
 # ---- set-ups ----
 
-BAD = [
+INVALID_SETUPS = [
     {"task": 0}, {"cls": None}, {"cls": "nope"}, {"cls": b"\xff"}, {"name": None}, {"name": ""}, {"name": "x" * 200},
     {"desc": None}, {"wait": None}, {"wait": 0}, {"wait": -5}, {"wait": "soon"}, {"wait": "9" * 30}, {"wait": "1e3"},
     {"extras": ""}, {"extras": "cores:1;memory:2"}, {"extras": "x"}, {"extras": "cores:1;cores:1;memory:1;service:a"},
@@ -88,33 +88,33 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("fields", BAD, ids=str)
-def test_a_set_up_that_cannot_be_used(fields):
+@pytest.mark.parametrize("fields", INVALID_SETUPS, ids=str)
+def test_invalid_setup(fields):
     (message,) = read(setup(**{"task": 7, **fields}))
     with pytest.raises(SetupError):
         SetupReader(SETTINGS).read(message)
 
 
-def test_a_keyed_set_up_needs_its_key():
+def test_class_with_idempotency_key_requires_a_key():
     (message,) = read(setup(7, "keyed"))
     assert SetupReader(SETTINGS).read(message).key == b"k"
     del message.parameters[m.KEY]
-    with pytest.raises(SetupError, match="no key"):
+    with pytest.raises(SetupError, match="class 'keyed' requires an idempotency key"):
         SetupReader(SETTINGS).read(message)
 
 
-def test_a_set_up_as_the_page_shows_it():
+def test_setup_from_the_protocol_page():
     extras = "cores:1;memory:2;service:00000000b4d65521"
     (message,) = read(setup(7, "safe", 1500, "7f3a9c21e0b4d655", extras, desc=b"\x00\xff", **{"109": None}))
     message.parameters[m.RETRY] = b"1"
-    found = SetupReader(SETTINGS).read(message)
-    assert (found.timeout_ms, found.is_retry, found.service, found.cores) == (
+    request = SetupReader(SETTINGS).read(message)
+    assert (request.timeout_ms, request.is_retry, request.service, request.cores) == (
         1500.0,
         True,
         "00000000b4d65521",
         1.0,
     )
-    assert found.description == b"\x00\xff" and found.machine is None
+    assert request.description == b"\x00\xff" and request.machine is None
 
 
 # ---- the command channel ----
@@ -133,7 +133,7 @@
 
 
 def lines(*events):
-    return b"".join(json.dumps(e).encode() + b"\n" for e in events)
+    return b"".join(json.dumps(item).encode() + b"\n" for item in events)
 
 
 NOW = 50_000.0
@@ -141,43 +141,45 @@
 
 @pytest.fixture
 def channel():
-    made = CommandChannel(clock_offset_ms=1000.0)
-    made.feed = partial(made.feed, now=NOW)
-    made.load_initial_list({"cursor": 1, "cmds": [event(1, entry("h1"), entry("h2"), reset=True)]}, NOW)
-    return made
+    channel = CommandChannel(clock_offset_ms=1000.0)
+    channel.feed = partial(channel.feed, now=NOW)
+    channel.load_initial_list({"cursor": 1, "cmds": [event(1, entry("h1"), entry("h2"), reset=True)]}, NOW)
+    return channel
 
 
-def test_known_is_the_list_at_the_start(channel):
+def test_initial_list_from_the_configuration(channel):
     assert channel.cursor == 1 and set(channel.hosts_by_name) == {"h1", "h2"}
-    told = channel.hosts_by_name["h1"].machine
-    assert (told.kind, told.zone, told.cell, told.free_cores, told.free_memory) == ("std", "a", 2, 3.5, 7.0)
-    assert channel.encode_resume() == b"resume 1\n" and told.ready_at_ms is None
+    machine = channel.hosts_by_name["h1"].machine
+    assert (machine.kind, machine.zone, machine.cell) == ("std", "a", 2)
+    assert (machine.free_cores, machine.free_memory) == (3.5, 7.0)
+    assert channel.encode_resume() == b"resume 1\n" and machine.ready_at_ms is None
 
 
-def test_times_are_on_the_modules_clock(channel):
-    (told,) = channel.feed(lines(event(2, entry("h1", startedAtMs=50_000))))
-    assert told.hosts[0].machine.ready_at_ms == 49_000.0 and told.hosts[0].started_unix_ms == 50_000.0
+def test_start_times_are_converted_to_the_policys_clock(channel):
+    (change,) = channel.feed(lines(event(2, entry("h1", startedAtMs=50_000))))
+    assert change.hosts[0].machine.ready_at_ms == 49_000.0 and change.hosts[0].started_unix_ms == 50_000.0
 
 
 @pytest.mark.parametrize(
-    ("started", "ready"), [(49_500, 48_500.0), (900_000, NOW), (51_001, NOW), (1, NOW - MAX_LIST_DELAY_MS)]
+    ("started_unix_ms", "ready_at_ms"),
+    [(49_500, 48_500.0), (900_000, NOW), (51_001, NOW), (1, NOW - MAX_LIST_DELAY_MS)],
 )
-def test_clocks_that_differ_make_no_machine_warm_and_none_start_tomorrow(channel, started, ready):
-    (told,) = channel.feed(lines(event(2, entry("h3", startedAtMs=started))), now=NOW)
-    assert told.hosts[0].machine.ready_at_ms == ready
-    (again,) = channel.feed(lines(event(3, entry("h3", startedAtMs=started))), now=NOW + 60_000.0)
-    assert again.hosts[0].machine.ready_at_ms == told.hosts[0].machine.ready_at_ms  # the same start
-    (whole,) = channel.feed(lines(event(4, entry("h4", startedAtMs=1), reset=True)), now=NOW + 60_000.0)
-    assert whole.hosts[0].machine.ready_at_ms == 1.0 - 1_000.0  # a whole list tells of starts long ago
+def test_start_times_are_bounded_against_clock_skew(channel, started_unix_ms, ready_at_ms):
+    (change,) = channel.feed(lines(event(2, entry("h3", startedAtMs=started_unix_ms))), now=NOW)
+    assert change.hosts[0].machine.ready_at_ms == ready_at_ms
+    (repeat,) = channel.feed(lines(event(3, entry("h3", startedAtMs=started_unix_ms))), now=NOW + 60_000.0)
+    assert repeat.hosts[0].machine.ready_at_ms == change.hosts[0].machine.ready_at_ms  # the same start
+    (snapshot,) = channel.feed(lines(event(4, entry("h4", startedAtMs=1), reset=True)), now=NOW + 60_000.0)
+    assert snapshot.hosts[0].machine.ready_at_ms == 1.0 - 1_000.0  # a snapshot may contain old starts
 
 
-def test_when_a_start_was():
+def test_estimate_start_with_clock_skew():
     assert [estimate_start_ms(at, 100_000.0) for at in (99_000.0, 40_000.0, 39_999.0, 100_001.0)] == [
         99_000.0, 40_000.0, 100_000.0, 100_000.0]  # fmt: skip
 
 
-def test_events_come_once_in_any_cuts(channel):
-    data, seen = (
+def test_events_are_applied_once_from_any_fragmentation(channel):
+    data, changes = (
         lines(
             event(2, entry("h3")),
             {"cursor": 2},
@@ -186,31 +188,31 @@
         ),
         [],
     )
-    for at in range(0, len(data), 7):
-        seen += channel.feed(data[at : at + 7])
-    assert [news.hosts[0].machine.name for news in seen] == ["h3", "h1"]
+    for start in range(0, len(data), 7):
+        changes += channel.feed(data[start : start + 7])
+    assert [change.hosts[0].machine.name for change in changes] == ["h3", "h1"]
     assert channel.cursor == 3 and set(channel.hosts_by_name) == {"h2", "h3"}
-    assert seen[1].hosts[0].machine.phase is api.MachinePhase.REMOVED and not seen[1].is_snapshot
+    assert changes[1].hosts[0].machine.phase is api.MachinePhase.REMOVED and not changes[1].is_snapshot
 
 
-def test_half_an_event_is_dropped_at_a_break_and_told_again(channel):
+def test_partial_event_is_dropped_on_reconnect_and_requested_again(channel):
     data = lines(event(2, entry("h3")))
     assert list(channel.feed(data[:40])) == []
     assert channel.encode_resume() == b"resume 1\n"
-    assert [len(news.hosts) for news in channel.feed(data)] == [1]
+    assert [len(change.hosts) for change in channel.feed(data)] == [1]
 
 
 @pytest.mark.parametrize("later", [{"cursor": 5}, event(3, entry("h3")), 5])
-def test_skipped_numbers_are_asked_for_again_once(channel, later):
-    with pytest.raises(m.ProtocolError, match="we are at 1"):
+def test_missing_events_are_requested_again_once(channel, later):
+    with pytest.raises(m.ProtocolError, match="we have applied 1"):
         list(channel.feed(lines(later)))
     assert channel.encode_resume() == b"resume 1\n"
-    list(channel.feed(lines(later)))  # the channel has no more to tell than that
+    list(channel.feed(lines(later)))  # the channel doesn't have the missing events
 
 
-def test_a_whole_list_in_between_replaces_all(channel):
-    (told,) = channel.feed(lines(event(9, entry("h9"), reset=True)))
-    assert told.is_snapshot and set(channel.hosts_by_name) == {"h9"} and channel.cursor == 9
+def test_snapshot_after_a_gap_replaces_the_list(channel):
+    (change,) = channel.feed(lines(event(9, entry("h9"), reset=True)))
+    assert change.is_snapshot and set(channel.hosts_by_name) == {"h9"} and channel.cursor == 9
 
 
 @pytest.mark.parametrize(
@@ -222,36 +224,36 @@
     ],
     ids=lambda line: str(line[:30]),
 )  # fmt: skip
-def test_what_is_no_event_changes_nothing(channel, line):
+def test_invalid_event_changes_nothing(channel, line):
     with pytest.raises(m.ProtocolError):
         list(channel.feed(line))
     assert channel.cursor == 1 and set(channel.hosts_by_name) == {"h1", "h2"}
 
 
-def test_a_service_with_older_numbers_is_asked_for_all_and_drains_stay(channel):
-    """All that it told was taken for repeats: the allocator was deaf to drains from then on."""
+def test_restarted_numbering_requests_all_events_and_keeps_drains(channel):
+    """Guards against dropping drains for ever: events numbered from below our cursor look like repeats."""
     drains = [event(2, entry("h1", lifecycle="DRAINING")), event(3, entry("h2", lifecycle="DELETED"))]
     list(channel.feed(lines(*drains)))
     list(
         channel.feed(lines({"cursor": 2}, {"cursor": 3}, {"cursor": 2}, 2))
-    )  # late words are no older numbers
-    with pytest.raises(m.ProtocolError, match="asking for all"):
+    )  # single heartbeats that come late don't mean that the numbering has restarted
+    with pytest.raises(m.ProtocolError, match="requesting all events"):
         list(channel.feed(lines({"cursor": 1})))
     assert channel.encode_resume() == b"resume 0\n"
-    told = list(channel.feed(lines(
-        event(7, entry("h8")), {"cursor": 1},  # no whole list: nothing is known of its numbers yet
+    changes = list(channel.feed(lines(
+        event(7, entry("h8")), {"cursor": 1},  # ignored until the snapshot with which the new numbering begins
         event(1, entry("h1"), entry("h2"), entry("h3"), reset=True), event(2, entry("h4")),
     )))  # fmt: skip
-    assert [news.is_snapshot for news in told] == [True, False] and channel.cursor == 2
+    assert [change.is_snapshot for change in changes] == [True, False] and channel.cursor == 2
     phases = {name: host.machine.phase for name, host in channel.hosts_by_name.items()}
     serving, draining = api.MachinePhase.SERVING, api.MachinePhase.DRAINING
     assert phases == {"h1": draining, "h3": serving, "h4": serving}
-    list(channel.feed(lines(event(3, entry("h2", startedAtMs=9_000)))))  # another process under its name
+    list(channel.feed(lines(event(3, entry("h2", startedAtMs=9_000)))))  # a new process of the same name
     assert channel.hosts_by_name["h2"].machine.phase is serving
-    list(channel.feed(lines(event(4, entry("h1")))))  # newer than all that we knew: the drain was called off
+    list(channel.feed(lines(event(4, entry("h1")))))  # newer than all known events: the drain was cancelled
     assert channel.hosts_by_name["h1"].machine.phase is serving
 
 
-def test_free_that_is_not_told_stays(channel):
-    (told,) = channel.feed(lines(event(2, entry("h1", free=None), entry("h4", free=None))))
-    assert [host.machine.free_cores for host in told.hosts] == [3.5, 0.0]
+def test_absent_free_capacity_keeps_the_last_value(channel):
+    (change,) = channel.feed(lines(event(2, entry("h1", free=None), entry("h4", free=None))))
+    assert [host.machine.free_cores for host in change.hosts] == [3.5, 0.0]
--- a/tests/support/command_channel_world.py
+++ b/tests/support/command_channel_world.py
@@ -1,4 +1,4 @@
-"""A scripted command channel on a real socket, for the tests of the machine list's watch."""
+"""A scripted command channel on a real socket, for tests of the machine list's watch."""
 
 import json
 from random import Random
@@ -24,7 +24,7 @@
 
 
 class Tower(Peer):
-    """A command channel that keeps what it was asked."""
+    """A command channel that records requests; `script` returns the answer to the nth, counted from 1."""
 
     def serve(self, stream):
         data = yield from stream.read()
--- a/tests/support/exchange_world.py
+++ b/tests/support/exchange_world.py
@@ -1,4 +1,4 @@
-"""The exchange on a clock of its own: ports that record, owners and hosts that are lists of messages."""
+"""An exchange on a virtual clock, with ports that record calls and clients that record received messages."""
 
 from glencleat import interface as api
 from glencleat.platform_protocol import messages as m
@@ -32,33 +32,44 @@
 def setup(
     task, cls="safe", wait=8000, name="t", extras="cores:1;memory:2;service:web", key=None, desc=b"d", **more
 ):
-    """A set-up's parameters as an owner sends them; None leaves one out."""
-    found = {
+    """Encodes a client's set-up; a parameter that is None is left out."""
+    values_by_code = {
         m.CLASS: cls, m.TIMEOUT: wait, m.NAME: name, m.EXTRAS: extras, m.DESCRIPTION: desc,
         m.KEY: key or ("k" if cls == "keyed" else None), **more,
     }  # fmt: skip
-    raw = {code: v if isinstance(v, bytes) else str(v).encode() for code, v in found.items() if v is not None}
+    raw = {
+        code: value if isinstance(value, bytes) else str(value).encode()
+        for code, value in values_by_code.items()
+        if value is not None
+    }
     return m.encode(m.SETUP, task, raw)
 
 
 def read(data):
+    """Decodes complete messages."""
     decoder = m.MessageDecoder()
     decoder.feed(data)
-    found = list(decoder.messages())
+    messages = list(decoder.messages())
     assert not decoder.has_partial_message
-    return found
+    return messages
 
 
 class Owner:
+    """A client's connection that records the messages written to it."""
+
     def __init__(self):
-        self.open_task_ids, self.got, self.closed = set(), [], False
+        self.open_task_ids, self.received, self.is_closed = set(), [], False
 
-    def said(self):
-        return [(x.kind, x.task_id, x.parameters.get(m.CAUSE, b"\0")[0]) for x in self.got]
+    def replies(self):
+        """Type, task id and cause (0 without one) of each message."""
+        return [
+            (message.kind, message.task_id, message.parameters.get(m.CAUSE, b"\0")[0])
+            for message in self.received
+        ]
 
 
 class Script:
-    """A module that does what the test says; events are kept."""
+    """A policy that records events and answers each with the next list of actions in `next`."""
 
     def __init__(self):
         self.events, self.next = [], []
@@ -69,13 +80,20 @@
 
 
 class World(Timing):
-    """Ports of an exchange whose module is `module`, or a Script."""
+    """An exchange and its ports; the policy is `module`, or a Script."""
 
     def __init__(self, module=None, settings=SETTINGS):
         super().__init__()
         self.module = module or Script()
-        self.offers, self.cancelled_attempts, self.cuts, self.logs, self.tests = [], [], [], [], []
-        self.fact, self.testable, self.cancelled, self.lies_unread = (
+        self.offers, self.cancelled_attempts, self.released_tasks, self.logs, self.report_requests = (
+            [],
+            [],
+            [],
+            [],
+            [],
+        )
+        # What the ports return: of cancel_attempt, request_load_report, is_client_waiting and has_unread_bytes.
+        self.cancel_outcome, self.can_request_reports, self.cancelled_task_ids, self.has_unread = (
             DeliveryOutcome.ANSWER_TIMEOUT,
             True,
             set(),
@@ -84,70 +102,74 @@
         self.exchange = Exchange(settings, self.module, self, 250.0)
         self.owner = Owner()
 
-    # ---- Ports ----
+    # ---- ExchangePorts ----
 
     def send_to_client(self, client, data, must_deliver):
-        (client if not client.closed else self.owner).got.extend(read(data))
+        (client if not client.is_closed else self.owner).received.extend(read(data))
 
     def is_client_waiting(self, client, task, must_poll):
-        return not client.closed and task not in self.cancelled
+        return not client.is_closed and task not in self.cancelled_task_ids
 
     def mark_trusted(self, client):
-        client.proven = True
+        client.is_trusted = True
 
     def offer_attempt(self, attempt):
-        attempt.connection = f"link {len(self.offers)}"
+        attempt.connection = f"connection {len(self.offers)}"
         self.offers.append(attempt)
 
     def cancel_attempt(self, attempt):
         self.cancelled_attempts.append(attempt)
-        return self.fact
+        return self.cancel_outcome
 
     def has_unread_bytes(self, attempt):
-        return self.lies_unread
+        return self.has_unread
 
     def release_task(self, host, task):
-        self.cuts.append((host, task))
+        self.released_tasks.append((host, task))
 
     def request_load_report(self, host, token):
-        self.tests.append((host, token))
-        return self.testable
+        self.report_requests.append((host, token))
+        return self.can_request_reports
 
     def log(self, text):
         self.logs.append(text)
 
-    # ---- what tests do ----
+    # ---- actions and results of a test ----
 
     def asks(self, task, *actions, owner=None, waited=0.0, **fields):
-        """A set-up comes; a Script module answers it with these actions."""
+        """Receives a client's set-up; a Script answers the next event with these actions."""
         if actions:
             self.module.next.append(list(actions))
         (message,) = read(setup(task, **fields))
         return self.exchange.on_client_setup(owner or self.owner, message, waited)
 
-    def host(self, kind, task, host="h1", link=None, **parameters):
-        """A host's message, by default on the link of the last offer."""
-        names = {
+    def host(self, kind, task, host="h1", connection=None, **parameters):
+        """Receives a host's message, by default on the connection of the last offered attempt."""
+        codes_by_name = {
             "cause": m.CAUSE,
             "desc": m.DESCRIPTION,
             "topic": m.TOPIC,
             "value": m.VALUE,
             "report": m.REPORT,
         }
-        raw = {names[k]: bytes([v]) if k == "cause" else v for k, v in parameters.items()}
+        raw = {
+            codes_by_name[name]: bytes([value]) if name == "cause" else value
+            for name, value in parameters.items()
+        }
         (message,) = read(m.encode(kind, task, raw))
-        self.exchange.on_host_message(host, link or self.offers[-1].connection, message)
+        self.exchange.on_host_message(host, connection or self.offers[-1].connection, message)
 
-    def told(self, kind):
+    def events_of(self, kind):
+        """The policy's events of that type so far."""
         return [event for event in self.module.events if isinstance(event, kind)]
 
     def outcomes(self):
-        return [event.outcome for event in self.told(api.AttemptEnded)]
+        return [event.outcome for event in self.events_of(api.AttemptEnded)]
 
 
 def machine(name="h1", phase=api.MachinePhase.SERVING, ready=None):
     return api.Machine(name, "std", "a", 0, phase, 16.0, 32.0, ready)
 
 
-def news(*hosts, whole=True):
-    return ListChange(whole, tuple(HostEntry(h, ("127.0.0.1", 9), 0.0) for h in hosts))
+def list_change(*machines, is_snapshot=True):
+    return ListChange(is_snapshot, tuple(HostEntry(machine, ("127.0.0.1", 9), 0.0) for machine in machines))
