--- a/glencleat/__init__.py
+++ b/glencleat/__init__.py
@@ -1,7 +1,7 @@
 """glencleat: a cluster scheduler of which many allocators run side by side, without a leader.
 
-`Scheduler` holds the decisions of one allocator, by harvested capacity (after LIBRA); `glencleat.interface`
-is what it is told and what it answers.
+`Scheduler` makes the decisions of one allocator, using harvested capacity (after LIBRA);
+`glencleat.interface` defines its settings, events and actions.
 """
 
 from glencleat.policy.scheduler import Scheduler
--- a/glencleat/platform_settings.py
+++ b/glencleat/platform_settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings object and load reports, in the types of the interface.
+"""Translates the platform's settings object and load reports into the types of the interface.
 
-The simulator's wire and the platform's sockets share these words; both read them here. No value is of this
-module's own but the defaults of settings that an object may lack.
+The simulator's wire and the platform's sockets share these formats and both read them here. The only values
+that this module adds are defaults of optional settings.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     "token": api.Idempotency.IDEMPOTENCY_KEY,
     "side_effect": api.Idempotency.NON_IDEMPOTENT,
 }
-ANY_KIND: Final = -1  # in place of a machine kind's number
+ANY_KIND: Final = -1  # instead of a machine kind's index
 
 
 def read_settings(raw: Mapping[str, Any]) -> api.Settings:
-    """The settings of an allocator from the platform's object.
+    """Reads the settings of an allocator from the platform's object.
 
     Raises:
-        KeyError: a setting that must be there is not, or a class's effect is unknown.
+        KeyError: a required setting is missing, or a class's effect is unknown.
     """
     domain = raw["domain"]
     limits = raw["limits"]
@@ -68,7 +68,7 @@
 
 
 def _read_task_class(raw: Mapping[str, Any], index: int) -> api.TaskClass:
-    """One class; some of its settings stand in columns of the domain, one value a class."""
+    """Reads one class; some of its settings are arrays in the domain, with one value for each class."""
     item = raw["classes"][index]
 
     def from_column(key: str, default: T) -> T:
@@ -96,20 +96,20 @@
 
 
 def _read_machine_sizes(domain: Mapping[str, Any], kinds: list[str]) -> dict[str, api.MachineSize]:
-    """Sizes by machine kind; a kind without a size is left out."""
+    """Reads sizes by machine kind; a kind without a size is left out."""
     rows = zip(kinds, domain["cores-by-kind"], domain["kind-memory"], strict=False)
     return {kind: api.MachineSize(cores, memory) for kind, cores, memory in rows}
 
 
 def _read_tenant_quotas(raw: Mapping[str, Any], domain: Mapping[str, Any]) -> dict[str, float] | None:
-    """Quotas of cores by tenant; None where there are none."""
+    """Reads quotas of cores by tenant; None if there are none."""
     quotas = domain.get("tenant-quota-cores") or []
     tenants = [item["name"] for item in raw.get("customers", [])]
     return dict(zip(tenants, quotas, strict=False)) if tenants and quotas else None
 
 
 def read_report(raw: Mapping[str, float] | None) -> api.LoadReport | None:
-    """A machine's load report; None where there is none or it is empty. Unknown fields are skipped."""
+    """Reads a load report; None if it is missing or empty. Unknown fields are ignored."""
     if not raw:
         return None
     return api.LoadReport(
--- a/glencleat/policy/__init__.py
+++ b/glencleat/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one scheduler: where a task goes, when it is retried, which machines are avoided."""
+"""The scheduling policy: where a task is placed, when it is retried, and which machines are avoided."""
 
 from glencleat.policy.scheduler import Scheduler
 
--- a/glencleat/policy/attempts.py
+++ b/glencleat/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and the rules of retry: sending a task, holding it, and its final answer."""
+"""Attempts and retry rules: sending a task to a machine, holding it back, and answering its call."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from glencleat.policy.program_starts import ProgramStarts
 from glencleat.policy.resources import NEVER_MS, NOT_DUE_MS
 from glencleat.policy.task_registry import TaskRegistry
-from glencleat.policy.warm_up import coldness
+from glencleat.policy.warm_up import remaining_warm_up_share
 
-HELD_TASK_INTERVAL_MS = 100.0  # held tasks are tried again so often
-MAX_FAILED_TRIES = 3  # held tasks without a machine after which a look at them ends: the others fare alike
-MIN_TIMEOUT_MS = 300.0  # of an answer: a short queue
-MAX_TIMEOUT_MS = 1_500.0  # a usual latency objective
-SLOW_REJECTION_SHARE = 0.35  # part of the latency objective that a rejection may take: it is waited for
-NON_IDEMPOTENT_TIMEOUT_MS = 3_000.0  # there is no second attempt, so it waits longer
-TIMEOUT_DEVIATIONS = 6.0  # mean deviations beyond the mean answer time
-PROBE_WAIT_SHARE = 0.3  # part of the latency objective for which a probe's answer is waited for
-STALLED_MS = 100.0  # a new task with so much of its time gone waited for us, not we for it
-MIN_REQUEST = 1e-6  # of cores and memory: a request is divided by
-MIN_TIME_LEFT_MS = 1.0  # the least time-out that is sent
+HELD_TASK_INTERVAL_MS = 100.0  # between two attempts to place held tasks
+MAX_FAILED_PLACEMENTS = 3  # held tasks without a machine that end a pass: the others would fail too
+MIN_TIMEOUT_MS = 300.0  # of an attempt: the time that a short queue at a machine takes
+MAX_TIMEOUT_MS = 1_500.0  # of an attempt: a common latency objective
+SLOW_REJECTION_SHARE = 0.35  # of the latency objective: a rejection may take so long, and is waited for
+NON_IDEMPOTENT_TIMEOUT_MS = 3_000.0  # longer than others: no second attempt may follow
+TIMEOUT_DEVIATIONS = 6.0  # mean deviations that the time-out adds to the mean answer time
+PROBE_WAIT_SHARE = 0.3  # of the latency objective: how long a task waits for a probe's answer
+STALLED_MS = 100.0  # a new task that has used up more of its deadline waited because this process stalled
+MIN_REQUEST = 1e-6  # of cores and of memory: requests are used as divisors
+MIN_TIME_LEFT_MS = 1.0  # shortest time-out that is sent
 TIMEOUT_DIGITS = 3  # decimals of a time-out, in ms
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)  # known not to have run
 
 
 def is_final(state: PolicyState, task: TrackedTask) -> bool:
-    """No further attempt is allowed: attempts used up, time up, or a second run might do harm."""
+    """Whether no further attempt is allowed: limit or deadline reached, or a second run might do harm."""
     if task.attempt_count >= state.settings.max_attempts:
         return True
     if state.now_ms >= task.deadline_at_ms - 2.0 * HELD_TASK_INTERVAL_MS:
@@ -51,12 +51,12 @@
     if uncertain is None or idempotency is Idempotency.IDEMPOTENT:
         return False
     window_ms = task.task_class.deduplication_window_ms
-    left_ms = uncertain.sent_at_ms + window_ms - 2.0 * state.settings.tick_ms - state.now_ms
-    return idempotency is Idempotency.NON_IDEMPOTENT or left_ms < 0.0
+    window_remaining_ms = uncertain.sent_at_ms + window_ms - 2.0 * state.settings.tick_ms - state.now_ms
+    return idempotency is Idempotency.NON_IDEMPOTENT or window_remaining_ms < 0.0
 
 
 def is_harmless_to_repeat(task: TrackedTask) -> bool:
-    """Whether its owner may ask again: nothing ran, or a second run does no harm or is dropped by all."""
+    """Whether the client may request it again: nothing ran, or a second run is harmless or always dropped."""
     task_class = task.task_class
     if task.first_uncertain_attempt is None or task_class.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -64,7 +64,7 @@
 
 
 class AttemptManager:
-    """The course of each task's attempts, from its arrival to its final answer or its end."""
+    """Manages each task's attempts, from its arrival to its final answer or its end."""
 
     def __init__(
         self,
@@ -81,12 +81,12 @@
         self.starts = starts
         self.placement = placement
         self.outliers = outliers
-        self.wake_at_ms = NOT_DUE_MS  # when held tasks are to be tried beside the usual interval
+        self.wake_at_ms = NOT_DUE_MS  # an extra pass over held tasks, outside the usual interval
 
     # ---- events ----
 
     def on_placement_requested(self, event: PlacementRequested) -> None:
-        """Places a new task, or adopts one that runs already."""
+        """Tries to place a new task, or adopts one that is already running."""
         state = self.state
         task_class = state.task_classes[event.task_class]
         task = TrackedTask(
@@ -102,25 +102,26 @@
         if event.machine is not None:
             self._adopt(task, event.machine)
         elif not event.is_retry and task_class.deadline_ms - event.remaining_ms > STALLED_MS:
-            # We stood still while it waited: all news that came meanwhile is read before binding.
+            # This process stalled while the task waited: the events that queued up meanwhile, such as drains,
+            # are handled before it is bound.
             state.held_tasks[task.call_id] = task
             self.wake_at_ms = state.now_ms
         else:
             self.try_attempt(task)
 
     def _adopt(self, task: TrackedTask, machine_name: str) -> None:
-        """Takes over a task that runs on the machine, also one that no list has named yet."""
+        """Takes over a task that runs on the machine, which may not be in the machine list yet."""
         unlisted = MachineState(Machine(machine_name, "", "", 0, MachinePhase.REMOVED), None)
-        # It ran before: what the list tells free is without it already, and is not lessened by it again.
+        # The listed free capacity already excludes this task, so it must not be subtracted again.
         task.attempt_count = 1
         task.is_accepted = True
         task.sent_at_ms = NEVER_MS
         self.registry.assign(task, self.state.machines.setdefault(machine_name, unlisted))
         self.record_running(task)
-        task.is_followed_from_start = False
+        task.is_observed_from_start = False
 
     def on_attempt_accepted(self, event: AttemptAccepted) -> None:
-        """The machine said yes to the last attempt."""
+        """Marks the task as placed and clears suspicion of the machine."""
         task = self.state.tasks.get(event.call_id)
         machine = self.state.machines.get(event.machine)
         if machine is None:
@@ -136,7 +137,7 @@
             self.record_running(task)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """The last attempt came to nothing, or the task that it placed has ended."""
+        """Releases the attempt's capacity, then forgets the task or tries another attempt."""
         machine = self.state.machines.get(event.machine)
         if machine is not None:
             self.outliers.record_attempt_end(machine, event)
@@ -146,7 +147,7 @@
         was_accepted = task.is_accepted
         attempt_machine = task.machine
         if was_accepted and event.outcome in (Outcome.COMPLETED, Outcome.LOST, Outcome.STOPPED):
-            self._learn_from_end(task, event.outcome)
+            self._record_task_end(task, event.outcome)
         self.registry.release(task)
         if event.is_call_closed or was_accepted or task.is_abandoned:
             self.registry.forget(task)
@@ -157,7 +158,7 @@
         self.try_attempt(task)
 
     def on_call_abandoned(self, event: CallAbandoned) -> None:
-        """Nobody waits for the task's answer; an attempt in flight still comes back."""
+        """Marks the call as abandoned; an attempt in flight still gets its end reported."""
         task = self.state.tasks.get(event.call_id)
         if task is None:
             return
@@ -166,27 +167,31 @@
             self.registry.forget(task)
 
     def record_running(self, task: TrackedTask) -> None:
-        """The start is over; starts that had no other of ours before them tell how long one takes."""
+        """Records that the task runs; only starts that did not queue behind another one are timed."""
         if task.running_since_ms is None and task.is_only_start:
             self.starts.record_start(task)
         task.running_since_ms = self.state.now_ms
         if task.machine is not None:
             task.machine.starting_tasks.pop(task.call_id, None)
 
-    def _learn_from_end(self, task: TrackedTask, outcome: Outcome) -> None:
+    def _record_task_end(self, task: TrackedTask, outcome: Outcome) -> None:
         self.registry.usage.update_ratio()
-        life_ms = None
-        is_complete = task.is_followed_from_start and outcome is Outcome.COMPLETED
+        lifetime_ms = None
+        is_complete = task.is_observed_from_start and outcome is Outcome.COMPLETED
         if is_complete and task.running_since_ms is not None:
-            life_ms = self.state.now_ms - task.running_since_ms
-        self.profiles.record_end(task, life_ms)
+            lifetime_ms = self.state.now_ms - task.running_since_ms
+        self.profiles.record_end(task, lifetime_ms)
         if task.machine is not None and outcome is Outcome.COMPLETED:
             self.starts.record_use(task, task.machine)
 
     # ---- attempts ----
 
     def try_attempt(self, task: TrackedTask) -> bool:
-        """Sends the task if a machine is found; else holds it, or answers where holding can't help."""
+        """Sends the task if a machine is found; else holds it, or answers the call if no retry is allowed.
+
+        Returns:
+            Whether an attempt was sent.
+        """
         state = self.state
         if is_final(state, task):
             self.answer_call(task)
@@ -200,9 +205,9 @@
         return True
 
     def _awaits_probe(self, machine: MachineState, task: TrackedTask) -> bool:
-        """Whether a probe's answer is still worth waiting for: for a little."""
-        wait_ms = PROBE_WAIT_SHARE * task.task_class.latency_objective_ms
-        return machine.probe_sent_at_ms <= self.state.now_ms <= task.arrived_at_ms + wait_ms
+        """Whether the task waits for the answer to the machine's probe; bounded by `PROBE_WAIT_SHARE`."""
+        max_wait_ms = PROBE_WAIT_SHARE * task.task_class.latency_objective_ms
+        return machine.probe_sent_at_ms <= self.state.now_ms <= task.arrived_at_ms + max_wait_ms
 
     def _send(self, task: TrackedTask, machine: MachineState) -> None:
         state = self.state
@@ -215,24 +220,24 @@
         task.is_only_start = not machine.starting_tasks
         self.registry.assign(task, machine)
         self.starts.record_use(task, machine)
-        if coldness(state, machine):
+        if remaining_warm_up_share(state, machine):
             machine.warm_up_sends_ms.append(state.now_ms)
         state.actions.append(Bind(task.call_id, machine.name, timeout_ms))
 
     def _timeout_ms(self, task: TrackedTask) -> float:
-        """How long the answer is waited for: as long as a slow rejection takes, never beyond the deadline."""
-        left_ms = max(MIN_TIME_LEFT_MS, task.deadline_at_ms - self.state.now_ms)
+        """Time-out of an attempt: long enough for a slow rejection, never beyond the deadline."""
+        remaining_ms = max(MIN_TIME_LEFT_MS, task.deadline_at_ms - self.state.now_ms)
         if task.task_class.idempotency is Idempotency.NON_IDEMPOTENT:
             timeout_ms = NON_IDEMPOTENT_TIMEOUT_MS
         else:
             answer_time = self.outliers.answer_time
             expected_ms = answer_time.mean_ms + TIMEOUT_DEVIATIONS * answer_time.deviation_ms
-            floor_ms = max(MIN_TIMEOUT_MS, SLOW_REJECTION_SHARE * task.task_class.latency_objective_ms)
-            timeout_ms = min(MAX_TIMEOUT_MS, max(floor_ms, expected_ms))
-        return round(min(timeout_ms, left_ms), TIMEOUT_DIGITS)
+            min_timeout_ms = max(MIN_TIMEOUT_MS, SLOW_REJECTION_SHARE * task.task_class.latency_objective_ms)
+            timeout_ms = min(MAX_TIMEOUT_MS, max(min_timeout_ms, expected_ms))
+        return round(min(timeout_ms, remaining_ms), TIMEOUT_DIGITS)
 
     def answer_call(self, task: TrackedTask) -> None:
-        """Ends the call: a rejection promises that nothing ran or that it did no harm, a failure nothing."""
+        """Ends the call with Reject if requesting the task again is harmless, else with Fail."""
         if is_harmless_to_repeat(task):
             self.state.actions.append(Reject(task.call_id))
         else:
@@ -240,22 +245,26 @@
         self.registry.forget(task)
 
     def try_held_tasks(self, max_waited_share: float = NOT_DUE_MS) -> None:
-        """Tries held tasks that waited up to this share of their latency objective, by precedence."""
+        """Tries to place held tasks, in order of precedence.
+
+        Args:
+            max_waited_share: skips tasks that have waited longer, as a share of their latency objective.
+        """
         now_ms = self.state.now_ms
         held = [
             task
             for task in self.state.held_tasks.values()
             if now_ms - task.arrived_at_ms <= max_waited_share * task.task_class.latency_objective_ms
         ]
-        failed_tries = 0
+        failed_placements = 0
         for task in sorted(held, key=self._precedence):
             if is_final(self.state, task):
                 self.answer_call(task)
-            elif failed_tries < MAX_FAILED_TRIES:
-                failed_tries += not self.try_attempt(task)
+            elif failed_placements < MAX_FAILED_PLACEMENTS:
+                failed_placements += not self.try_attempt(task)
 
     def _precedence(self, task: TrackedTask) -> tuple[float, bool, float, int]:
-        """Who comes first when capacity is short: by weight, then those still in time, then by arrival."""
+        """Sort key when capacity is short: by weight, then tasks within their objective, then by arrival."""
         task_class = task.task_class
         is_late = self.state.now_ms - task.arrived_at_ms > task_class.latency_objective_ms
         return (-task_class.weight, is_late, task.arrived_at_ms, task.call_id)
--- a/glencleat/policy/capacity.py
+++ b/glencleat/policy/capacity.py
@@ -1,7 +1,8 @@
-"""Capacity: what a machine has left for a task, by our even slice of it and by what it would still accept.
+"""Remaining capacity of a machine for a task: in this scheduler's slice, and in what the machine accepts.
 
-Machines are split evenly among schedulers (LIBRA section 5), and each fills its slice without a word to the
-others. What others use is estimated from the list's or a report's free capacity.
+Machines are split evenly among schedulers (LIBRA section 5), and each scheduler fills its slice without
+coordination. The usage of other schedulers is estimated from the free capacity in the machine list or in a
+load report.
 """
 
 from __future__ import annotations
@@ -12,26 +13,25 @@
 from glencleat.policy.resources import NO_RESOURCES, Resources, add, covers, multiply
 from glencleat.policy.usage import UsageEstimate
 
-LIST_LAG_MS = 1_500.0  # age of a list's figures: own binds that are newer are not in them
-REPORT_LAG_MS = 700.0  # likewise, of a report's
-MAX_REPORT_AGE_MS = 5_000.0  # an older report says less than the mean of the fleet
-MAX_BUSY_SHARE_AGE_MS = 2_000.0  # an older busy share says less than the requests do
-MAX_SUMS_AGE_MS = 200.0  # a machine's sums are used this long when no task came or went: uses drift slower
-FLEET_MEAN_WEIGHT = 0.05  # of one machine in the mean use of others over the fleet
-LOWER_PRIORITY_WEIGHT = (
-    0.5  # of cores that lower priorities use: only a part crowds a task, which is not told
-)
-MAX_CORES_LOAD = 1.1  # share of the cores beyond which no task is placed, however long it waits
-DEGRADATION_SHARE = 0.5  # part of the degradation range borne by a task at its latency objective
-MAX_MEMORY_LOAD = 0.88  # memory in use that a task accepts at once: above it machines get slow
-MAX_MEMORY_LOAD_LATE = 0.94  # likewise at its latency objective: above it come evictions
-MAX_UNANSWERED_OFFERS = 4  # of ours at a machine: its queue is short
+LIST_LAG_MS = 1_500.0  # age of the values in a list: they don't include own binds that are newer
+REPORT_LAG_MS = 700.0  # likewise, of the values in a load report
+MAX_REPORT_AGE_MS = 5_000.0  # an older report is less accurate than the mean of the fleet
+MAX_BUSY_SHARE_AGE_MS = 2_000.0  # an older busy share is less accurate than an estimate from requests
+MAX_SUMS_AGE_MS = 200.0  # of a machine's sums while its tasks stay the same: usage changes more slowly
+FLEET_MEAN_WEIGHT = 0.05  # of one machine in the moving average of other schedulers' usage
+# Weight of cores used by lower priorities: they slow a task down only partly; how much is not reported.
+LOWER_PRIORITY_WEIGHT = 0.5
+MAX_CORES_LOAD = 1.1  # share of the cores above which no task is placed, however long it has waited
+DEGRADATION_SHARE = 0.5  # of the degradation range: accepted for a task at its latency objective
+MAX_MEMORY_LOAD = 0.88  # share of memory in use accepted for a new task: above it machines get slow
+MAX_MEMORY_LOAD_LATE = 0.94  # likewise for a task at its latency objective: above it tasks get evicted
+MAX_UNANSWERED_OFFERS = 4  # of this scheduler at one machine, whose queue is short
 
 
 class CapacityModel:
-    """Sums over each machine's tasks, and what they leave for another one.
+    """Sums usage over each machine's tasks, and computes what remains for another one.
 
-    The mean use of others over the fleet is kept here; a machine's sums stand on its `MachineState`.
+    The fleet-wide mean usage of other schedulers is kept here, a machine's sums in its `MachineState`.
     """
 
     def __init__(self, state: PolicyState, profiles: UsageProfiles, usage: UsageEstimate) -> None:
@@ -40,30 +40,30 @@
         self.settings = settings
         self.profiles = profiles
         self.usage = usage
-        self.mean_others_load = NO_RESOURCES  # shares of machines that others' tasks use, in the mean
+        self.mean_others_load = NO_RESOURCES  # mean shares of a machine that other schedulers' tasks use
         self.slices_per_overcommit: Resources = (
             settings.allocator_count / settings.cores_overcommit,
             settings.allocator_count / settings.memory_overcommit,
         )
 
     def update_sums(self, machine: MachineState) -> MachineState:
-        """Brings the machine's sums up to date unless they are fresh, and gives it back."""
+        """Recomputes the machine's sums unless they are recent, and returns the machine."""
         now_ms = self.state.now_ms
         if now_ms - machine.sums_updated_at_ms < MAX_SUMS_AGE_MS:
             return machine
         machine.sums_updated_at_ms = now_ms
         free = self.known_free_capacity(machine)
         self._sum_own_tasks(machine)
-        if (
-            free is None
-        ):  # machines that tell nothing count as average; own use times peers is noise with many
+        if free is None:
+            # No free capacity is known, so the fleet's mean is used: own usage times the number of schedulers
+            # would be noise with many of them.
             machine.others_usage = multiply(machine.size, self.mean_others_load)
         else:
             self._estimate_others(machine, free)
         return machine
 
     def _sum_own_tasks(self, machine: MachineState) -> None:
-        """Adds up our tasks there, in place: most of a decision's time goes here."""
+        """Sums up own tasks there; inlined, as most of a decision's time is spent here."""
         predict_need = self.profiles.predict_need
         estimate_usage = self.usage.estimate
         as_of_ms = machine.free_capacity_as_of_ms
@@ -87,7 +87,7 @@
         machine.cores_used_by_priority = cores_used_by_priority
 
     def _estimate_others(self, machine: MachineState, free: Resources) -> None:
-        """Sets what others are thought to use: what is neither free nor ours, at the mean use of requests."""
+        """Estimates other schedulers' usage: what is neither free nor own, times the usage ratio."""
         size = machine.size
         requested = machine.requested
         unlisted = machine.unlisted_requests
@@ -106,9 +106,9 @@
         )
 
     def known_free_capacity(self, machine: MachineState) -> Resources | None:
-        """Cores and memory that nobody has asked for, by list or report, whichever tells it; None if neither.
+        """Cores and memory that nobody has requested, by the list or a report; None if neither gives them.
 
-        Notes on the machine up to when own binds are contained in it.
+        Sets `free_capacity_as_of_ms` of the machine: own binds up to then are included.
         """
         report = machine.report
         list_has_free_capacity = self.settings.list_has_free_capacity
@@ -128,9 +128,9 @@
         return (machine.entry.free_cores, machine.entry.free_memory) if list_has_free_capacity else None
 
     def predict_load(self, machine: MachineState, task: TrackedTask, added: Resources) -> Resources:
-        """Shares of the machine in use with `added`, as the task would feel them.
+        """Predicted load (shares of the machine) with `added` usage, weighted for the task's priority.
 
-        By mean use, as peaks don't fall together; by the reported share of busy cores if that is higher.
+        Uses mean usage, as tasks' peaks don't coincide, or the reported share of busy cores if higher.
         """
         used = add(self.update_sums(machine).usage, machine.others_usage)
         size = machine.size
@@ -139,54 +139,61 @@
         report_age_ms = self.state.now_ms - machine.reported_at_ms
         if report and report.busy_share is not None and report_age_ms < MAX_BUSY_SHARE_AGE_MS:
             cores = max(cores, report.busy_share)
-        if machine.usage[0]:  # cores used by lower priorities crowd a task less
+        if machine.usage[0]:  # cores used by lower priorities slow a task down less
             own_priority = task.task_class.priority
             by_priority = machine.cores_used_by_priority.items()
-            lower = sum(cores_used for priority, cores_used in by_priority if priority < own_priority)
-            cores *= 1.0 - (1.0 - LOWER_PRIORITY_WEIGHT) * lower / machine.usage[0]
+            lower_priority_cores = sum(
+                cores_used for priority, cores_used in by_priority if priority < own_priority
+            )
+            cores *= 1.0 - (1.0 - LOWER_PRIORITY_WEIGHT) * lower_priority_cores / machine.usage[0]
         return cores + added[0] / size[0], (used[1] + added[1]) / size[1]
 
     def is_load_acceptable(self, machine: MachineState, task: TrackedTask, load: Resources) -> bool:
-        """Whether it would be served there, asking less the longer it waits; signs of pressure bar first."""
+        """Whether the task may run under this load; limits rise with its waiting time.
+
+        A machine whose harvesting is suspended takes a task only once it has reached its latency objective.
+        """
         task_class = task.task_class
         cores, memory = load
         waited_ms = self.state.now_ms - task.arrived_at_ms
-        waited = min(1.0, waited_ms / max(1.0, task_class.latency_objective_ms))
-        faded = DEGRADATION_SHARE * task_class.degradation_range * waited
-        max_cores = min(MAX_CORES_LOAD, task_class.saturation_threshold + faded)
-        max_memory = MAX_MEMORY_LOAD + (MAX_MEMORY_LOAD_LATE - MAX_MEMORY_LOAD) * waited
+        waited_share = min(1.0, waited_ms / max(1.0, task_class.latency_objective_ms))
+        tolerated_degradation = DEGRADATION_SHARE * task_class.degradation_range * waited_share
+        max_cores = min(MAX_CORES_LOAD, task_class.saturation_threshold + tolerated_degradation)
+        max_memory = MAX_MEMORY_LOAD + (MAX_MEMORY_LOAD_LATE - MAX_MEMORY_LOAD) * waited_share
         if not (cores <= max_cores and memory <= max_memory):
             return False
-        return self.state.now_ms >= machine.harvest_suspended_until_ms or waited >= 1.0
+        return self.state.now_ms >= machine.harvest_suspended_until_ms or waited_share >= 1.0
 
     def is_slice_too_small(self, machine: MachineState, requested: Resources) -> bool:
-        """Whether our even slice of the machine, at what it accepts, is less than this one request."""
+        """Whether this scheduler's slice of the machine, overcommit included, is smaller than the request."""
         return not covers(machine.size, multiply(requested, self.slices_per_overcommit))
 
-    def slice_left(self, machine: MachineState, requested: Resources) -> Resources:
-        """What our even slice of the machine, by its size, has beyond our requests there.
+    def remaining_slice(self, machine: MachineState, requested: Resources) -> Resources:
+        """This scheduler's slice of the machine's size, less its own requests there.
 
-        A departure from LIBRA: where a slice is less than one request (many schedulers), nothing would ever
-        fit. It is then what the machine would still take, so that hash order stays the ordinary path.
+        Departs from LIBRA where a slice is smaller than one request (many schedulers), as nothing would ever
+        fit: it is then the machine's remaining capacity, so that hash order stays the ordinary path.
         """
         if self.is_slice_too_small(machine, requested):
             return self.remaining_capacity(machine)
         share = 1.0 / self.settings.allocator_count
-        return self._less_own_requests(machine, (share, share))
+        return self._subtract_own_requests(machine, (share, share))
 
-    def overcommitted_slice_left(self, machine: MachineState, requested: Resources) -> Resources:
-        """As `slice_left`, of the multiple of its size that the machine accepts."""
+    def remaining_overcommitted_slice(self, machine: MachineState, requested: Resources) -> Resources:
+        """As `remaining_slice`, of the machine's size times its overcommit."""
         if self.is_slice_too_small(machine, requested):
             return self.remaining_capacity(machine)
         share = 1.0 / self.settings.allocator_count
-        parts = self.settings.cores_overcommit * share, self.settings.memory_overcommit * share
-        return self._less_own_requests(machine, parts)
+        slice_shares = self.settings.cores_overcommit * share, self.settings.memory_overcommit * share
+        return self._subtract_own_requests(machine, slice_shares)
 
-    def _less_own_requests(self, machine: MachineState, parts: Resources) -> Resources:
-        return add(multiply(machine.size, parts), multiply(self.update_sums(machine).requested, (-1.0, -1.0)))
+    def _subtract_own_requests(self, machine: MachineState, slice_shares: Resources) -> Resources:
+        return add(
+            multiply(machine.size, slice_shares), multiply(self.update_sums(machine).requested, (-1.0, -1.0))
+        )
 
     def remaining_capacity(self, machine: MachineState) -> Resources:
-        """Requests that the machine would still take, as far as it is told, newer own binds taken off."""
+        """Requests that the machine would still accept by its known free capacity, less newer own binds."""
         size = machine.size
         free = self.known_free_capacity(machine) or size
         unlisted = self.update_sums(machine).unlisted_requests
@@ -195,9 +202,9 @@
         return free[0] + cores - unlisted[0], free[1] + memory - unlisted[1]
 
     def capacity_for(self, machine: MachineState, task: TrackedTask) -> Resources | None:
-        """The remaining capacity if the machine would take the request, else None.
+        """The remaining capacity if the machine would accept the request, else None.
 
-        Few offers of ours may wait in its short queue, and what remains must show.
+        None also while the machine is full or `MAX_UNANSWERED_OFFERS` of this scheduler wait in its queue.
         """
         if self.state.now_ms < machine.full_until_ms:
             return None
--- a/glencleat/policy/cluster_state.py
+++ b/glencleat/policy/cluster_state.py
@@ -1,4 +1,4 @@
-"""The tasks and machines that the scheduler follows; each refers to the other."""
+"""State of the tasks and machines that the scheduler tracks; each refers to the other."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from glencleat.interface import LoadReport, Machine, MachinePhase, MachineSize, TaskClass
 from glencleat.policy.resources import NEVER_MS, NO_RESOURCES, NOT_DUE_MS, Resources
 
-PROGRAM_KEPT = 0  # a task of ours holds the program on the machine, or did lately
-PROGRAM_LIKELY = 1  # peers may hold it there, as the machine is early in the service's hash order
-PROGRAM_ABSENT = 2  # nothing speaks for it
+PROGRAM_CACHED = 0  # a task of this scheduler uses the program on the machine, or recently did
+PROGRAM_LIKELY_CACHED = 1  # by other schedulers: the machine is early in the service's hash order
+PROGRAM_ABSENT = 2  # no sign that the machine has it
 
 _arrival_numbers = count(1)
 
 
 @dataclass(frozen=True, slots=True)
 class UncertainAttempt:
-    """An attempt that may have run: a further one could be a second run."""
+    """An attempt that may have run, so that a retry could be a second run."""
 
     sent_at_ms: float
     machine: MachineState
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedTask:
-    """A task of this scheduler; times are on the caller's clock, in ms."""
+    """A task of this scheduler. Times are in ms on the caller's clock."""
 
     call_id: int
     task_class: TaskClass
@@ -40,26 +40,26 @@
     machine: MachineState | None = None  # where an attempt is in flight or the task runs
     sent_at_ms: float = 0.0
     is_accepted: bool = False
-    program_warmth: int = PROGRAM_ABSENT  # at its machine when it was sent
-    is_only_start: bool = False  # no other start of ours was due there when it was sent
+    program_warmth: int = PROGRAM_ABSENT  # at its machine when the attempt was sent
+    is_only_start: bool = False  # no other own task was starting there when it was sent
     running_since_ms: float | None = None
-    is_followed_from_start: bool = True  # so that its life can be learned
-    is_abandoned: bool = False  # nobody waits for its answer
+    is_observed_from_start: bool = True  # whether its lifetime is known
+    is_abandoned: bool = False  # the client no longer waits for an answer
     first_uncertain_attempt: UncertainAttempt | None = None
-    ended_at_ms_by_machine: dict[str, float] = field(default_factory=dict)  # ends of attempts without effect
-    machines_with_error: list[MachineState] = field(default_factory=list)  # they answered it with an error
-    usage: Resources = NO_RESOURCES  # observed now; 0 where not observed
+    ended_at_ms_by_machine: dict[str, float] = field(default_factory=dict)  # latest failed attempt
+    machines_with_error: list[MachineState] = field(default_factory=list)  # answered it with an error
+    usage: Resources = NO_RESOURCES  # latest observation; 0 where not observed
     peak_usage: Resources = NO_RESOURCES
 
     @property
     def class_and_tenant(self) -> tuple[str, str | None]:
-        """What a machine's limits are told apart by."""
+        """The key of `MachineState.rejection_backoffs`: machines limit classes and tenants separately."""
         return self.task_class.name, self.tenant
 
 
 @dataclass(frozen=True, slots=True)
 class RejectionBackoff:
-    """How long a class and tenant stay off a machine that rejected them without a reason."""
+    """Until when a class and tenant avoid a machine that rejected them without a reason."""
 
     until_ms: float
     length_ms: float
@@ -67,9 +67,9 @@
 
 @dataclass(slots=True, eq=False)
 class MachineState:
-    """A machine as this scheduler knows it. Each part is written by the module that its comment names.
+    """What this scheduler knows of a machine. Each group of fields is written by the module named above it.
 
-    `known_size` is None for a machine of an unknown kind, or one that only a running task told of.
+    `known_size` is None for a machine of an unknown kind, or one known only from an adopted task.
     """
 
     # machine_list
@@ -85,37 +85,36 @@
 
     # task_registry
     tasks: dict[int, TrackedTask] = field(default_factory=dict)  # by call id
-    starting_tasks: dict[int, TrackedTask] = field(default_factory=dict)  # those not yet running
+    starting_tasks: dict[int, TrackedTask] = field(default_factory=dict)  # by call id; not yet running
 
     # outliers
     last_answer_at_ms: float = NEVER_MS
     unanswered_attempts: int = 0
-    ejection_count: int = 0  # in a row, without an answer between them
+    ejection_count: int = 0  # consecutive, without an answer in between
     ejected_until_ms: float = NEVER_MS
     is_unreachable: bool = False
     reachable_since_ms: float = NEVER_MS
     full_until_ms: float = NEVER_MS
-    rejection_backoffs: dict[tuple[str, str | None], RejectionBackoff] = field(
-        default_factory=dict
-    )  # by class and tenant
+    # by class and tenant
+    rejection_backoffs: dict[tuple[str, str | None], RejectionBackoff] = field(default_factory=dict)
     harvest_suspended_until_ms: float = NEVER_MS
 
     # placement, attempts
-    probe_sent_at_ms: float = NOT_DUE_MS  # while a probe is in flight
+    probe_sent_at_ms: float = NOT_DUE_MS  # NOT_DUE_MS while no probe is in flight
     warm_up_sends_ms: list[float] = field(default_factory=list)
 
-    # capacity: sums over our tasks there
+    # capacity: sums over this scheduler's tasks there
     sums_updated_at_ms: float = NEVER_MS
-    free_capacity_as_of_ms: float = NEVER_MS  # own binds up to then are in the free capacity that is told
+    free_capacity_as_of_ms: float = NEVER_MS  # the known free capacity includes own binds up to then
     requested: Resources = NO_RESOURCES
     predicted_needs: Resources = NO_RESOURCES
     usage: Resources = NO_RESOURCES
-    unlisted_requests: Resources = NO_RESOURCES  # of binds that the told free capacity does not contain yet
+    unlisted_requests: Resources = NO_RESOURCES  # of own binds not yet in the known free capacity
     cores_used_by_priority: dict[int, float] = field(default_factory=dict)
-    others_usage: Resources = NO_RESOURCES  # thought to be used by tasks of other schedulers
+    others_usage: Resources = NO_RESOURCES  # estimated usage of other schedulers' tasks
 
     def __post_init__(self, known_size: MachineSize | None) -> None:
-        """Derives what stays for as long as the machine is known."""
+        """Sets the fields that follow from the entry's name and the size."""
         self.name = self.entry.name
         self.hash = hash_text(self.name)
         self.is_size_known = known_size is not None
@@ -124,21 +123,21 @@
 
     @property
     def is_removed(self) -> bool:
-        """Whether the list no longer has it."""
+        """Whether the machine is no longer in the list."""
         return self.entry.phase is MachinePhase.REMOVED
 
     @property
     def is_suspect(self) -> bool:
-        """Whether its last attempts came to nothing, or it was ejected and has not answered since."""
+        """Whether its latest attempts failed, or it was ejected and has not answered since."""
         return bool(self.unanswered_attempts or self.ejection_count)
 
     @property
     def is_serving(self) -> bool:
-        """Whether it takes new tasks, and how much it holds is known."""
+        """Whether it accepts new tasks and its size is known."""
         return self.is_size_known and self.entry.phase is MachinePhase.SERVING
 
     def failure_domain(self, scope: str) -> str | tuple[str, int]:
-        """The part of the fleet that it belongs to: its "zone", its "cell", or (any other scope) itself."""
+        """The domain that contains it: its "zone", its "cell", or (any other scope) the machine itself."""
         if scope == "zone":
             return self.entry.zone
         if scope == "cell":
@@ -146,9 +145,9 @@
         return self.name
 
     def up_since_ms(self) -> float:
-        """When it last started, as far as the list or a return to reach tells."""
+        """When it last started, by the list, or last became reachable again, whichever is later."""
         return max(self.reachable_since_ms, self.entry.ready_at_ms or NEVER_MS)
 
     def count_unanswered_offers(self) -> int:
-        """Our attempts in flight that it has not accepted yet."""
+        """The number of own attempts in flight that it has not accepted yet."""
         return sum(not task.is_accepted for task in self.starting_tasks.values())
--- a/glencleat/policy/machine_list.py
+++ b/glencleat/policy/machine_list.py
@@ -1,4 +1,4 @@
-"""The machine list and machines' load reports: how the scheduler learns of machines and asks for news."""
+"""Tracks the machine list and machines' load reports, and requests the list again after a failure."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from glencleat.policy.policy_state import PolicyState
 from glencleat.policy.resources import NEVER_MS, NOT_DUE_MS
 
-RETRY_LIST_MS = 500.0  # asking for the list again after a failure, doubled
+RETRY_LIST_MS = 500.0  # first delay before the list is requested again; doubled at each failure
 MAX_RETRY_LIST_MS = 4_000.0
-RETRY_LIST_JITTER = (0.7, 1.3)  # so that schedulers that failed together don't ask together
-PRESSURE_BUSY_SHARE = 0.95  # of the cores, from which harvested capacity is suspended
-PRESSURE_SUSPENSION_MS = 2_000.0  # harvested capacity unused after a sign of pressure
-TIMER_TOLERANCE_MS = 0.5  # a timer may come this early by rounding
+RETRY_LIST_JITTER = (0.7, 1.3)  # factors; keep schedulers that failed together from retrying together
+PRESSURE_BUSY_SHARE = 0.95  # of the cores: from here on harvesting is suspended
+PRESSURE_SUSPENSION_MS = 2_000.0  # of harvesting, after a sign of pressure
+TIMER_TOLERANCE_MS = 0.5  # rounding may let a timer fire this early
 
 
 def record_report(state: PolicyState, machine: MachineState, report: LoadReport) -> None:
-    """Takes in a load report of the machine."""
+    """Stores a load report of the machine, and suspends harvesting if its cores are busy."""
     machine.report = report
     machine.reported_at_ms = state.now_ms
     machine.sums_updated_at_ms = NEVER_MS
@@ -35,7 +35,7 @@
 
 
 class MachineListTracker:
-    """Keeps the machines known by snapshots and deltas, and asks again after a failure."""
+    """Applies snapshots and deltas to the known machines, and requests the list again after a failure."""
 
     def __init__(self, state: PolicyState) -> None:
         self.state = state
@@ -43,13 +43,13 @@
         self.retry_delay_ms = RETRY_LIST_MS
 
     def watch_if_due(self) -> None:
-        """Asks for the list if the time for it has come."""
+        """Requests the list if a request is due."""
         if self.state.now_ms >= self.retry_at_ms - TIMER_TOLERANCE_MS:
             self.retry_at_ms = NOT_DUE_MS
             self.state.actions.append(WatchMachineList())
 
     def on_list_updated(self, event: MachineListUpdated) -> None:
-        """Takes in a snapshot, a delta, or that the list failed."""
+        """Applies a snapshot or a delta, or schedules a retry if the list failed."""
         if event.kind is ListUpdateKind.FAILED:
             self._schedule_retry()
             return
@@ -77,7 +77,7 @@
         self.state.log("list", "the machine list failed, asking again")
 
     def _add(self, entry: Machine, known: MachineState | None) -> MachineState:
-        """Adds a machine; one that was known without its size begins anew, with the tasks it has."""
+        """Adds a machine; one that was known without its size is replaced and keeps its tasks."""
         machine = MachineState(entry, self.state.settings.machine_sizes.get(entry.kind))
         machine.tasks = known.tasks if known else {}
         for task in machine.tasks.values():
@@ -86,9 +86,9 @@
         return machine
 
     def update_machine(self, machine: MachineState, entry: Machine) -> None:
-        """Sets the machine's list entry, and whether it takes new tasks."""
+        """Sets the machine's list entry, and adds it to or removes it from the serving machines."""
         machine.entry = entry
-        phase = entry.phase  # a list may hold all machines: read once, not by the properties
+        phase = entry.phase  # read once, not through the properties: a snapshot holds all machines
         self.state.serving_machines.set_present(
             machine, machine.is_size_known and phase is MachinePhase.SERVING
         )
@@ -96,7 +96,7 @@
             self.state.removal_candidates[machine.name] = None
 
     def _forget_removed(self) -> None:
-        """Forgets machines that are gone and without tasks of ours: it runs for months."""
+        """Forgets removed machines without own tasks; over months of running they would pile up."""
         state = self.state
         for name in state.removal_candidates:
             machine = state.machines.get(name)
--- a/glencleat/policy/placement.py
+++ b/glencleat/policy/placement.py
@@ -1,8 +1,9 @@
-"""Placement: which machines are looked at for a task, which of them will do, and which one is chosen.
+"""Placement: which machines are examined for a task, which are eligible, and which one is chosen.
 
 The ordinary path (LIBRA sections 4 and 5, for tasks that can't be resized): a task whose request covers its
-need goes to its service's hashed machine, rehashed while the slice is full; any other is bound by need where
-harvested capacity of our own tasks best covers its excess; else it borrows capacity that is shown free.
+predicted need goes to its service's hashed machine, or to the next one in hash order if the slice is full.
+Any other task goes where harvested capacity of this scheduler's own tasks best covers its excess, else to a
+machine with free capacity.
 """
 
 from __future__ import annotations
@@ -20,49 +21,53 @@
 from glencleat.policy.profiles import UsageProfiles
 from glencleat.policy.program_starts import ProgramStarts
 from glencleat.policy.resources import NEVER_MS, Resources, covers
-from glencleat.policy.warm_up import coldness, may_start
+from glencleat.policy.warm_up import may_start, remaining_warm_up_share
 
-MAX_FAULTLESS = 4  # candidates without any drawback after which a walk ends
-MAX_RANKED = 16  # acceptable candidates after which a walk ends
-MAX_EXAMINED = 32  # machines looked at for one task, whatever the fleet
-MAX_COVERAGE_SAMPLE = 8  # machines ranked by coverage, in hash order: it costs most
-EQUAL_COVERAGE = 0.1  # coverages that differ by less count as equal
-MIN_COVERAGE = 0.3  # less is as good as none
-CROWDED_MARGIN = 0.1  # nearer to the saturation threshold ranks later: use swings
-TIGHT_SHARE = 0.05  # part of a machine's size that peers may take between a list and the next
-PROBE_INTERVAL_MS = 1_000.0  # where only probes tell: first choices are probed if their report is older
-PROBED_CANDIDATES = 2  # first choices that are probed: probes of all machines cost more than tasks
-SLOW_PROBE_MS = 100.0  # a machine that has not answered a probe by then is passed over
+MAX_FAULTLESS = 4  # candidates without a drawback after which the search ends
+MAX_RANKED = 16  # candidates after which the search ends
+MAX_EXAMINED = 32  # machines examined for one task, whatever the size of the fleet
+MAX_COVERAGE_SAMPLE = 8  # machines whose coverage is computed: the most expensive score
+COVERAGE_TOLERANCE = 0.1  # coverages that differ by no more count as equal
+MIN_COVERAGE = 0.3  # a lower coverage counts as none
+CROWDED_MARGIN = 0.1  # below the saturation threshold: usage fluctuates, so closer machines rank lower
+TIGHT_SHARE = 0.05  # of a machine's size: other schedulers may take as much between two lists
+PROBE_INTERVAL_MS = 1_000.0  # age of a load report from which top candidates are probed
+MAX_PROBED_CANDIDATES = 2  # per placement: probing all machines costs more than the tasks do
+SLOW_PROBE_MS = 100.0  # a machine that takes longer to answer a probe is skipped
 
 
 class CandidateRank(NamedTuple):
-    """Drawbacks of a candidate, the weightiest first; the least rank is the best."""
+    """Drawbacks of a candidate, the most important first; the lowest rank is the best."""
 
-    is_late: bool  # its start comes after the latency objective
+    is_late: bool  # its predicted start misses the latency objective
     is_in_other_zone: bool
-    is_risky: bool  # a further rejection may use up the attempts
-    objectives_late: int  # latency objectives by which the start is late, begun ones counted
-    is_crowded: bool
-    is_tight: bool  # peers may have taken a last bit of the capacity since
+    may_exhaust_attempts: bool  # a retry on a nearly full machine: another rejection may use up the attempts
+    objectives_late: int  # delay of a late start in latency objectives, rounded up
+    is_near_saturation: bool
+    is_nearly_full: bool  # other schedulers may have taken the rest of the capacity by now
     program_warmth: int
 
     @property
     def has_drawback(self) -> bool:
-        """Whether anything but the program's warmth speaks against it."""
+        """Whether the candidate has any drawback, apart from the program's warmth."""
         return bool(
-            self.is_late or self.is_in_other_zone or self.is_risky or self.is_crowded or self.is_tight
+            self.is_late
+            or self.is_in_other_zone
+            or self.may_exhaust_attempts
+            or self.is_near_saturation
+            or self.is_nearly_full
         )
 
 
 class Candidate(NamedTuple):
-    """A machine that would do, with its rank."""
+    """An eligible machine with its rank."""
 
     rank: CandidateRank
     machine: MachineState
 
 
 class Placement:
-    """Chooses machines; it changes nothing but when machines were probed."""
+    """Chooses machines. The only state that it changes is when machines were probed."""
 
     def __init__(
         self, state: PolicyState, profiles: UsageProfiles, capacity: CapacityModel, starts: ProgramStarts
@@ -74,16 +79,19 @@
         self.starts = starts
 
     def choose_machine(self, task: TrackedTask) -> MachineState | None:
-        """By hash, by coverage, by borrowing; first among machines where the task would start in time.
+        """Chooses by hash, then by coverage, then by free capacity, among the best-ranked candidates.
 
-        A departure from LIBRA: a start without the program takes many times the work, and one in time is
-        worth seconds of service. Where no machine would be in time, the soonest, and the hash decides which
-        to warm.
+        Departs from LIBRA by ranking first: a start without the program takes many times the work, and a
+        start within the latency objective is worth seconds of service. If no machine can meet the objective,
+        those with the earliest start remain, and hash order decides which of them loads the program.
+
+        Returns:
+            The machine, or None if no candidate is left.
         """
         need = self.profiles.predict_need(task)
         candidates = self.rank_candidates(task)
-        best = [c.machine for c in candidates if c.rank[:6] == candidates[0].rank[:6]]  # by all but warmth
-        self._probe_first(candidates)
+        best = [c.machine for c in candidates if c.rank[:6] == candidates[0].rank[:6]]  # warmth is left out
+        self._probe_top_candidates(candidates)
         return (
             self.choose_by_hash(task, need, best)
             or self.choose_by_coverage(task, need, best)
@@ -91,29 +99,30 @@
         )
 
     def walk_machines(self, task: TrackedTask) -> Iterable[MachineState]:
-        """The machines to look at: first those where tasks of ours hold or kept the program, then by hash.
+        """The machines to examine: those with own uses of the service's program, then in hash order.
 
-        Of many, the first and a sample of the others: drawn at once, looked up as the caller gets there.
+        If there are more than `MAX_EXAMINED`, the first half of that number and a random sample of the
+        others. The sample is drawn at once, its machines are looked up lazily.
         """
         state = self.state
         running = state.tasks_by_service.get(task.service, {}).values()
         names = [other.machine.name for other in running if other.machine]
-        names += self.starts.machines_kept_warm(task.service)
+        names += self.starts.use_times_by_machine(task.service)
         warm = {name: state.machines[name] for name in names if name in state.machines}
         order = state.serving_machines.get_order(task.service)
-        listed = [machine for machine in warm.values() if machine in state.serving_machines]
-        total = len(warm) + len(order) - len(listed)
-        others = order.without(listed)
+        warm_and_serving = [machine for machine in warm.values() if machine in state.serving_machines]
+        total = len(warm) + len(order) - len(warm_and_serving)
+        others = order.without(warm_and_serving)
         machines = chain(warm.values(), (machine for machine in order if machine.name not in warm))
         if total <= MAX_EXAMINED:
             return machines
         half = MAX_EXAMINED // 2
-        drawn = state.random.sample(range(half - len(warm), total - len(warm)), half)
+        sampled_indexes = state.random.sample(range(half - len(warm), total - len(warm)), half)
         first = [*warm.values()]
-        return chain(islice(machines, half), (others[i] if i >= 0 else first[i] for i in drawn))
+        return chain(islice(machines, half), (others[i] if i >= 0 else first[i] for i in sampled_indexes))
 
     def is_eligible(self, machine: MachineState, task: TrackedTask, occupied_domains: list[object]) -> bool:
-        """Filters that no capacity outweighs: kind, drain, spread, deduplication, health, warm-up."""
+        """Whether the machine passes all filters: kind, draining, spread, deduplication, health, warm-up."""
         now_ms = self.state.now_ms
         task_class = task.task_class
         spread_by = task_class.spread_by
@@ -121,27 +130,27 @@
             machine.is_serving
             and task_class.machine_kind in (None, machine.entry.kind)
             and now_ms - task.ended_at_ms_by_machine.get(machine.name, NEVER_MS) >= FULL_BACKOFF_MS
-            and not (machine.is_suspect and self._is_too_suspect(machine, task))
-            and (not task.first_uncertain_attempt or self._drops_repeats(machine, task))
+            and not (machine.is_suspect and self._is_excluded_as_suspect(machine, task))
+            and (not task.first_uncertain_attempt or self._deduplicates_retry(machine, task))
             and (
                 spread_by == "off"
                 or occupied_domains.count(machine.failure_domain(spread_by)) < task_class.max_per_domain
             )
             and not (machine.rejection_backoffs and self._is_backed_off(machine, task))
             and not SLOW_PROBE_MS < now_ms - machine.probe_sent_at_ms < PROBE_INTERVAL_MS
-            and (not coldness(self.state, machine) or may_start(self.state, machine))
+            and (not remaining_warm_up_share(self.state, machine) or may_start(self.state, machine))
         )
 
     def _is_backed_off(self, machine: MachineState, task: TrackedTask) -> bool:
-        """Whether the task's class and tenant stay off the machine, as it rejected them a while ago."""
+        """Whether the task's class and tenant still back off from the machine after a rejection."""
         backoff = machine.rejection_backoffs.get(task.class_and_tenant)
         return backoff is not None and self.state.now_ms < backoff.until_ms
 
-    def _is_too_suspect(self, machine: MachineState, task: TrackedTask) -> bool:
-        """Whether it is ejected, or the task may not find out if it is back.
+    def _is_excluded_as_suspect(self, machine: MachineState, task: TrackedTask) -> bool:
+        """Whether the suspect machine is ejected, or the task must not be the one that tests it.
 
-        A suspect that is let back gets one task at a time. What has a single attempt goes where the last
-        one came to something, while it is in time.
+        After its ejection a suspect gets one task at a time. A non-idempotent task, which has a single
+        attempt, avoids suspects until its latency objective has passed.
         """
         now_ms = self.state.now_ms
         if machine.unanswered_attempts >= EJECTION_THRESHOLD and (
@@ -155,8 +164,8 @@
         )
 
     @staticmethod
-    def _drops_repeats(machine: MachineState, task: TrackedTask) -> bool:
-        """Whether a second run there does no harm, as far as the scope of deduplication decides it."""
+    def _deduplicates_retry(machine: MachineState, task: TrackedTask) -> bool:
+        """Whether the deduplication scope allows a retry there after an attempt that may have run."""
         uncertain = task.first_uncertain_attempt
         scope = task.task_class.deduplication_scope
         if uncertain is None or scope == "all":
@@ -166,7 +175,7 @@
         return machine.failure_domain(scope) == uncertain.machine.failure_domain(scope)
 
     def _occupied_domains(self, task: TrackedTask) -> list[object]:
-        """The failure domain of each attempt of the task's service, where its class is spread."""
+        """The failure domain of each attempt of the task's service; empty if its class is not spread."""
         spread_by = task.task_class.spread_by
         if spread_by == "off":
             return []
@@ -174,11 +183,11 @@
         return [other.machine.failure_domain(spread_by) for other in running if other.machine]
 
     def rank_candidates(self, task: TrackedTask) -> list[Candidate]:
-        """The machines that would do, of those walked, the best first."""
+        """The candidates among the machines examined, the best first."""
         usage = self.capacity.usage.estimate(task)
         occupied_domains = self._occupied_domains(task)
         candidates: list[Candidate] = []
-        faultless = 0
+        without_drawback = 0
         for machine in self.walk_machines(task):
             if not self.is_eligible(machine, task, occupied_domains):
                 continue
@@ -190,8 +199,8 @@
                 continue
             rank = self._rank(machine, task, remaining, load)
             candidates.append(Candidate(rank, machine))
-            faultless += not rank.has_drawback
-            if faultless >= MAX_FAULTLESS or len(candidates) >= MAX_RANKED:
+            without_drawback += not rank.has_drawback
+            if without_drawback >= MAX_FAULTLESS or len(candidates) >= MAX_RANKED:
                 break
         candidates.sort(key=lambda candidate: candidate.rank)
         return candidates
@@ -201,35 +210,36 @@
     ) -> CandidateRank:
         task_class = task.task_class
         objective_ms = task_class.latency_objective_ms
-        left_ms = objective_ms - (self.state.now_ms - task.arrived_at_ms)
+        remaining_ms = objective_ms - (self.state.now_ms - task.arrived_at_ms)
         warmth = self.starts.program_warmth(machine, task.service)
         start_ms = self.starts.predict_start_ms(machine, task, warmth)
-        objectives_late = 0 if start_ms <= left_ms else 1 + int(start_ms / objective_ms)
+        objectives_late = 0 if start_ms <= remaining_ms else 1 + int(start_ms / objective_ms)
         requested = task.requested
         size = machine.size
-        is_tight = (
+        is_nearly_full = (
             remaining[0] - requested[0] < TIGHT_SHARE * size[0]
             or remaining[1] - requested[1] < TIGHT_SHARE * size[1]
         )
         return CandidateRank(
             objectives_late > 0,
             self.settings.cross_zone_price > 0.0 and machine.entry.zone != self.settings.zone,
-            is_tight and task.attempt_count > 0,
+            is_nearly_full and task.attempt_count > 0,
             objectives_late,
             load[0] > task_class.saturation_threshold - CROWDED_MARGIN,
-            is_tight,
+            is_nearly_full,
             warmth,
         )
 
-    def _probe_first(self, candidates: list[Candidate]) -> None:
-        """Probes the first choices whose report is old, where only probes tell.
+    def _probe_top_candidates(self, candidates: list[Candidate]) -> None:
+        """Probes the top candidates with outdated reports, where reports come only with probes.
 
-        So probes follow tasks; by hundreds of schedulers, of all machines each second, they cost more.
+        Probes thus grow with tasks. Hundreds of schedulers probing all machines each second cost more than
+        the tasks.
         """
         if not (self.settings.probes_allowed and self.settings.reports_on_probe):
             return
         now_ms = self.state.now_ms
-        for _, machine in candidates[:PROBED_CANDIDATES]:
+        for _, machine in candidates[:MAX_PROBED_CANDIDATES]:
             is_report_old = now_ms - machine.reported_at_ms >= PROBE_INTERVAL_MS
             if is_report_old and not 0.0 <= now_ms - machine.probe_sent_at_ms < PROBE_INTERVAL_MS:
                 machine.probe_sent_at_ms = now_ms
@@ -238,25 +248,32 @@
     def choose_by_hash(
         self, task: TrackedTask, need: Resources, machines: Iterable[MachineState]
     ) -> MachineState | None:
-        """The first machine whose slice holds the request, if the request covers the need."""
+        """The first machine whose remaining slice covers the request, if the request covers the need.
+
+        Machines that are warming up are skipped.
+        """
         if not covers(task.requested, need):
             return None
         for machine in machines:
-            if coldness(self.state, machine):
+            if remaining_warm_up_share(self.state, machine):
                 continue
-            if covers(self.capacity.slice_left(machine, task.requested), task.requested):
+            if covers(self.capacity.remaining_slice(machine, task.requested), task.requested):
                 return machine
         return None
 
     def choose_by_coverage(
         self, task: TrackedTask, need: Resources, machines: Sequence[MachineState]
     ) -> MachineState | None:
-        """The first machine whose coverage is as good as the best, if any is good enough."""
+        """The first machine whose coverage is within `COVERAGE_TOLERANCE` of the best one.
+
+        A best coverage below `MIN_COVERAGE` counts as that value. Only machines whose overcommitted slice
+        covers the request are considered.
+        """
         requested = task.requested
         fitting = (
             machine
             for machine in machines
-            if covers(self.capacity.overcommitted_slice_left(machine, requested), requested)
+            if covers(self.capacity.remaining_overcommitted_slice(machine, requested), requested)
         )
         scores = [
             (demand_coverage(self.capacity, machine, task, need), machine)
@@ -264,4 +281,4 @@
             if self.state.now_ms >= machine.harvest_suspended_until_ms
         ]
         best = max([MIN_COVERAGE, *(score for score, _ in scores)])
-        return next((machine for score, machine in scores if score >= best - EQUAL_COVERAGE), None)
+        return next((machine for score, machine in scores if score >= best - COVERAGE_TOLERANCE), None)
--- a/glencleat/policy/profiles.py
+++ b/glencleat/policy/profiles.py
@@ -1,4 +1,4 @@
-"""Usage profiles (LIBRA section 4): need and life of a service's tasks, learned from those that ended."""
+"""Usage profiles (LIBRA section 4): peak usage and lifetime of services' tasks, learned from ended tasks."""
 
 from __future__ import annotations
 
@@ -6,91 +6,99 @@
 from glencleat.policy.policy_state import PolicyState
 from glencleat.policy.resources import Resources
 
-NEED_PERCENTILE = 0.75  # of peaks: sums of 99th percentiles leave machines half empty
-LIFE_PERCENTILE = 0.25  # of lives: at the 5th percentile all harvested capacity lapses within a second
-MIN_SAMPLES = 20  # ended tasks before a histogram is used, running ones before their mean is: few are noise
-MAX_REMEMBERED_SERVICES = 2_000  # profiles, kept programs and hash orders; the longest unused go first
-DEFAULT_LIFE_MS = 5_000.0  # predicted before enough tasks ended, of a task that is not placed
-DEFAULT_LIFE_LEFT_MS = 2_500.0  # likewise, of one that is: it has lived a part already
-HISTOGRAM_STEPS = 128  # beyond the last step, values count as the last
-REQUEST_SHARE_STEP = 0.05  # of peaks, as a share of what was requested
-LIFE_STEP_MS = 1_000.0
+NEED_PERCENTILE = 0.75  # of peak usage: sums of 99th percentiles leave machines half empty
+LIFE_PERCENTILE = 0.25  # of lifetimes: at the 5th percentile all harvested capacity expires within a second
+MIN_SAMPLES = 20  # ended tasks for a histogram, running tasks for a mean: fewer are too noisy
+MAX_REMEMBERED_SERVICES = 2_000  # in profiles, program uses and hash orders; evicted by least recent use
+DEFAULT_LIFETIME_MS = 5_000.0  # of a task not yet placed, until enough tasks have ended
+DEFAULT_REMAINING_LIFETIME_MS = 2_500.0  # likewise of a placed task, part of whose lifetime has passed
+HISTOGRAM_BUCKETS = 128  # the last one also counts larger values
+REQUEST_SHARE_BUCKET = 0.05  # width, as a share of the request
+LIFETIME_BUCKET_MS = 1_000.0  # width
 
 
 class Histogram:
-    """Counts of a value in even steps; percentiles by upper edge, also among values beyond a floor."""
+    """Histogram with buckets of equal width; percentiles are upper bounds of buckets."""
 
-    def __init__(self, step: float) -> None:
-        self.step = step
+    def __init__(self, bucket_width: float) -> None:
+        self.bucket_width = bucket_width
         self.total = 0
-        self.counts = [0] * HISTOGRAM_STEPS
+        self.counts = [0] * HISTOGRAM_BUCKETS
         self._percentiles: dict[tuple[float, int], float] = {}
 
     def add(self, value: float) -> None:
         """Counts a value."""
-        self.counts[min(len(self.counts) - 1, int(value / self.step))] += 1
+        self.counts[min(len(self.counts) - 1, int(value / self.bucket_width))] += 1
         self.total += 1
         self._percentiles.clear()
 
     def percentile(self, share: float, floor: float = 0.0) -> float:
-        """The value that `share` of those from `floor` on lie below; of none, a step beyond the floor."""
-        first = int(floor / self.step)
-        key = (share, first)
+        """The percentile of the values from `floor` on; one bucket above the floor if there are none.
+
+        Args:
+            share: the percentile, from 0 to 1.
+            floor: smaller values are ignored.
+        """
+        first_bucket = int(floor / self.bucket_width)
+        key = (share, first_bucket)
         if key not in self._percentiles:
-            self._percentiles[key] = self._find_percentile(share, first)
+            self._percentiles[key] = self._find_percentile(share, first_bucket)
         return self._percentiles[key]
 
-    def _find_percentile(self, share: float, first: int) -> float:
-        wanted = share * sum(self.counts[first:])
-        passed = 0
-        index = first
-        while index < len(self.counts) and (not passed or passed < wanted):
-            passed += self.counts[index]
+    def _find_percentile(self, share: float, first_bucket: int) -> float:
+        target_count = share * sum(self.counts[first_bucket:])
+        cumulative_count = 0
+        index = first_bucket
+        while index < len(self.counts) and (not cumulative_count or cumulative_count < target_count):
+            cumulative_count += self.counts[index]
             index += 1
-        return (index if passed else first + 1) * self.step
+        return (index if cumulative_count else first_bucket + 1) * self.bucket_width
 
 
 class UsageProfile:
-    """Peaks as shares of the request, and lives, of the ended tasks of a service (or of a class, pooled)."""
+    """Histograms over ended tasks of a service or class: peak usage by share of the request, lifetimes."""
 
     def __init__(self) -> None:
-        self.cores = Histogram(REQUEST_SHARE_STEP)
-        self.memory = Histogram(REQUEST_SHARE_STEP)
-        self.life = Histogram(LIFE_STEP_MS)
+        self.cores = Histogram(REQUEST_SHARE_BUCKET)
+        self.memory = Histogram(REQUEST_SHARE_BUCKET)
+        self.lifetime = Histogram(LIFETIME_BUCKET_MS)
 
-    def add(self, task: TrackedTask, life_ms: float | None) -> None:
-        """Counts an ended task; its life too unless that is not known."""
+    def add(self, task: TrackedTask, lifetime_ms: float | None) -> None:
+        """Counts an ended task's peak usage, and its lifetime if that is known."""
         if task.peak_usage[0] and task.peak_usage[1]:
             self.cores.add(task.peak_usage[0] / task.requested[0])
             self.memory.add(task.peak_usage[1] / task.requested[1])
-        if life_ms is not None:
-            self.life.add(life_ms)
+        if lifetime_ms is not None:
+            self.lifetime.add(lifetime_ms)
 
 
-def pooled_key(task: TrackedTask) -> str:
-    """The key of the profile that all services of the task's class share."""
+def class_profile_key(task: TrackedTask) -> str:
+    """The key of the profile over all services of the task's class."""
     return "class " + task.task_class.name
 
 
 class UsageProfiles:
-    """The profiles of services and classes, and the predictions made from them."""
+    """Keeps profiles of services and classes, and predicts need and lifetime from them.
+
+    A class's profile stands in for a service with fewer than `MIN_SAMPLES` ended tasks.
+    """
 
     def __init__(self, state: PolicyState) -> None:
         self.state = state
-        self.profiles: dict[str, UsageProfile] = {}  # by service, or by `pooled_key`
+        self.profiles: dict[str, UsageProfile] = {}  # by service, or by `class_profile_key`
 
-    def _pooled(self, task: TrackedTask) -> UsageProfile:
-        key = pooled_key(task)
+    def _class_profile(self, task: TrackedTask) -> UsageProfile:
+        key = class_profile_key(task)
         profile = self.profiles.get(key)
         if profile is None:
             profile = self.profiles[key] = UsageProfile()
         return profile
 
     def predict_need(self, task: TrackedTask) -> Resources:
-        """Predicted peak, never under the use seen now: histograms lag behind a service that climbs."""
+        """Predicted peak usage, never below current usage: histograms lag behind growing usage."""
         profile = self.profiles.get(task.service)
         if profile is None or profile.cores.total < MIN_SAMPLES:
-            profile = self._pooled(task)
+            profile = self._class_profile(task)
         cores, memory = task.requested
         cores_now, memory_now = task.usage
         if profile.cores.total >= MIN_SAMPLES:
@@ -98,21 +106,21 @@
             memory *= profile.memory.percentile(NEED_PERCENTILE)
         return cores if cores > cores_now else cores_now, memory if memory > memory_now else memory_now
 
-    def predict_life_left_ms(self, task: TrackedTask) -> float:
-        """Predicted life beyond the task's age, from the lives that grew as old."""
+    def predict_remaining_lifetime_ms(self, task: TrackedTask) -> float:
+        """Predicted remaining lifetime, from lifetimes of ended tasks that reached this task's age."""
         age_ms = 0.0 if task.running_since_ms is None else self.state.now_ms - task.running_since_ms
         profile = self.profiles.get(task.service)
-        if profile is None or profile.life.total < MIN_SAMPLES:
-            profile = self._pooled(task)
-        if profile.life.total < MIN_SAMPLES:
-            return DEFAULT_LIFE_MS if task.machine is None else DEFAULT_LIFE_LEFT_MS
-        return max(0.0, profile.life.percentile(LIFE_PERCENTILE, age_ms) - age_ms)
-
-    def record_end(self, task: TrackedTask, life_ms: float | None) -> None:
-        """Counts an ended task for its service and its class; `life_ms` is None where it says nothing."""
-        for key in (task.service, pooled_key(task)):
+        if profile is None or profile.lifetime.total < MIN_SAMPLES:
+            profile = self._class_profile(task)
+        if profile.lifetime.total < MIN_SAMPLES:
+            return DEFAULT_LIFETIME_MS if task.machine is None else DEFAULT_REMAINING_LIFETIME_MS
+        return max(0.0, profile.lifetime.percentile(LIFE_PERCENTILE, age_ms) - age_ms)
+
+    def record_end(self, task: TrackedTask, lifetime_ms: float | None) -> None:
+        """Counts an ended task for its service and its class; `lifetime_ms` is None where not known."""
+        for key in (task.service, class_profile_key(task)):
             profile = self.profiles.pop(key, None) or UsageProfile()
-            self.profiles[key] = profile  # the last one used stands last
-            profile.add(task, life_ms)
+            self.profiles[key] = profile  # reinserted last: the order is that of use
+            profile.add(task, lifetime_ms)
         while len(self.profiles) > MAX_REMEMBERED_SERVICES:
             del self.profiles[next(iter(self.profiles))]
--- a/glencleat/policy/scheduler.py
+++ b/glencleat/policy/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler: takes events and answers with actions. The types of both: glencleat/interface.py.
+"""The scheduler: handles events and returns actions, whose types are in glencleat/interface.py.
 
-It does no I/O and reads no clock: time comes with each event, and randomness from a seed. The work is done by
-the other modules of the package, which share a `PolicyState`; here they are put together and told events.
+It does no I/O and reads no clock: time comes with each event, and random numbers from a seed. This module
+assembles the other modules of the package, which share a `PolicyState`, and dispatches events to them.
 """
 
 from __future__ import annotations
@@ -46,17 +46,20 @@
 from glencleat.policy.task_registry import TaskRegistry
 from glencleat.policy.usage import UsageEstimate
 
-MAX_ORDERED_MACHINES = 8_000_000  # in all hash orders together, 2 bytes each; the longest unused go first
-PRESSURE_MEMORY_SHARE = 0.92  # memory in use from which harvested capacity is suspended
-PRESSURE_SERVICE_LEVEL = 0.8  # share of full service below which harvested capacity is suspended
+MAX_ORDERED_MACHINES = 8_000_000  # in all hash orders together, 2 bytes each; evicted by least recent use
+PRESSURE_MEMORY_SHARE = 0.92  # of a machine's memory: from here on harvesting is suspended
+PRESSURE_SERVICE_LEVEL = 0.8  # share of full service below which harvesting is suspended
 
 
 class Scheduler:
-    """The decisions of one allocator.
+    """Makes the decisions of one allocator.
 
     Args:
-        settings: of the cluster and this allocator; settings that can't be used raise ValueError.
-        seed: of the draws: equal events and seeds give equal actions.
+        settings: of the cluster and this allocator.
+        seed: of the random numbers; equal events and seeds give equal actions.
+
+    Raises:
+        ValueError: a setting is out of range.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -79,7 +82,7 @@
         self.attempts = AttemptManager(
             self.state, self.registry, self.profiles, self.starts, self.placement, self.outliers
         )
-        self.timer_at_ms = NOT_DUE_MS  # of the timer that is set
+        self.timer_at_ms = NOT_DUE_MS  # when the timer that is set fires
         self.handlers: dict[type, Callable[..., None]] = {
             PlacementRequested: self.attempts.on_placement_requested,
             AttemptAccepted: self.attempts.on_attempt_accepted,
@@ -93,11 +96,11 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Takes one event and gives the actions that answer it, to be carried out in their order.
+        """Handles one event and returns the actions that answer it, to be carried out in their order.
 
         Args:
             now_ms: the caller's clock, in ms; it never goes back between two calls.
-            event: what happened, by the contract in `glencleat/interface.py`.
+            event: an event that keeps the contract in `glencleat/interface.py`.
 
         Raises:
             KeyError: a task of a class that the settings don't name.
@@ -111,7 +114,7 @@
         return state.actions
 
     def _set_timer(self) -> None:
-        """Sets a timer for what is due next; none is set that would not be needed."""
+        """Sets a timer for the next due time, unless an earlier one is set."""
         now_ms = self.state.now_ms
         held_due_ms = now_ms + HELD_TASK_INTERVAL_MS if self.state.held_tasks else NOT_DUE_MS
         due_ms = min(self.machine_list.retry_at_ms, self.attempts.wake_at_ms, held_due_ms)
@@ -120,7 +123,7 @@
             self.state.actions.append(SetTimer(max(0.0, due_ms - now_ms), 0))
 
     def on_timer_fired(self, _: TimerFired) -> None:
-        """Asks for the list if that is due, and tries the held tasks."""
+        """Requests the machine list if that is due, and tries to place held tasks."""
         if self.state.now_ms >= self.timer_at_ms - TIMER_TOLERANCE_MS:
             self.timer_at_ms = NOT_DUE_MS
         self.attempts.wake_at_ms = NOT_DUE_MS
@@ -128,7 +131,7 @@
         self.attempts.try_held_tasks()
 
     def on_task_observed(self, event: TaskObserved) -> None:
-        """Takes in what was measured of a running task and its machine."""
+        """Updates a running task and its machine by an observation."""
         task = self.state.tasks.get(event.call_id)
         machine = self.state.machines.get(event.machine)
         if machine is not None:
@@ -156,7 +159,7 @@
         self.usage.observe(task)
 
     def on_probe_ended(self, event: ProbeEnded) -> None:
-        """Takes in a probe's report, or that there is none, and tries the tasks that waited for it."""
+        """Stores a probe's report or suspects the machine, then tries tasks that may wait for the probe."""
         machine = self.state.machines.get(event.machine)
         if machine is None:
             return
@@ -166,12 +169,16 @@
             self.outliers.record_answer(machine, None)
         elif event.outcome is not Outcome.COMPLETED:
             self.outliers.suspect(machine, 1)
-        # Not all held tasks: each try probes again, and so fed itself.
+        # Only these: placing a task sends probes, so trying all held tasks would trigger ever more probes.
         self.attempts.try_held_tasks(PROBE_WAIT_SHARE)
 
 
 def check_settings(settings: Settings) -> None:
-    """Raises ValueError that names the setting that can't be used."""
+    """Checks that settings are above 0 where they must be.
+
+    Raises:
+        ValueError: with the name and value of the first setting that is not.
+    """
     sizes = [amount for size in settings.machine_sizes.values() for amount in (size.cores, size.memory)]
     least_by_setting = {
         "classes": len(settings.classes),
--- a/glencleat/policy/task_registry.py
+++ b/glencleat/policy/task_registry.py
@@ -1,4 +1,4 @@
-"""The registry of tasks: which there are, which have an attempt, and at which machine each takes capacity."""
+"""The registry of tasks: which are known, which have an attempt, and on which machine each uses capacity."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class TaskRegistry:
-    """Keeps the tables of `PolicyState` and each machine's tasks in step with one another."""
+    """Keeps the tables of `PolicyState` consistent with each machine's tasks."""
 
     def __init__(self, state: PolicyState, usage: UsageEstimate) -> None:
         self.state = state
         self.usage = usage
 
     def assign(self, task: TrackedTask, machine: MachineState) -> None:
-        """The task takes its request at the machine, from its attempt on."""
+        """Assigns the task to the machine, where its request counts from the attempt on."""
         task.machine = machine
         machine.tasks[task.call_id] = task
         machine.starting_tasks[task.call_id] = task
@@ -25,7 +25,7 @@
         self.usage.observe(task)
 
     def release(self, task: TrackedTask) -> None:
-        """Gives an attempt's capacity back, once, whatever ended it."""
+        """Releases the capacity of the task's attempt; a second call has no effect."""
         machine = task.machine
         task.machine = None
         if machine is not None:
@@ -41,7 +41,7 @@
             tasks_by_service.pop(task.service, None)
 
     def forget(self, task: TrackedTask) -> None:
-        """Nothing more follows for the task: it is left out of all tables."""
+        """Removes a task without further events from all tables."""
         self.release(task)
         self.state.held_tasks.pop(task.call_id, None)
         self.state.tasks.pop(task.call_id, None)
--- a/glencleat/policy/usage.py
+++ b/glencleat/policy/usage.py
@@ -1,4 +1,4 @@
-"""How much of their requests our running tasks use, in the mean, and what one of them uses now."""
+"""Estimates a task's current usage, from observations or from the mean ratio of usage to request."""
 
 from __future__ import annotations
 
@@ -7,29 +7,32 @@
 from glencleat.policy.profiles import MIN_SAMPLES
 from glencleat.policy.resources import Resources
 
-INITIAL_USAGE_RATIO: Resources = (0.6, 0.7)  # until enough of our own running tasks tell
+INITIAL_USAGE_RATIO: Resources = (0.6, 0.7)  # until enough own running tasks are observed
 
 
 class UsageEstimate:
-    """The ratio of use to request over our running tasks whose use is observed."""
+    """The ratio of usage to request over this scheduler's running tasks with observed usage."""
 
     def __init__(self) -> None:
         self.ratio = INITIAL_USAGE_RATIO
-        self.observed = ColumnSums(4)  # use and request of each observed task, cores and memory
+        self.observed = ColumnSums(4)  # by observed task: used cores, memory; requested cores, memory
 
     def observe(self, task: TrackedTask) -> None:
-        """Takes in what the task uses now, or leaves it out where it runs nowhere or is not observed."""
+        """Updates the sums by the task's current usage; removes a task that is not placed or observed."""
         is_observed = task.machine is not None and task.usage[0] and task.usage[1]
         self.observed.put_row(task.arrival_number, (*task.usage, *task.requested) if is_observed else None)
 
     def update_ratio(self) -> None:
-        """Brings the mean ratio up to date; of few tasks it would be noise."""
+        """Recomputes the mean ratio if enough tasks are observed; fewer would be noise."""
         if len(self.observed) >= MIN_SAMPLES:
             cores, memory, cores_requested, memory_requested = self.observed.sum_columns()
             self.ratio = cores / cores_requested, memory / memory_requested
 
     def estimate(self, task: TrackedTask) -> Resources:
-        """What a task uses now; where that is not observed, what tasks use of their requests in the mean."""
+        """Current usage of the task; where not observed, its request times the mean ratio.
+
+        Memory is never estimated below that product.
+        """
         requested = task.requested
         cores, memory = task.usage
         mean_memory = requested[1] * self.ratio[1]
--- a/glencleat/simulator_adapter.py
+++ b/glencleat/simulator_adapter.py
@@ -1,9 +1,9 @@
-"""Adapter for the simulator's wire: one Scheduler an instance, no decision of its own.
+"""Adapter for the simulator's wire protocol: one Scheduler for each instance, no decisions of its own.
 
     python -m glencleat.simulator_adapter
 
-Lines of JSON arrays come on standard input in batches, and each batch is answered on standard output by the
-actions of the schedulers that it names. Words and codes of the wire are translated here and nowhere else.
+Reads batches of JSON arrays, one a line, from standard input, and answers each batch on standard output with
+the actions of the schedulers that it addresses. Names and codes of the wire are translated here alone.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from glencleat.platform_settings import PHASES, read_report, read_settings
 from glencleat.policy import Scheduler
 
-WireMessage: TypeAlias = list[Any]  # a name, an instance in most, and the fields of the wire's page
-Directory: TypeAlias = tuple[api.Machine, ...]  # the machines that list messages refer to by number
+WireMessage: TypeAlias = list[Any]  # message name, instance (in most messages), fields
+Directory: TypeAlias = tuple[api.Machine, ...]  # machines that REGISTRY messages refer to by directory number
 T = TypeVar("T")
 
 OUTCOMES: Final = {
@@ -54,7 +54,7 @@
     "cached": api.ListUpdateKind.SNAPSHOT,
     "failed": api.ListUpdateKind.FAILED,
 }
-MIN_FIELDS: Final = {  # that each message needs, its name included
+MIN_FIELDS: Final = {  # by message, its name included
     "BEGIN_BATCH": 3,
     "EOB": 1,
     "NEW_INSTANCE": 4,
@@ -71,26 +71,26 @@
     "LEFT": 3,
     "LANDED": 6,
 }
-RETRY_FLAG: Final = 16  # of an arrival's flags: it comes again
+RETRY_FLAG: Final = 16  # in the flags of an ARRIVAL: the task is requested again
 
-# Places of fields that a message may lack, counted after its name and instance.
+# Indices of optional fields, counted after the message's name and instance.
 ARRIVAL_FLAGS_FIELD: Final = 9
 RETURNED_REPORT_FIELD: Final = 7
 STATUS_REPORT_FIELD: Final = 3
-MACHINE_READY_FIELD: Final = 8  # counted from the row's begin
+MACHINE_READY_FIELD: Final = 8  # counted from the start of a DIRECTORY row
 
-SHOWN_TEXT: Final = 80  # characters of a malformed line that an error shows
-SHOWN_NAME: Final = 40
-SHOWN_MESSAGE: Final = 120
+MAX_SHOWN_LINE_CHARS: Final = 80  # of a malformed line, in an error
+MAX_SHOWN_NAME_CHARS: Final = 40
+MAX_SHOWN_MESSAGE_CHARS: Final = 120
 EXIT_MALFORMED: Final = 2
 
 
 class WireError(Exception):
-    """Input that is not on the wire's page.
+    """Input that violates the wire protocol.
 
     Args:
         problem: what was found.
-        expected: what should have been there.
+        expected: what was expected instead.
     """
 
     def __init__(self, problem: str, expected: str) -> None:
@@ -99,13 +99,13 @@
         self.expected = expected
 
 
-def _optional(values: list[T], place: int) -> T | None:
-    """The field at this place, None where the message ends before it."""
-    return values[place] if len(values) > place else None
+def _field_or_none(values: list[T], index: int) -> T | None:
+    """The field at this index; None if the message is shorter."""
+    return values[index] if len(values) > index else None
 
 
 def read_machine(row: list[Any]) -> api.Machine:
-    """The machine of one row of a DIRECTORY message."""
+    """Reads one row of a DIRECTORY message."""
     _, free_memory, kind, phase, name, free_cores, zone, cell = row[:MACHINE_READY_FIELD]
     return api.Machine(
         name=name,
@@ -115,13 +115,13 @@
         phase=PHASES[phase],
         free_cores=free_cores or 0.0,
         free_memory=free_memory or 0.0,
-        ready_at_ms=_optional(row, MACHINE_READY_FIELD) or None,
+        ready_at_ms=_field_or_none(row, MACHINE_READY_FIELD) or None,
     )
 
 
 def _read_arrival(values: list[Any]) -> api.PlacementRequested:
     call_id, task_class, tenant, _, remaining_ms, expected_run_ms, service, cores, memory = values[:9]
-    flags = _optional(values, ARRIVAL_FLAGS_FIELD) or 0
+    flags = _field_or_none(values, ARRIVAL_FLAGS_FIELD) or 0
     return api.PlacementRequested(
         call_id=call_id,
         task_class=task_class,
@@ -159,7 +159,7 @@
         elapsed_ms=elapsed_ms or 0.0,
         is_call_closed=bool(is_closed),
         reason=REASONS.get(reason or 0, api.OutcomeReason.UNSPECIFIED),
-        report=read_report(_optional(values, RETURNED_REPORT_FIELD)),
+        report=read_report(_field_or_none(values, RETURNED_REPORT_FIELD)),
     )
 
 
@@ -176,7 +176,7 @@
 
 
 def _read_status_back(values: list[Any]) -> api.ProbeEnded:
-    report = read_report(_optional(values, STATUS_REPORT_FIELD))
+    report = read_report(_field_or_none(values, STATUS_REPORT_FIELD))
     return api.ProbeEnded(values[0], OUTCOMES[values[1] or 0], report)
 
 
@@ -201,7 +201,7 @@
 
 
 def read_list_update(values: list[Any], directories: dict[int, Directory]) -> api.MachineListUpdated:
-    """The event of a REGISTRY message; its machines are those of the directory that it names."""
+    """Reads a REGISTRY message, with the machines of the directory that it refers to."""
     kind = LIST_UPDATE_KINDS[values[2]]
     if kind is api.ListUpdateKind.FAILED:
         return api.MachineListUpdated(kind)
@@ -209,7 +209,7 @@
 
 
 def read_event(message: WireMessage, directories: dict[int, Directory]) -> api.Event | None:
-    """The event of a message about an instance, or None where the policy has no use for it."""
+    """Reads a message to an instance; None if the policy does not handle it."""
     name = message[0]
     values = message[2:]
     if name == "REGISTRY":
@@ -219,7 +219,7 @@
 
 
 def write_action(instance: str, action: api.Action) -> WireMessage:
-    """The message that carries an instance's action."""
+    """Translates an instance's action into a message."""
     match action:
         case api.Bind():
             return ["BIND", instance, action.call_id, action.machine, action.timeout_ms]
@@ -240,11 +240,11 @@
 
 
 class SimulatorAdapter:
-    """Reads batches, keeps one Scheduler an instance, writes their replies.
+    """Reads batches, keeps a Scheduler for each instance, and writes their replies.
 
     Args:
-        source: lines of the wire, from the simulator.
-        sink: where replies are written, flushed after each batch.
+        source: lines from the simulator.
+        sink: receives the replies; flushed after each batch.
     """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
@@ -257,42 +257,44 @@
         """Answers batches until the input ends.
 
         Raises:
-            WireError: a line that is not on the wire's page.
+            WireError: a line violates the wire protocol.
         """
         while (message := self._read_message()) is not None:
             if message[0] != "BEGIN_BATCH":
                 raise WireError(f"{message[0]} outside a batch", "BEGIN_BATCH")
             _, now_ms, number = message[:3]
             if not isinstance(now_ms, int | float) or not isinstance(number, int):
-                raise WireError(f"BEGIN_BATCH with {message[1:3]!r}", "a clock and a batch number")
+                raise WireError(f"BEGIN_BATCH with {message[1:3]!r}", "a clock value and a batch number")
             replies = self._answer_batch(float(now_ms))
             replies.append(["NEXT", number])
             self.sink.write("".join(json.dumps(reply, separators=(",", ":")) + "\n" for reply in replies))
             self.sink.flush()
 
     def _read_message(self) -> WireMessage | None:
-        """The next message, or None at the end of the input; empty lines are skipped."""
+        """Reads the next message; None at the end of the input. Empty lines are skipped."""
         text = self.source.readline()
         while text and not text.strip():
             text = self.source.readline()
         if not text:
             return None
-        shown = repr(text.strip()[:SHOWN_TEXT])
+        shown = repr(text.strip()[:MAX_SHOWN_LINE_CHARS])
         try:
             message = json.loads(text)
         except ValueError as error:
-            raise WireError(f"not JSON: {shown}", "one JSON array a line") from error
+            raise WireError(f"not JSON: {shown}", "one JSON array on each line") from error
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise WireError(f"not a message: {shown}", "an array led by a name")
+            raise WireError(f"not a message: {shown}", "a JSON array that begins with a message name")
         name = message[0]
         if name not in MIN_FIELDS:
-            raise WireError(f"unknown message {name[:SHOWN_NAME]!r}", f"one of {', '.join(MIN_FIELDS)}")
+            raise WireError(
+                f"unknown message {name[:MAX_SHOWN_NAME_CHARS]!r}", f"one of {', '.join(MIN_FIELDS)}"
+            )
         if len(message) < MIN_FIELDS[name]:
             raise WireError(f"{name} has {len(message)} fields", f"at least {MIN_FIELDS[name]}")
         return message
 
     def _answer_batch(self, now_ms: float) -> list[WireMessage]:
-        """Handles messages up to the batch's end, and gives the replies to all of them."""
+        """Handles the messages up to the end of the batch, and returns all replies."""
         replies: list[WireMessage] = []
         while True:
             message = self._read_message()
@@ -305,13 +307,14 @@
             try:
                 self.handle_message(now_ms, message, replies)
             except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-                shown = json.dumps(message)[:SHOWN_MESSAGE]
+                shown = json.dumps(message)[:MAX_SHOWN_MESSAGE_CHARS]
                 raise WireError(
-                    f"{message[0]} can't be read ({error!r}): {shown}", "the fields of the wire's page"
+                    f"{message[0]} can't be read ({error!r}): {shown}",
+                    "the fields that the wire protocol defines",
                 ) from error
 
     def handle_message(self, now_ms: float, message: WireMessage, replies: list[WireMessage]) -> None:
-        """Carries out one message of a batch, and appends its replies."""
+        """Handles one message of a batch, and appends its replies."""
         name = message[0]
         if name == "DIRECTORY":
             self.directories[message[1]] = tuple(read_machine(row) for row in message[2])
@@ -331,16 +334,16 @@
 
 
 def answer_event(scheduler: Scheduler, instance: str, now_ms: float, event: api.Event) -> list[WireMessage]:
-    """The messages of a scheduler's actions; a fault of the policy is a message too, and not raised here."""
+    """Lets the scheduler handle the event and returns its actions as messages; an exception becomes DIE."""
     try:
         return [write_action(instance, action) for action in scheduler.handle(now_ms, event)]
-    except Exception as error:  # the wire wants any fault of the policy as a message
-        line = last_line(error.__traceback__)
+    except Exception as error:  # the protocol reports any exception of the policy as a message
+        line = raising_line_number(error.__traceback__)
         return [["DIE", instance, f"{type(error).__name__} at line {line}: {error}"]]
 
 
-def last_line(traceback: TracebackType | None) -> int:
-    """The line at which an error was raised; 0 if it was not raised."""
+def raising_line_number(traceback: TracebackType | None) -> int:
+    """The line number at which an exception was raised; 0 without a traceback."""
     if traceback is None:
         return 0
     while traceback.tb_next is not None:
@@ -349,7 +352,7 @@
 
 
 def main() -> int:
-    """Runs the adapter on standard input and output; gives the process's exit status."""
+    """Runs the adapter on standard input and output, and returns the exit status."""
     try:
         SimulatorAdapter(sys.stdin, sys.stdout).run()
     except WireError as error:
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""Retry rules: which attempts may follow another one, and which final answer a call gets."""
+"""Retry rules: when a retry is allowed, and which final answer a call gets."""
 
 from glencleat import interface as api
 from tests.support.policy_world import (
@@ -12,10 +12,10 @@
 
 def test_a_held_task_is_answered_once_before_its_deadline():
     world = PolicyWorld([])
-    call, actions = world.request(left=2000.0)
+    call, actions = world.request(remaining_ms=2000.0)
     assert not binds(actions) and not finals(actions)
-    told = finals(world.run_for(1990.0))
-    assert [a.call_id for a in told] == [call]
+    answers = finals(world.run_for(1990.0))
+    assert [answer.call_id for answer in answers] == [call]
     assert not finals(world.run_for(3000.0))
 
 
@@ -26,11 +26,11 @@
     assert kinds(after, api.Fail) and not binds(after) and not kinds(after, api.Reject)
 
 
-def test_a_non_idempotent_task_that_was_rejected_is_sent_elsewhere():
+def test_a_rejected_non_idempotent_task_is_retried_elsewhere():
     world = PolicyWorld([machine("m"), machine("n")])
     call, actions = world.request("unsafe")
     first = binds(actions)[0].machine
-    after = world.end_attempt(call, first, api.Outcome.REJECTED, why=api.OutcomeReason.INSUFFICIENT_CORES)
+    after = world.end_attempt(call, first, api.Outcome.REJECTED, reason=api.OutcomeReason.INSUFFICIENT_CORES)
     assert [b.machine for b in binds(after)] == [{"m": "n", "n": "m"}[first]]
 
 
@@ -53,15 +53,15 @@
     assert not binds(after) and kinds(after, api.Fail) and not kinds(after, api.Reject)
 
 
-def test_attempts_end_at_the_limit_and_one_at_most_is_in_flight():
+def test_attempts_stop_at_the_limit_and_at_most_one_is_in_flight():
     world = PolicyWorld([machine(n) for n in "mnopq"], max_attempts=2)
     call, actions = world.request()
     assert len(binds(actions)) == 1 and not binds(world.run_for(200.0))
     after = world.end_attempt(
-        call, binds(actions)[0].machine, api.Outcome.REJECTED, why=api.OutcomeReason.QUEUE_FULL
+        call, binds(actions)[0].machine, api.Outcome.REJECTED, reason=api.OutcomeReason.QUEUE_FULL
     )
     assert len(binds(after)) == 1
     after = world.end_attempt(
-        call, binds(after)[0].machine, api.Outcome.REJECTED, attempt=1, why=api.OutcomeReason.QUEUE_FULL
+        call, binds(after)[0].machine, api.Outcome.REJECTED, attempt=1, reason=api.OutcomeReason.QUEUE_FULL
     )
     assert not binds(after) and len(finals(after)) == 1
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as a whole: settings, log lines, unknown calls, and equal actions for equal events."""
+"""The scheduler as a whole: settings, log lines, unknown calls, and determinism."""
 
 import os
 import subprocess
@@ -48,7 +48,7 @@
         assert not binds(world.handle(event))
 
 
-def test_settings_that_cannot_be_used_are_named():
+def test_errors_name_the_invalid_setting():
     with pytest.raises(ValueError, match="allocator_count"):
         Scheduler(settings(allocator_count=0), 1)
     with pytest.raises(ValueError, match="max_attempts"):
@@ -63,7 +63,7 @@
 
 
 def test_equal_events_give_equal_actions_across_hash_seeds():
-    out = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", SCRIPT],
             env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": "."},
@@ -73,16 +73,16 @@
         ).stdout
         for seed in ("1", "2", "3")
     }
-    assert len(out) == 1 and "Bind" in out.pop()
+    assert len(outputs) == 1 and "Bind" in outputs.pop()
 
 
-def test_instances_side_by_side_act_as_alone():
-    names = [machine(n) for n in "mnopq"]
+def test_schedulers_in_one_process_do_not_affect_each_other():
+    machines = [machine(n) for n in "mnopq"]
     alone = [
-        [PolicyWorld(names, seed=s, allocator_count=3).request(service=f"s{i}")[1] for i in range(1)]
+        [PolicyWorld(machines, seed=s, allocator_count=3).request(service=f"s{i}")[1] for i in range(1)]
         for s in range(3)
     ]
-    together = [PolicyWorld(names, seed=s, allocator_count=3) for s in range(3)]
+    together = [PolicyWorld(machines, seed=s, allocator_count=3) for s in range(3)]
     mixed = [[world.request(service="s0")[1]] for world in together]
     assert mixed == alone
 
@@ -95,14 +95,16 @@
     world.now += 3_000.0
     call, actions = world.request()
     lines += world.handle(api.AttemptAccepted(call, 0, "m", 20.0))
-    lines += world.end_attempt(call, "m", api.Outcome.LOST, over=True, why=api.OutcomeReason.EVICTED)
-    told = " / ".join(line.text for line in kinds(lines, api.LogMessage))
+    lines += world.end_attempt(
+        call, "m", api.Outcome.LOST, is_call_closed=True, reason=api.OutcomeReason.EVICTED
+    )
+    text_of_all = " / ".join(line.text for line in kinds(lines, api.LogMessage))
     for text in ("does not answer, barred for", "answers again", "harvested room of m void:", "list failed"):
-        assert text in told
+        assert text in text_of_all
 
 
 @pytest.mark.parametrize(
-    "more",
+    "overrides",
     [
         {"list_has_free_capacity": True, "allocator_count": 3},
         {"probes_allowed": True, "reports_on_probe": True, "allocator_count": 2},
@@ -111,8 +113,8 @@
         {"tenant_quota_cores": {"t": 1.0}, "over_quota_weight": 0.1},
     ],
 )
-def test_tasks_are_placed_without_what_settings_withhold(more):
-    world = PolicyWorld([machine("m"), machine("n", "b")], **more)
+def test_tasks_are_placed_whatever_information_the_settings_withhold(overrides):
+    world = PolicyWorld([machine("m"), machine("n", "b")], **overrides)
     actions = world.request(tenant="t")[1] + world.run_for(1_500.0)
     assert binds(actions)
-    assert bool(kinds(actions, api.Probe)) == bool(more.get("reports_on_probe"))
+    assert bool(kinds(actions, api.Probe)) == bool(overrides.get("reports_on_probe"))
--- a/tests/support/event_stream.py
+++ b/tests/support/event_stream.py
@@ -1,6 +1,6 @@
-"""Seeded streams of events: a small fleet with a clock, which answers what a scheduler does.
+"""Seeded streams of events from a simulated fleet, which reacts to the actions of a scheduler.
 
-It keeps the contract in `glencleat/interface.py`."""
+The stream keeps the contract in `glencleat/interface.py`."""
 
 import heapq
 import itertools
@@ -41,7 +41,7 @@
     api.TaskClass("big-only", SAFE, 1000.0, 8000.0, 1.0, machine_kind="big"),
 )
 KINDS = {"std": api.MachineSize(16.0, 32.0), "big": api.MachineSize(32.0, 64.0)}
-REFUSALS = [
+REJECTION_REASONS = [
     api.OutcomeReason.UNSPECIFIED,
     api.OutcomeReason.INSUFFICIENT_CORES,
     api.OutcomeReason.INSUFFICIENT_MEMORY,
@@ -50,12 +50,12 @@
 ]
 
 
-def drawn_settings(rng, peers=None):
-    """A deployment at random, such as the six of the bench span."""
+def draw_settings(rng, allocator_count=None):
+    """Random settings, over the range of the six deployments of the bench."""
     probes = bool(rng.random() < 0.4)
     return api.Settings(
         allocator_index=0,
-        allocator_count=int(peers or rng.choice([1, 2, 20, 300])),
+        allocator_count=int(allocator_count or rng.choice([1, 2, 20, 300])),
         zone="z0",
         classes=CLASSES,
         machine_sizes=KINDS,
@@ -77,131 +77,139 @@
 
 
 class EventStream:
-    """Seeded events of one allocator's day: `step` gives the next one, `take` is told what was answered."""
+    """Seeded events to one scheduler: `next_event` returns one, `apply_actions` reacts to the answer."""
 
     def __init__(self, seed, hosts, services, settings=None, churn=0.15):
         self.rng = rng = np.random.default_rng(seed)
-        self.settings = settings or drawn_settings(rng)
+        self.settings = settings or draw_settings(rng)
         self.services, self.churn, self.now = services, churn, 1_000_000.0
         self.machines = {f"h{i}": self.machine(f"h{i}") for i in range(hosts)}
-        self.away = []
-        self.due, self.count, self.calls = [], itertools.count(), itertools.count(1)
-        self.open = {}  # call -> [attempts sent, class, service, left]
+        self.removed_names = []
+        self.due_events, self.count, self.calls = [], itertools.count(), itertools.count(1)
+        self.open_calls = {}  # call -> [attempts sent, class, service, abandoned, in flight or placed]
         self.running = {}  # call -> (attempt, machine)
-        self.later(0.0, self.whole)
+        self.schedule(0.0, self.take_snapshot)
 
     def machine(self, name, phase=api.MachinePhase.SERVING):
         rng = self.rng
         number = int(name[1:])
         kind = "big" if number % 5 == 0 else "odd" if number % 97 == 13 else "std"
-        up = None if rng.random() < 0.7 else self.now - float(rng.uniform(0.0, 20_000.0))
-        left = float(rng.uniform(-2.0, 16.0)), float(rng.uniform(0.0, 32.0))
-        return api.Machine(name, kind, f"z{number % 3}", number // 3 % 4, phase, *left, up)
+        ready_at = None if rng.random() < 0.7 else self.now - float(rng.uniform(0.0, 20_000.0))
+        free = float(rng.uniform(-2.0, 16.0)), float(rng.uniform(0.0, 32.0))
+        return api.Machine(name, kind, f"z{number % 3}", number // 3 % 4, phase, *free, ready_at)
 
-    def later(self, ms, make):
-        heapq.heappush(self.due, (self.now + ms, next(self.count), make))
+    def schedule(self, delay_ms, make_event):
+        heapq.heappush(self.due_events, (self.now + delay_ms, next(self.count), make_event))
 
-    def pick(self, items):
+    def choose(self, items):
         return items[int(self.rng.integers(len(items)))]
 
     # ---- events ----
 
-    def step(self):
-        """The next event, with the clock at its time."""
+    def next_event(self):
+        """Advances the clock to the next event, and returns time and event."""
         while True:
-            ahead = self.now + float(self.rng.exponential(12.0))
-            if self.due and self.due[0][0] <= ahead:
-                at, _, make = heapq.heappop(self.due)
-                self.now = max(self.now, at)
+            drawn_at = self.now + float(self.rng.exponential(12.0))
+            if self.due_events and self.due_events[0][0] <= drawn_at:
+                due_at, _, make_event = heapq.heappop(self.due_events)
+                self.now = max(self.now, due_at)
             else:
-                self.now, make = ahead, self.spontaneous
-            if (event := make()) is not None:
+                self.now, make_event = drawn_at, self.draw_event
+            if (event := make_event()) is not None:
                 return self.now, event
 
-    def spontaneous(self):
+    def draw_event(self):
         draw = self.rng.random()
         if draw < self.churn:
-            return self.changes()
+            return self.change_machines()
         if draw < self.churn + 0.02:
             return (
-                self.whole() if self.rng.random() < 0.6 else api.MachineListUpdated(api.ListUpdateKind.FAILED)
+                self.take_snapshot()
+                if self.rng.random() < 0.6
+                else api.MachineListUpdated(api.ListUpdateKind.FAILED)
             )
         if draw < self.churn + 0.35 and self.running:
-            return self.note()
+            return self.observe_task()
         if draw < self.churn + 0.38 and self.machines:
-            return api.ReachabilityChanged(self.pick(list(self.machines)), bool(self.rng.random() < 0.6))
-        if draw < self.churn + 0.40 and self.open:
-            call = self.pick(list(self.open))
-            self.open[call][3] = True
-            if call not in self.running and not self.open[call][4]:
-                self.open.pop(call)
+            return api.ReachabilityChanged(self.choose(list(self.machines)), bool(self.rng.random() < 0.6))
+        if draw < self.churn + 0.40 and self.open_calls:
+            call = self.choose(list(self.open_calls))
+            self.open_calls[call][3] = True
+            if call not in self.running and not self.open_calls[call][4]:
+                self.open_calls.pop(call)
             return api.CallAbandoned(call)
-        return self.ask()
+        return self.request_placement()
 
-    def ask(self, cls=None, service=None, again=False):
+    def request_placement(self, cls=None, service=None, is_retry=False):
         call, rng = next(self.calls), self.rng
-        cls = cls or self.pick(CLASSES).name
+        cls = cls or self.choose(CLASSES).name
         service = service or f"s{min(int(rng.exponential(max(1.0, self.services / 4))), self.services - 1)}"
         size = float(rng.choice([0.2, 1.0, 4.0])), float(rng.choice([0.5, 2.0, 8.0]))
-        told = next(c for c in CLASSES if c.name == cls)
+        task_class = next(c for c in CLASSES if c.name == cls)
         if self.machines and rng.random() < 0.04:
-            name = self.pick([*self.machines, "h-unlisted"])
-            self.open[call] = [1, cls, service, False, False]
-            self.placed(call, 0, name)
+            name = self.choose([*self.machines, "h-unlisted"])
+            self.open_calls[call] = [1, cls, service, False, False]
+            self.record_placed(call, 0, name)
             return api.PlacementRequested(call, cls, service, *size, machine=name)
-        self.open[call] = [0, cls, service, False, False]
-        left = told.deadline_ms - (200.0 if rng.random() < 0.1 else 0.0)
-        return api.PlacementRequested(call, cls, service, *size, left, tenant=f"t{call % 3}", is_retry=again)
+        self.open_calls[call] = [0, cls, service, False, False]
+        remaining_ms = task_class.deadline_ms - (200.0 if rng.random() < 0.1 else 0.0)
+        return api.PlacementRequested(
+            call, cls, service, *size, remaining_ms, tenant=f"t{call % 3}", is_retry=is_retry
+        )
 
-    def note(self):
-        call = self.pick(list(self.running))
-        kind = self.pick(list(api.ObservationKind))
+    def observe_task(self):
+        call = self.choose(list(self.running))
+        kind = self.choose(list(api.ObservationKind))
         return api.TaskObserved(call, self.running[call][1], kind, float(self.rng.uniform(0.0, 1.5)))
 
-    def whole(self):
-        told = [m for m in self.machines.values() if self.rng.random() < 0.97]
-        return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(told))
+    def take_snapshot(self):
+        listed = [m for m in self.machines.values() if self.rng.random() < 0.97]
+        return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(listed))
 
-    def changes(self):
-        """One machine, or now and then many at once: new, back, drained, gone, or with other room."""
-        many = 1 if self.rng.random() < 0.8 else int(self.rng.integers(2, 8 + len(self.machines) // 3))
-        told = {}
-        for _ in range(many):
+    def change_machines(self):
+        """A delta of one machine, or sometimes many: added, returned, draining, removed, other capacity."""
+        count = 1 if self.rng.random() < 0.8 else int(self.rng.integers(2, 8 + len(self.machines) // 3))
+        changed = {}
+        for _ in range(count):
             draw = self.rng.random()
             if draw < 0.3 and self.machines:
-                name = self.pick(list(self.machines))
-                gone = replace(self.machines.pop(name), phase=api.MachinePhase.REMOVED)
-                self.away.append(name)
-                told[name] = gone
-            elif draw < 0.55 and self.away:
-                name = self.away.pop(int(self.rng.integers(len(self.away))))
-                told[name] = self.machines[name] = self.machine(name)
+                name = self.choose(list(self.machines))
+                removed = replace(self.machines.pop(name), phase=api.MachinePhase.REMOVED)
+                self.removed_names.append(name)
+                changed[name] = removed
+            elif draw < 0.55 and self.removed_names:
+                name = self.removed_names.pop(int(self.rng.integers(len(self.removed_names))))
+                changed[name] = self.machines[name] = self.machine(name)
             elif draw < 0.65:
-                name = f"h{len(self.machines) + len(self.away) + int(self.rng.integers(1000, 9000))}"
-                told[name] = self.machines[name] = self.machine(name)
-                self.away = [other for other in self.away if other != name]
+                name = f"h{len(self.machines) + len(self.removed_names) + int(self.rng.integers(1000, 9000))}"
+                changed[name] = self.machines[name] = self.machine(name)
+                self.removed_names = [other for other in self.removed_names if other != name]
             elif self.machines:
-                name = self.pick(list(self.machines))
+                name = self.choose(list(self.machines))
                 phase = api.MachinePhase.DRAINING if draw < 0.8 else api.MachinePhase.SERVING
-                told[name] = self.machines[name] = self.machine(name, phase)
-        return api.MachineListUpdated(api.ListUpdateKind.DELTA, tuple(told.values()))
+                changed[name] = self.machines[name] = self.machine(name, phase)
+        return api.MachineListUpdated(api.ListUpdateKind.DELTA, tuple(changed.values()))
 
-    # ---- what is answered ----
+    # ---- reactions to the scheduler's actions ----
 
-    def take(self, actions):
+    def apply_actions(self, actions):
         for action in actions:
             if isinstance(action, api.Bind):
-                self.bound(action)
+                self.start_attempt(action)
             elif isinstance(action, api.SetTimer):
-                self.later(action.delay_ms, lambda token=action.token: api.TimerFired(token))
+                self.schedule(action.delay_ms, lambda token=action.token: api.TimerFired(token))
             elif isinstance(action, api.WatchMachineList):
-                self.later(5.0, self.whole)
+                self.schedule(5.0, self.take_snapshot)
             elif isinstance(action, api.Probe):
-                self.later(float(self.rng.uniform(2.0, 90.0)), lambda name=action.machine: self.probed(name))
+                self.schedule(
+                    float(self.rng.uniform(2.0, 90.0)), lambda name=action.machine: self.end_probe(name)
+                )
             elif isinstance(action, api.Reject | api.Fail):
-                _, cls, service, *_ = self.open.pop(action.call_id)
+                _, cls, service, *_ = self.open_calls.pop(action.call_id)
                 if self.rng.random() < 0.5:
-                    self.later(100.0, lambda cls=cls, service=service: self.ask(cls, service, True))
+                    self.schedule(
+                        100.0, lambda cls=cls, service=service: self.request_placement(cls, service, True)
+                    )
 
     def report(self):
         rng = self.rng
@@ -212,58 +220,66 @@
         )
         return api.LoadReport(*free, float(rng.uniform(0.0, 1.0)), float(rng.integers(0, 4)))
 
-    def probed(self, name):
+    def end_probe(self, name):
         if self.rng.random() < 0.85:
             return api.ProbeEnded(name, api.Outcome.COMPLETED, self.report())
         return api.ProbeEnded(name, api.Outcome.TIMED_OUT)
 
-    def bound(self, bind):
-        attempt, self.open[bind.call_id][0] = self.open[bind.call_id][0], self.open[bind.call_id][0] + 1
-        self.open[bind.call_id][4] = True  # an attempt is out
-        draw, spent = self.rng.random(), float(self.rng.uniform(1.0, 150.0))
+    def start_attempt(self, bind):
+        attempt, self.open_calls[bind.call_id][0] = (
+            self.open_calls[bind.call_id][0],
+            self.open_calls[bind.call_id][0] + 1,
+        )
+        self.open_calls[bind.call_id][4] = True  # an attempt is in flight
+        draw, elapsed_ms = self.rng.random(), float(self.rng.uniform(1.0, 150.0))
         if bind.machine not in self.machines or draw < 0.03:
-            outcome, why = api.Outcome.UNREACHABLE, api.OutcomeReason.UNSPECIFIED
+            outcome, reason = api.Outcome.UNREACHABLE, api.OutcomeReason.UNSPECIFIED
         elif draw < 0.7:
-            self.later(spent, lambda: self.accepted(bind.call_id, attempt, bind.machine, spent))
+            self.schedule(
+                elapsed_ms, lambda: self.accept_attempt(bind.call_id, attempt, bind.machine, elapsed_ms)
+            )
             return
         elif draw < 0.85:
-            outcome, why = api.Outcome.REJECTED, self.pick(REFUSALS)
+            outcome, reason = api.Outcome.REJECTED, self.choose(REJECTION_REASONS)
         else:
-            why = api.OutcomeReason.UNSPECIFIED
-            outcome = self.pick(
+            reason = api.OutcomeReason.UNSPECIFIED
+            outcome = self.choose(
                 [api.Outcome.TIMED_OUT, api.Outcome.LOST, api.Outcome.ERROR, api.Outcome.NOT_SENT]
             )
-            spent = bind.timeout_ms if outcome is api.Outcome.TIMED_OUT else spent
-        self.later(spent, lambda: self.returned(bind.call_id, attempt, bind.machine, outcome, spent, why))
+            elapsed_ms = bind.timeout_ms if outcome is api.Outcome.TIMED_OUT else elapsed_ms
+        self.schedule(
+            elapsed_ms,
+            lambda: self.end_attempt(bind.call_id, attempt, bind.machine, outcome, elapsed_ms, reason),
+        )
 
-    def accepted(self, call, attempt, name, spent):
-        self.placed(call, attempt, name)
-        return api.AttemptAccepted(call, attempt, name, spent)
+    def accept_attempt(self, call, attempt, name, elapsed_ms):
+        self.record_placed(call, attempt, name)
+        return api.AttemptAccepted(call, attempt, name, elapsed_ms)
 
-    def placed(self, call, attempt, name):
+    def record_placed(self, call, attempt, name):
         self.running[call] = attempt, name
-        self.open[call][4] = True
-        life = float(self.rng.exponential(3_000.0))
-        self.later(life, lambda: self.ended(call, attempt, name, life))
+        self.open_calls[call][4] = True
+        lifetime_ms = float(self.rng.exponential(3_000.0))
+        self.schedule(lifetime_ms, lambda: self.end_task(call, attempt, name, lifetime_ms))
 
-    def ended(self, call, attempt, name, life):
-        del self.running[call], self.open[call]
+    def end_task(self, call, attempt, name, lifetime_ms):
+        del self.running[call], self.open_calls[call]
         draw = self.rng.random()
         outcome = (
             api.Outcome.COMPLETED if draw < 0.8 else api.Outcome.LOST if draw < 0.95 else api.Outcome.STOPPED
         )
-        why = (
-            self.pick([api.OutcomeReason.EVICTED, api.OutcomeReason.DRAINED, api.OutcomeReason.UNSPECIFIED])
+        reason = (
+            self.choose([api.OutcomeReason.EVICTED, api.OutcomeReason.DRAINED, api.OutcomeReason.UNSPECIFIED])
             if draw >= 0.8
             else api.OutcomeReason.UNSPECIFIED
         )
         report = self.report() if self.rng.random() < 0.3 else None
-        return api.AttemptEnded(call, attempt, name, outcome, life, True, why, report)
+        return api.AttemptEnded(call, attempt, name, outcome, lifetime_ms, True, reason, report)
 
-    def returned(self, call, attempt, name, outcome, spent, why):
-        over = self.open[call][3]
-        self.open[call][4] = False
-        if over:
-            del self.open[call]
+    def end_attempt(self, call, attempt, name, outcome, elapsed_ms, reason):
+        is_abandoned = self.open_calls[call][3]
+        self.open_calls[call][4] = False
+        if is_abandoned:
+            del self.open_calls[call]
         report = self.report() if outcome is api.Outcome.REJECTED and self.rng.random() < 0.5 else None
-        return api.AttemptEnded(call, attempt, name, outcome, spent, over, why, report)
+        return api.AttemptEnded(call, attempt, name, outcome, elapsed_ms, is_abandoned, reason, report)
--- a/tests/support/policy_world.py
+++ b/tests/support/policy_world.py
@@ -1,4 +1,4 @@
-"""A scheduler on a clock of its own, with short forms of the events that tests hand to it."""
+"""A scheduler with a simulated clock, and helpers for the events that tests pass to it."""
 
 from glencleat import interface as api
 from glencleat.policy.attempts import HELD_TASK_INTERVAL_MS
@@ -35,8 +35,8 @@
 BIG_ONLY = api.TaskClass("big-only", api.Idempotency.IDEMPOTENT, 1000.0, 8000.0, 1.0, machine_kind="big")
 
 
-def settings(**more):
-    told = dict(
+def settings(**overrides):
+    defaults = dict(
         allocator_index=0,
         allocator_count=1,
         zone="a",
@@ -51,50 +51,54 @@
         warm_up_offers=6.0,
         watch_on_request=True,
     )
-    return api.Settings(**(told | more))
+    return api.Settings(**(defaults | overrides))
 
 
-def machine(name, zone="a", phase=api.MachinePhase.SERVING, kind="std", ready=None):
-    return api.Machine(name, kind, zone, 0, phase, 16.0, 32.0, ready)
+def machine(name, zone="a", phase=api.MachinePhase.SERVING, kind="std", ready_at_ms=None):
+    return api.Machine(name, kind, zone, 0, phase, 16.0, 32.0, ready_at_ms)
 
 
 class PolicyWorld:
-    """A scheduler, its clock and its calls."""
+    """A scheduler, its simulated clock, and the number of its calls."""
 
-    def __init__(self, machines=(), seed=7, now=1_000_000.0, **more):
-        self.now, self.scheduler, self.calls = now, Scheduler(settings(**more), seed), 0
+    def __init__(self, machines=(), seed=7, now=1_000_000.0, **overrides):
+        self.now, self.scheduler, self.calls = now, Scheduler(settings(**overrides), seed), 0
         self.handle(api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(machines)))
 
     def handle(self, event):
         return self.scheduler.handle(self.now, event)
 
-    def request(self, task_class="safe", service="s", cores=1.0, memory=2.0, left=8000.0, **more):
+    def request(self, task_class="safe", service="s", cores=1.0, memory=2.0, remaining_ms=8000.0, **fields):
         self.calls += 1
         return self.calls, self.handle(
-            api.PlacementRequested(self.calls, task_class, service, cores, memory, left, **more)
+            api.PlacementRequested(self.calls, task_class, service, cores, memory, remaining_ms, **fields)
         )
 
-    def end_attempt(self, call, host, outcome, attempt=0, over=False, why=api.OutcomeReason.UNSPECIFIED):
-        return self.handle(api.AttemptEnded(call, attempt, host, outcome, 20.0, over, why))
+    def end_attempt(
+        self, call, host, outcome, attempt=0, is_call_closed=False, reason=api.OutcomeReason.UNSPECIFIED
+    ):
+        return self.handle(api.AttemptEnded(call, attempt, host, outcome, 20.0, is_call_closed, reason))
 
-    def run_for(self, ms):
-        actions, end = [], self.now + ms
+    def run_for(self, duration_ms):
+        actions, end = [], self.now + duration_ms
         while self.now < end:
             self.now += HELD_TASK_INTERVAL_MS
             actions += self.handle(api.TimerFired(0))
         return actions
 
-    def complete_tasks(self, service="s", task_class="safe", count=MIN_SAMPLES, use=0.5, life=10_000.0):
-        """Lets tasks run and end, until profiles are used."""
+    def complete_tasks(
+        self, service="s", task_class="safe", count=MIN_SAMPLES, usage=0.5, lifetime_ms=10_000.0
+    ):
+        """Runs tasks to completion, by default enough that their profiles are used."""
         for _ in range(count):
             call, actions = self.request(task_class, service)
             host = binds(actions)[0].machine
             self.handle(api.AttemptAccepted(call, 0, host, 20.0))
             self.handle(api.TaskObserved(call, host, api.ObservationKind.RUNNING, 1.0))
-            self.handle(api.TaskObserved(call, host, api.ObservationKind.CORES_IN_USE, use))
-            self.handle(api.TaskObserved(call, host, api.ObservationKind.MEMORY_IN_USE, use * 2.0))
-            self.now += life
-            self.end_attempt(call, host, api.Outcome.COMPLETED, over=True)
+            self.handle(api.TaskObserved(call, host, api.ObservationKind.CORES_IN_USE, usage))
+            self.handle(api.TaskObserved(call, host, api.ObservationKind.MEMORY_IN_USE, usage * 2.0))
+            self.now += lifetime_ms
+            self.end_attempt(call, host, api.Outcome.COMPLETED, is_call_closed=True)
 
 
 def kinds(actions, *types):
--- a/tests/support/reference_scheduler.py
+++ b/tests/support/reference_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler with its list, orders and walks from scratch at each use, to compare the real one with."""
+"""A reference scheduler that recomputes list, orders and candidates at each use, to check the real one."""
 
 import sys
 from dataclasses import replace
@@ -15,14 +15,14 @@
 
 
 class SortedMachines:
-    """Stands for `RendezvousIndex`: every order is sorted anew after each list."""
+    """Replaces `RendezvousIndex`: sorts every order again after each list."""
 
     def __init__(self):
         self.machines = []
         self.orders = {}
 
-    def set_present(self, machine, there):
-        """Membership is set whole after each list."""
+    def set_present(self, machine, is_present):
+        """Does nothing: `set_machines` sets all members after each list."""
 
     def set_machines(self, machines):
         self.machines = machines
@@ -36,13 +36,13 @@
 
 
 class CopyingPlacement(Placement):
-    """Every walk copies the machines that it may come to."""
+    """Copies all machines that may be examined, instead of yielding them lazily."""
 
     def walk_machines(self, task):
         state = self.state
         running = state.tasks_by_service.get(task.service, {}).values()
         names = [other.machine.name for other in running if other.machine]
-        names += self.starts.machines_kept_warm(task.service)
+        names += self.starts.use_times_by_machine(task.service)
         warm = [state.machines[name] for name in names if name in state.machines]
         ordered = [*warm, *state.serving_machines.get_order(task.service)]
         machines = list({machine.name: machine for machine in ordered}.values())
@@ -53,7 +53,7 @@
 
 
 class CheckedProgramStarts(ProgramStarts):
-    """Which service's tasks a machine has is told alike by both tables."""
+    """Asserts that both tables agree on which services have tasks on a machine."""
 
     def program_warmth(self, machine, service):
         by_service = any(t.machine is machine for t in self.state.tasks_by_service.get(service, {}).values())
@@ -62,7 +62,7 @@
 
 
 class SummingUsageEstimate(UsageEstimate):
-    """The ratio of use to request, by a loop over all tasks."""
+    """Computes the ratio of usage to request by a loop over all tasks."""
 
     def __init__(self, state):
         super().__init__()
@@ -78,7 +78,7 @@
 
 
 class ScanningListTracker(MachineListTracker):
-    """Every list is followed by a look at all machines."""
+    """Scans all machines after each list."""
 
     def on_list_updated(self, event):
         if event.kind is api.ListUpdateKind.FAILED:
@@ -93,8 +93,8 @@
         for entry in entries.values():
             machine = state.machines.get(entry.name)
             if machine is None or not machine.is_size_known:
-                old, machine = machine, MachineState(entry, state.settings.machine_sizes.get(entry.kind))
-                machine.tasks = old.tasks if old else {}
+                previous, machine = machine, MachineState(entry, state.settings.machine_sizes.get(entry.kind))
+                machine.tasks = previous.tasks if previous else {}
                 for task in machine.tasks.values():
                     task.machine = machine
                 state.machines[entry.name] = machine
@@ -111,7 +111,7 @@
 
 
 class ReferenceScheduler(Scheduler):
-    """Every order sorted after each list, every walk copied, every list scanned, as it was written first."""
+    """The straightforward implementation: sorts orders after each list, copies candidates, scans lists."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -128,25 +128,28 @@
 
 
 def patch_policy_constant(monkeypatch, name, value):
-    """Sets a constant in each module of the policy that has it; there must be one."""
-    holders = [
+    """Sets a constant in every module of the policy that has it; at least one must."""
+    modules = [
         m for path, m in sys.modules.items() if path.startswith("glencleat.policy.") and hasattr(m, name)
     ]
-    assert holders, name
-    for module in holders:
+    assert modules, name
+    for module in modules:
         monkeypatch.setattr(module, name, value)
 
 
 def find_difference(first, second, stream, steps):
-    """Tells both the same events; None, or at which event, at what time and how their answers differ."""
+    """Passes the same events to both schedulers, and compares actions and state.
+
+    Returns None, or number, time and event of the first difference and the two differing values.
+    """
     for number in range(steps):
-        now, event = stream.step()
+        now, event = stream.next_event()
         one, two = first.handle(now, event), second.handle(now, event)
         if one != two:
             return number, now, event, one, two
         if first.usage.ratio != second.usage.ratio:
             return number, now, event, first.usage.ratio, second.usage.ratio
-        stream.take(one)
+        stream.apply_actions(one)
     one, two = first.state, second.state
     if one.random.getstate() != two.random.getstate() or list(one.machines) != list(two.machines):
         return steps, stream.now, None, len(one.machines), len(two.machines)
--- a/tests/support/wire_day.py
+++ b/tests/support/wire_day.py
@@ -1,9 +1,8 @@
-"""Seeded event streams on the simulator's wire, and the replies of an adapter to them.
+"""Seeded event streams on the simulator's wire protocol, and an adapter's replies to them.
 
-Nothing here imports the scheduler: a day is lines of text in and lines of text out, so that two versions of
-the program whose Python names differ can be compared by it. `Day` is the simulator's side for several
-allocators over one fleet of hosts. It reads only the replies, draws from `random.Random` alone, and sends
-every kind of event that the wire has."""
+Nothing here imports the scheduler: a stream is lines of text in and out, so that it can compare two versions
+of the program whose Python names differ. `Day` simulates the simulator for several allocators over one fleet
+of hosts. It depends only on the replies and on `random.Random`, and sends every kind of event of the wire."""
 
 from __future__ import annotations
 
@@ -17,13 +16,13 @@
 from typing import Any
 
 Line = list[Any]
-Adapter = Callable[[str], str]  # the text of one batch -> the text of its reply
+Adapter = Callable[[str], str]  # text of one batch -> text of its reply
 
 TICK_MS = 2.0
 START_MS = 1_000_000.0
 HOST_KINDS = {"standard": (16, 32.0), "large": (32, 64.0)}
 ZONES = ("zone-a", "zone-b", "zone-c")
-# name, effect, group, priority, where its tasks are spread, most tasks in one such place, kind index
+# name, effect, group, priority, domain of spread, most tasks in one such domain, machine kind index
 CLASSES = (
     ("front", "pure", "all", 0, "off", 0, -1),
     ("urgent", "pure", "all", 2, "off", 0, -1),
@@ -35,23 +34,23 @@
     ("spread-zone", "pure", "all", 0, "zone", 4, -1),
     ("large-only", "pure", "all", 0, "off", 0, 1),
 )
-REFUSED, TIMED_OUT, UNREACHABLE, ENDED, ERROR, LOST, STOPPED, NOT_SENT = 2, 3, 4, 1, 0, 5, 6, 7
+REJECTED, TIMED_OUT, UNREACHABLE, COMPLETED, ERROR, LOST, STOPPED, NOT_SENT = 2, 3, 4, 1, 0, 5, 6, 7
 
 
 @dataclass
 class Call:
-    """A request of one allocator that is not over."""
+    """An open call of one allocator."""
 
     task_class: str
     service: str
     attempts: int = 0
-    outstanding: bool = False
-    has_left: bool = False
+    is_attempt_in_flight: bool = False
+    is_abandoned: bool = False
 
 
 @dataclass
 class Allocator:
-    """The simulator's view of one instance."""
+    """The simulator's state of one instance."""
 
     name: str
     number: int
@@ -62,10 +61,10 @@
 
 
 class Day:
-    """One seeded day: `next_batch` gives the lines of a batch, `take` is told the reply."""
+    """One seeded stream: `next_batch` returns the lines of a batch, `handle_reply` reacts to its reply."""
 
     def __init__(self, seed: int, allocators: int, hosts: int, services: int, gap_ms: float) -> None:
-        """`gap_ms`: mean time between two spontaneous events, over all allocators."""
+        """`gap_ms`: mean time between two random events, over all allocators."""
         self.random = random.Random(seed)
         self.gap_ms = gap_ms
         self.services = services
@@ -73,16 +72,16 @@
         self.order = itertools.count()
         self.call_numbers = itertools.count(1)
         self.host_numbers = itertools.count(hosts)
-        self.rosters = itertools.count()
-        self.due: list[tuple[float, int, Callable[[], list[Line]]]] = []
+        self.directory_numbers = itertools.count()
+        self.due_events: list[tuple[float, int, Callable[[], list[Line]]]] = []
         self.settings = self._draw_settings(allocators)
         self.hosts = {f"host-{i}": self._entry(f"host-{i}", i) for i in range(hosts)}
-        self.away: list[str] = []
+        self.removed_names: list[str] = []
         self.allocators = [Allocator(f"allocator_{i}", i) for i in range(allocators)]
         self.by_name = {allocator.name: allocator for allocator in self.allocators}
         for allocator in self.allocators:
-            self._later(0.0, lambda allocator=allocator: self._begin(allocator))
-        self._later(TICK_MS, self._spontaneous)
+            self._schedule(0.0, lambda allocator=allocator: self._start_instance(allocator))
+        self._schedule(TICK_MS, self._draw_event)
 
     # ---- settings and hosts ----
 
@@ -156,63 +155,66 @@
         place = [ZONES[number % len(ZONES)], number // 3 % 4]
         return [1.0, round(memory, 3), kind, phase, name, round(cores, 3), *place, ready]
 
-    # ---- the clock ----
+    # ---- clock ----
 
-    def _later(self, in_ms: float, make: Callable[[], list[Line]]) -> None:
-        heapq.heappush(self.due, (self.now + in_ms, next(self.order), make))
+    def _schedule(self, delay_ms: float, make_lines: Callable[[], list[Line]]) -> None:
+        heapq.heappush(self.due_events, (self.now + delay_ms, next(self.order), make_lines))
 
     def next_batch(self) -> list[Line]:
-        """All events of the next tick in which there are any, within BEGIN_BATCH and EOB."""
+        """The batch of the next tick that has events, from BEGIN_BATCH to EOB."""
         lines: list[Line] = []
         while not lines:
-            self.now = max(self.now + TICK_MS, TICK_MS * -(-self.due[0][0] // TICK_MS))
-            while self.due and self.due[0][0] <= self.now:
-                lines.extend(heapq.heappop(self.due)[2]())
+            self.now = max(self.now + TICK_MS, TICK_MS * -(-self.due_events[0][0] // TICK_MS))
+            while self.due_events and self.due_events[0][0] <= self.now:
+                lines.extend(heapq.heappop(self.due_events)[2]())
         return [["BEGIN_BATCH", self.now, next(self.order)], *lines, ["EOB"]]
 
-    def _spontaneous(self) -> list[Line]:
-        self._later(self.random.expovariate(1.0 / self.gap_ms), self._spontaneous)
+    def _draw_event(self) -> list[Line]:
+        self._schedule(self.random.expovariate(1.0 / self.gap_ms), self._draw_event)
         allocator, draw = self.random.choice(self.allocators), self.random.random()
         if draw < 0.12:
             return self._change_fleet()
         if draw < 0.13:
             return self._restart(allocator)
         if draw < 0.14:
-            return self._list(allocator, "full" if self.random.random() < 0.6 else "failed")
+            return self._send_list(allocator, "full" if self.random.random() < 0.6 else "failed")
         if draw < 0.15:
             return [["MEMO", allocator.name, 0, "aGVsbG8="]]
         if draw < 0.45 and allocator.running:
-            return self._note(allocator)
+            return self._observe_task(allocator)
         if draw < 0.48 and allocator.calls:
-            return self._leave(allocator)
+            return self._abandon_call(allocator)
         if draw < 0.52:
             return self._adopt(allocator)
-        return self._arrive(allocator)
+        return self._request_placement(allocator)
 
     # ---- events ----
 
-    def _begin(self, allocator: Allocator) -> list[Line]:
+    def _start_instance(self, allocator: Allocator) -> list[Line]:
         allocator.incarnation += 1
         config = {**self.settings, "position": allocator.number, "az": ZONES[allocator.number % len(ZONES)]}
         seed = 1_000 * allocator.incarnation + allocator.number
-        return [["NEW_INSTANCE", allocator.name, seed, config], *self._list(allocator, "cached")]
+        return [["NEW_INSTANCE", allocator.name, seed, config], *self._send_list(allocator, "cached")]
 
     def _restart(self, allocator: Allocator) -> list[Line]:
         allocator.calls.clear()
         allocator.running.clear()
-        return [["SHUTDOWN", allocator.name], *self._begin(allocator)]
+        return [["SHUTDOWN", allocator.name], *self._start_instance(allocator)]
 
-    def _list(self, allocator: Allocator, how: str, entries: list[Line] | None = None) -> list[Line]:
+    def _send_list(self, allocator: Allocator, kind: str, entries: list[Line] | None = None) -> list[Line]:
         allocator.revision += 1
-        if how == "failed":
-            return [["REGISTRY", allocator.name, allocator.revision, 0, how]]
+        if kind == "failed":
+            return [["REGISTRY", allocator.name, allocator.revision, 0, kind]]
         if entries is None:
             entries = [entry for entry in self.hosts.values() if self.random.random() < 0.97]
-        roster = next(self.rosters) % 16
-        return [["DIRECTORY", roster, entries], ["REGISTRY", allocator.name, allocator.revision, roster, how]]
+        directory = next(self.directory_numbers) % 16
+        return [
+            ["DIRECTORY", directory, entries],
+            ["REGISTRY", allocator.name, allocator.revision, directory, kind],
+        ]
 
     def _change_fleet(self) -> list[Line]:
-        """One host or many: new, back, draining, gone, or with another load; each allocator is told."""
+        """Sends a delta of one or many hosts to all: added, returned, draining, removed, other load."""
         count = 1 if self.random.random() < 0.9 else self.random.randrange(2, 4 + len(self.hosts) // 8)
         changed: dict[str, Line] = {}
         for _ in range(count):
@@ -220,8 +222,8 @@
             changed[entry[4]] = entry
         entries = list(changed.values())
         for allocator in self.allocators:
-            in_ms = self.random.uniform(0.0, 40.0)
-            self._later(in_ms, lambda allocator=allocator: self._list(allocator, "delta", entries))
+            delay_ms = self.random.uniform(0.0, 40.0)
+            self._schedule(delay_ms, lambda allocator=allocator: self._send_list(allocator, "delta", entries))
         return []
 
     def _changed_host(self, draw: float) -> Line:
@@ -229,10 +231,10 @@
             name = self.random.choice(list(self.hosts))
             entry = list(self.hosts.pop(name))
             entry[3] = "DELETED"
-            self.away.append(name)
+            self.removed_names.append(name)
             return entry
-        if draw < 0.55 and self.away:
-            name = self.away.pop(self.random.randrange(len(self.away)))
+        if draw < 0.55 and self.removed_names:
+            name = self.removed_names.pop(self.random.randrange(len(self.removed_names)))
             self.hosts[name] = self._entry(name, int(name[5:]))
             return self.hosts[name]
         if draw < 0.65:
@@ -245,7 +247,7 @@
         self.hosts[name] = self._entry(name, int(name[5:]), phase)
         return self.hosts[name]
 
-    def _shape(self) -> tuple[str, str, float, float]:
+    def _draw_task(self) -> tuple[str, str, float, float]:
         task_class = self.random.choice(CLASSES)[0]
         rank = min(int(self.random.expovariate(4.0 / self.services)), self.services - 1)
         return (
@@ -255,22 +257,22 @@
             self.random.choice([0.5, 2.0, 8.0]),
         )
 
-    def _arrive(
-        self, allocator: Allocator, again: tuple[str, str, float, float] | None = None, flags: int = 0
+    def _request_placement(
+        self, allocator: Allocator, retried: tuple[str, str, float, float] | None = None, flags: int = 0
     ) -> list[Line]:
-        call, shape = next(self.call_numbers), again or self._shape()
-        task_class, service, cores, memory = shape
+        call, task = next(self.call_numbers), retried or self._draw_task()
+        task_class, service, cores, memory = task
         allocator.calls[call] = Call(task_class, service)
-        left = 8_000.0 - (200.0 if self.random.random() < 0.1 else 0.0)
+        remaining_ms = 8_000.0 - (200.0 if self.random.random() < 0.1 else 0.0)
         tenant = f"tenant-{call % 3}" if call % 4 else 0
-        rest = [f"task-{call}", left, 5_000.0, service, cores, memory, flags]
+        rest = [f"task-{call}", remaining_ms, 5_000.0, service, cores, memory, flags]
         return [["ARRIVAL", allocator.name, call, task_class, tenant, *rest]]
 
     def _adopt(self, allocator: Allocator) -> list[Line]:
-        call, (task_class, service, cores, memory) = next(self.call_numbers), self._shape()
+        call, (task_class, service, cores, memory) = next(self.call_numbers), self._draw_task()
         host = self.random.choice([*self.hosts, "host-unlisted"])
-        allocator.calls[call] = Call(task_class, service, attempts=1, outstanding=True)
-        self._run(allocator, call, 0, host)
+        allocator.calls[call] = Call(task_class, service, attempts=1, is_attempt_in_flight=True)
+        self._record_running(allocator, call, 0, host)
         rest = [host, 5_000.0, memory, f"task-{call}"]
         return [
             [
@@ -287,21 +289,21 @@
             ]
         ]
 
-    def _note(self, allocator: Allocator) -> list[Line]:
+    def _observe_task(self, allocator: Allocator) -> list[Line]:
         call = self.random.choice(list(allocator.running))
         attempt, host = allocator.running[call]
         value = round(self.random.uniform(0.0, 1.5), 4)
         return [["STATUS_NOTE", allocator.name, call, self.random.randint(1, 6), host, value, attempt]]
 
-    def _leave(self, allocator: Allocator) -> list[Line]:
+    def _abandon_call(self, allocator: Allocator) -> list[Line]:
         call = self.random.choice(list(allocator.calls))
-        allocator.calls[call].has_left = True
-        # The reply to this batch may still hold an attempt that was decided before the LEFT was read.
-        self._guarded(allocator, 0.0, lambda: self._forget_left(allocator, call), call)
+        allocator.calls[call].is_abandoned = True
+        # The reply to this batch may still contain an attempt from before the LEFT was handled.
+        self._schedule_unless_ended(allocator, 0.0, lambda: self._forget_abandoned(allocator, call), call)
         return [["LEFT", allocator.name, call]]
 
-    def _forget_left(self, allocator: Allocator, call: int) -> list[Line]:
-        if not allocator.calls[call].outstanding:
+    def _forget_abandoned(self, allocator: Allocator, call: int) -> list[Line]:
+        if not allocator.calls[call].is_attempt_in_flight:
             del allocator.calls[call]
         return []
 
@@ -314,113 +316,148 @@
             }
         return report
 
-    # ---- what the allocators reply ----
+    # ---- reactions to the allocators' replies ----
 
-    def take(self, reply: list[Line]) -> None:
+    def handle_reply(self, reply: list[Line]) -> None:
         for name, *values in reply:
             if name in ("BIND", "PUSH_BACK", "FAIL") and values[1] not in self.by_name[values[0]].calls:
-                continue  # of an instance that was shut down later in the same batch
+                continue  # from an instance that was shut down later in the same batch
             if name == "BIND":
-                self._bound(self.by_name[values[0]], *values[1:])
+                self._start_attempt(self.by_name[values[0]], *values[1:])
             elif name == "SET_TIMER":
                 self._set_timer(self.by_name[values[0]], *values[1:])
             elif name == "KEEP_INFORMED":
-                self._ask_list(self.by_name[values[0]])
+                self._answer_watch(self.by_name[values[0]])
             elif name == "INSPECT":
-                self._probe(self.by_name[values[0]], values[1])
+                self._answer_probe(self.by_name[values[0]], values[1])
             elif name in ("PUSH_BACK", "FAIL"):
-                self._answered(self.by_name[values[0]], values[1])
+                self._close_call(self.by_name[values[0]], values[1])
             elif name not in ("TRACE", "NEXT", "SHIFT"):
-                raise AssertionError(f"not expected in a reply: {name} {values}")
+                raise AssertionError(f"unexpected message in a reply: {name} {values}")
 
-    def _guarded(
-        self, allocator: Allocator, in_ms: float, make: Callable[[], list[Line]], call: int | None = None
+    def _schedule_unless_ended(
+        self,
+        allocator: Allocator,
+        delay_ms: float,
+        make_lines: Callable[[], list[Line]],
+        call: int | None = None,
     ) -> None:
-        """An event that goes unsaid if the allocator restarts, or the call ends, before it."""
+        """Schedules an event that is dropped if the allocator restarts or the call ends before it."""
         incarnation = allocator.incarnation
 
-        def guarded() -> list[Line]:
+        def make_lines_unless_ended() -> list[Line]:
             is_known = call is None or call in allocator.calls
-            return make() if allocator.incarnation == incarnation and is_known else []
+            return make_lines() if allocator.incarnation == incarnation and is_known else []
 
-        self._later(in_ms, guarded)
+        self._schedule(delay_ms, make_lines_unless_ended)
 
-    def _set_timer(self, allocator: Allocator, in_ms: float, token: int) -> None:
-        self._guarded(allocator, in_ms, lambda: [["TICK_DUE", allocator.name, token]])
+    def _set_timer(self, allocator: Allocator, delay_ms: float, token: int) -> None:
+        self._schedule_unless_ended(allocator, delay_ms, lambda: [["TICK_DUE", allocator.name, token]])
 
-    def _ask_list(self, allocator: Allocator) -> None:
-        how = "failed" if self.random.random() < 0.3 else "full"
-        self._guarded(allocator, 5.0, lambda: self._list(allocator, how))
+    def _answer_watch(self, allocator: Allocator) -> None:
+        kind = "failed" if self.random.random() < 0.3 else "full"
+        self._schedule_unless_ended(allocator, 5.0, lambda: self._send_list(allocator, kind))
 
-    def _probe(self, allocator: Allocator, host: str) -> None:
-        spent = round(self.random.uniform(2.0, 90.0), 3)
+    def _answer_probe(self, allocator: Allocator, host: str) -> None:
+        elapsed_ms = round(self.random.uniform(2.0, 90.0), 3)
         answered = self.random.random() < 0.85
-        rest = [ENDED, spent, self._report()] if answered else [TIMED_OUT, spent]
-        self._guarded(allocator, spent, lambda: [["STATUS_BACK", allocator.name, host, *rest]])
+        rest = [COMPLETED, elapsed_ms, self._report()] if answered else [TIMED_OUT, elapsed_ms]
+        self._schedule_unless_ended(
+            allocator, elapsed_ms, lambda: [["STATUS_BACK", allocator.name, host, *rest]]
+        )
 
-    def _answered(self, allocator: Allocator, call: int) -> None:
-        ended = allocator.calls.pop(call)
-        if self.random.random() < 0.5 and not ended.has_left:
-            again = ended.task_class, ended.service, 1.0, 2.0
-            self._guarded(allocator, 100.0, lambda: self._arrive(allocator, again, flags=16))
+    def _close_call(self, allocator: Allocator, call: int) -> None:
+        closed = allocator.calls.pop(call)
+        if self.random.random() < 0.5 and not closed.is_abandoned:
+            retried = closed.task_class, closed.service, 1.0, 2.0
+            self._schedule_unless_ended(
+                allocator, 100.0, lambda: self._request_placement(allocator, retried, flags=16)
+            )
 
-    def _bound(self, allocator: Allocator, number: int, host: str, timeout_ms: float) -> None:
+    def _start_attempt(self, allocator: Allocator, number: int, host: str, timeout_ms: float) -> None:
         call = allocator.calls[number]
         attempt, call.attempts = call.attempts, call.attempts + 1
-        call.outstanding = True
-        draw, spent = self.random.random(), round(self.random.uniform(1.0, 150.0), 3)
+        call.is_attempt_in_flight = True
+        draw, elapsed_ms = self.random.random(), round(self.random.uniform(1.0, 150.0), 3)
         if host not in self.hosts or draw < 0.03:
-            how, info = UNREACHABLE, None
+            outcome, reason = UNREACHABLE, None
         elif draw < 0.7:
-            self._guarded(
-                allocator, spent, lambda: self._landed(allocator, number, attempt, host, spent), number
+            self._schedule_unless_ended(
+                allocator,
+                elapsed_ms,
+                lambda: self._accept_attempt(allocator, number, attempt, host, elapsed_ms),
+                number,
             )
             return
         elif draw < 0.85:
-            how, info = REFUSED, self.random.choice([0, 1, 2, 3, 4])
+            outcome, reason = REJECTED, self.random.choice([0, 1, 2, 3, 4])
         else:
-            how, info = self.random.choice([TIMED_OUT, LOST, ERROR, NOT_SENT]), None
-            spent = timeout_ms if how == TIMED_OUT else spent
-        self._guarded(
+            outcome, reason = self.random.choice([TIMED_OUT, LOST, ERROR, NOT_SENT]), None
+            elapsed_ms = timeout_ms if outcome == TIMED_OUT else elapsed_ms
+        self._schedule_unless_ended(
             allocator,
-            spent,
-            lambda: self._returned(allocator, number, attempt, host, how, info, spent),
+            elapsed_ms,
+            lambda: self._end_attempt(allocator, number, attempt, host, outcome, reason, elapsed_ms),
             number,
         )
 
-    def _landed(self, allocator: Allocator, number: int, attempt: int, host: str, spent: float) -> list[Line]:
-        self._run(allocator, number, attempt, host)
-        return [["LANDED", allocator.name, number, attempt, host, spent]]
+    def _accept_attempt(
+        self, allocator: Allocator, number: int, attempt: int, host: str, elapsed_ms: float
+    ) -> list[Line]:
+        self._record_running(allocator, number, attempt, host)
+        return [["LANDED", allocator.name, number, attempt, host, elapsed_ms]]
 
-    def _run(self, allocator: Allocator, number: int, attempt: int, host: str) -> None:
+    def _record_running(self, allocator: Allocator, number: int, attempt: int, host: str) -> None:
         allocator.running[number] = attempt, host
-        life = round(self.random.expovariate(1.0 / 3_000.0), 3)
-        self._guarded(allocator, life, lambda: self._ended(allocator, number, attempt, host, life), number)
+        lifetime_ms = round(self.random.expovariate(1.0 / 3_000.0), 3)
+        self._schedule_unless_ended(
+            allocator,
+            lifetime_ms,
+            lambda: self._end_task(allocator, number, attempt, host, lifetime_ms),
+            number,
+        )
 
-    def _ended(self, allocator: Allocator, number: int, attempt: int, host: str, life: float) -> list[Line]:
+    def _end_task(
+        self, allocator: Allocator, number: int, attempt: int, host: str, lifetime_ms: float
+    ) -> list[Line]:
         del allocator.calls[number], allocator.running[number]
         draw = self.random.random()
-        how = ENDED if draw < 0.8 else LOST if draw < 0.95 else STOPPED
-        info = None if how == ENDED else self.random.choice([5, 6, 7, 0])
+        outcome = COMPLETED if draw < 0.8 else LOST if draw < 0.95 else STOPPED
+        reason = None if outcome == COMPLETED else self.random.choice([5, 6, 7, 0])
         report = [self._report()] if self.random.random() < 0.3 else []
-        return [["RETURNED", allocator.name, number, attempt, info, how, life, True, host, *report]]
+        return [
+            ["RETURNED", allocator.name, number, attempt, reason, outcome, lifetime_ms, True, host, *report]
+        ]
 
-    def _returned(
+    def _end_attempt(
         self,
         allocator: Allocator,
         number: int,
         attempt: int,
         host: str,
-        how: int,
-        info: int | None,
-        spent: float,
+        outcome: int,
+        reason: int | None,
+        elapsed_ms: float,
     ) -> list[Line]:
         call = allocator.calls[number]
-        call.outstanding = False
-        if call.has_left:
+        call.is_attempt_in_flight = False
+        if call.is_abandoned:
             del allocator.calls[number]
-        report = [self._report()] if how == REFUSED and self.random.random() < 0.5 else []
-        return [["RETURNED", allocator.name, number, attempt, info, how, spent, call.has_left, host, *report]]
+        report = [self._report()] if outcome == REJECTED and self.random.random() < 0.5 else []
+        return [
+            [
+                "RETURNED",
+                allocator.name,
+                number,
+                attempt,
+                reason,
+                outcome,
+                elapsed_ms,
+                call.is_abandoned,
+                host,
+                *report,
+            ]
+        ]
 
 
 def as_text(lines: list[Line]) -> str:
@@ -428,9 +465,9 @@
 
 
 def play(day: Day, adapter: Adapter, batches: int, *others: Adapter) -> tuple[str, dict[str, int]]:
-    """Tells the adapter so many batches; gives the digest of all replies and the count of each message.
+    """Passes batches to the adapter; returns the digest of all replies and the count of each message.
 
-    Raises AssertionError at the first reply in which one of the others differs."""
+    Raises AssertionError at the first reply that differs in one of the other adapters."""
     digest, counts = hashlib.sha256(), dict[str, int]()
     for number in range(batches):
         batch = day.next_batch()
@@ -438,10 +475,12 @@
         reply = adapter(text)
         for other in others:
             answer = other(text)
-            assert answer == reply, f"batch {number} at {day.now}: {reply[:2_000]} against {answer[:2_000]}"
+            assert answer == reply, (
+                f"batch {number} at {day.now}: {reply[:2_000]} differs from {answer[:2_000]}"
+            )
         digest.update(reply.encode())
         lines = [json.loads(line) for line in reply.splitlines()]
         for line in (*batch, *lines):
             counts[line[0]] = counts.get(line[0], 0) + 1
-        day.take(lines)
+        day.handle_reply(lines)
     return digest.hexdigest(), counts
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: small frames in, actions out, plain messages on what is malformed."""
+"""The simulator adapter: events in, actions out, and clear errors for malformed input."""
 
 import io
 import json
@@ -40,34 +40,34 @@
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_an_arrival_is_bound_and_batches_are_echoed():
+def test_an_arrival_is_bound_and_batch_numbers_are_echoed():
     replies = play(frames([], START, [ARRIVAL]))
     assert [r[1] for r in replies if r[0] == "NEXT"] == [1, 2, 3]
     assert [r[:4] for r in replies if r[0] == "BIND"] == [["BIND", "allocator_0", 9, "host-a"]]
 
 
-def test_unknown_note_kinds_report_fields_and_finished_calls_are_skipped():
+def test_unknown_note_kinds_report_fields_and_finished_calls_are_ignored():
     note = ["STATUS_NOTE", "allocator_0", 9, 42, "host-a", 1.0, 0]
     back = ["RETURNED", "allocator_0", 9, 0, None, 1, 5.0, True, "host-a", {"moon": 1.0}]
     replies = play(frames(START, [ARRIVAL], [note, back, back, ["LEFT", "allocator_0", 9]]))
     assert replies[-1] == ["NEXT", 3]
 
 
-def test_an_instance_that_was_shut_down_is_silent():
+def test_an_instance_that_was_shut_down_does_not_reply():
     replies = play(frames(START, [["SHUTDOWN", "allocator_0"], ARRIVAL]))
     assert not [r for r in replies if r[0] == "BIND"]
 
 
-def test_a_fault_of_the_module_becomes_a_message():
+def test_an_exception_of_the_scheduler_becomes_a_message():
     adapter = SimulatorAdapter(io.StringIO(frames(START, [ARRIVAL])), io.StringIO())
-    original = adapter.handle_message
+    handle_message = adapter.handle_message
 
-    def broken(now_ms, message, replies):
-        original(now_ms, message, replies)
+    def handle_with_failing_schedulers(now_ms, message, replies):
+        handle_message(now_ms, message, replies)
         for scheduler in adapter.schedulers.values():
             scheduler.handle = lambda *_: 1 / 0
 
-    adapter.handle_message = broken
+    adapter.handle_message = handle_with_failing_schedulers
     adapter.run()
     assert '"DIE","allocator_0","ZeroDivisionError' in adapter.sink.getvalue()
 
@@ -84,11 +84,11 @@
         '["BEGIN_BATCH",1.0,1]\n["NEW_INSTANCE","a",1,{}]\n["EOB"]\n',
     ],
 )
-def test_a_malformed_line_is_told_plainly(text):
+def test_a_malformed_line_is_reported_in_one_line(text):
     with pytest.raises(WireError, match="expected"):
         play(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "glencleat.simulator_adapter"], input=text, capture_output=True, text=True
     )
-    assert done.returncode != 0 and "Traceback" not in done.stderr
-    assert len(done.stderr.strip().splitlines()) == 1
+    assert completed.returncode != 0 and "Traceback" not in completed.stderr
+    assert len(completed.stderr.strip().splitlines()) == 1
--- a/tests/test_wire_replies.py
+++ b/tests/test_wire_replies.py
@@ -1,7 +1,7 @@
-"""The adapter's replies on the simulator's wire are equal, byte by byte, to those recorded at commit 8cdb288.
+"""The adapter's replies on the simulator's wire are byte-identical to those recorded at commit 8cdb288.
 
-The digests and the short stream were written by the program of that commit; a change of either is a change of
-the decisions. `python -m benchmarks.equal_replies REV` compares whole trees over many more seeds."""
+The digests and the short stream were recorded with the program of that commit; a difference from either is
+a change of decisions. `python -m benchmarks.equal_replies REV` compares whole trees over many more seeds."""
 
 import io
 import json
@@ -22,7 +22,7 @@
 
 
 class Adapter:
-    """The adapter in this process: a batch's text in, its reply's text out."""
+    """Runs the adapter in this process: text of a batch in, text of its reply out."""
 
     def __init__(self) -> None:
         self.adapter = SimulatorAdapter(io.StringIO(), io.StringIO())
@@ -51,18 +51,18 @@
     assert digest == day["digest"]
 
 
-def test_the_recorded_days_hold_every_message_of_the_wire():
+def test_the_recorded_days_contain_every_message_of_the_wire():
     seen = {name for day in LONG_DAYS for name in day["counts"]}
     assert seen >= EVENTS | ACTIONS
 
 
-def test_a_day_is_the_same_each_time():
+def test_a_day_is_deterministic():
     assert play(Day(4, 2, 10, 5, 5.0), Adapter(), 50) == play(Day(4, 2, 10, 5, 5.0), Adapter(), 50)
 
 
-def test_a_reply_that_differs_is_told():
-    def silent(text: str) -> str:
+def test_a_differing_reply_is_reported():
+    def reply_without_actions(text: str) -> str:
         return as_text([["NEXT", json.loads(text.splitlines()[0])[2]]])
 
     with pytest.raises(AssertionError, match="batch 0 at "):
-        play(Day(4, 2, 10, 5, 5.0), Adapter(), 50, silent)
+        play(Day(4, 2, 10, 5, 5.0), Adapter(), 50, reply_without_actions)
