--- a/glencleat/flow_control/__init__.py
+++ b/glencleat/flow_control/__init__.py
@@ -1,3 +1,4 @@
-"""What allocators are to each other, and what many of them do to those that they all ask.
+"""Bounds on the load that many allocators put on the services and hosts that they share.
 
-Decisions without I/O: no sockets, no clock read, no random numbers but those passed in."""
+The package decides without I/O: it opens no socket and reads no clock, and random numbers are passed in.
+"""
--- a/glencleat/flow_control/slow_start.py
+++ b/glencleat/flow_control/slow_start.py
@@ -1,25 +1,34 @@
-"""How fast an allocator that has just started tells on what waited for it, by what it has placed so far.
+"""Slow start: how fast a newly started allocator passes on the calls that waited for it.
 
-No I/O: time is an argument. Hundreds that become ready in one instant, each with seconds of asks held back,
-would send all of them in that instant: hosts answer a few, the rest run into their time-outs. So the first
-go in a window that all together can bear, and each that is placed lets two more go (slow start, as TCP has
-it); what comes back unplaced halves the window, once for each window. What can't have its turn in time is
-known long before its time is over, and is then told at once, so that its owner asks elsewhere.
-`docs/design-fleet.md` derives the constants."""
+The module does no I/O: time is an argument. Hundreds of allocators that become ready at the same moment, each
+with seconds of queued calls, would send all of them at once: hosts would answer a few, and the rest would
+time out. The first calls therefore go out within a window that all allocators together can afford, and each
+placed task lets two more go out, as in TCP's slow start. A task that comes back unplaced halves the window,
+at most once for each window.
+
+A call that can't have its turn in time is known long before its time is over. It is then answered at once, so
+that its client asks elsewhere. `docs/design-fleet.md` derives the constants.
+"""
 
 from __future__ import annotations
 
 MAX_WINDOW = 4_096.0
-SLOT_MS = 250.0  # over which a rate is taken
-NEW_SLOT_WEIGHT = 0.5  # weight of the newest slot in the rate
-MIN_REMAINING_MS = (
-    200.0  # of a task's time: so late the module places nothing any more, and its answer is under way
-)
-GROWTH_FACTOR = 1.25  # a rate so many times the last slot's still grows
+
+SLOT_MS = 250.0
+"""The time over which a rate is taken."""
+
+NEW_SLOT_WEIGHT = 0.5
+"""The weight of the newest slot in the average rate."""
+
+MIN_REMAINING_MS = 200.0
+"""The part of a task's time within which the policy places nothing any more: its answer is on its way."""
+
+GROWTH_FACTOR = 1.25
+"""A rate above this multiple of the last slot's is still growing."""
 
 
 class SlowStart:
-    """A window of tasks that are out without an answer.
+    """A window of tasks that are in flight without an answer.
 
     >>> start = SlowStart(2.0)
     >>> start.begin(0.0); start.record_sent(); start.record_sent(); start.free_window()
@@ -29,42 +38,48 @@
     """
 
     def __init__(self, initial_window: float) -> None:
-        """`initial_window`: as many as may go at once before anything is known."""
+        """Starts with `initial_window` tasks that may be in flight before any result is known."""
         self.window = max(1.0, initial_window)
         self.min_window = self.window
         self.in_flight_count = 0
-        self.pre_halving_count = 0  # answers to come that were sent before the last halving
+        self.pre_halving_count = 0  # pending answers of tasks sent before the last halving
         self.slot_start_ms: float | None = None
-        self.slot_placed_count = 0  # in this slot
+        self.slot_placed_count = 0  # in the current slot
         self.previous_rate_per_ms: float | None = None  # placed a millisecond in the last slot
-        self.rate_per_ms: float | None = None  # the same, over slots, once it no longer grows
+        self.rate_per_ms: float | None = None  # the average over slots, once the rate no longer grows
 
     def begin(self, now: float) -> None:
+        """Starts the first slot."""
         self.slot_start_ms = now
 
     def free_window(self) -> int:
+        """How many more tasks may go out now."""
         return max(0, int(self.window) - self.in_flight_count)
 
     def record_sent(self) -> None:
+        """Counts a task as in flight."""
         self.in_flight_count += 1
 
     def record_answer(self, now: float, was_placed: bool) -> None:
-        """One has its answer, or is known to wait for room and not for us."""
-        spared, self.pre_halving_count = self.pre_halving_count > 0, max(0, self.pre_halving_count - 1)
+        """Counts a task as answered, or as known to wait for capacity and not for this window."""
+        was_sent_before_halving, self.pre_halving_count = (
+            self.pre_halving_count > 0,
+            max(0, self.pre_halving_count - 1),
+        )
         self.in_flight_count = max(0, self.in_flight_count - 1)
         if was_placed:
             self.slot_placed_count += 1
             self.window = min(MAX_WINDOW, self.window + 1.0)
-        elif not spared:
+        elif not was_sent_before_halving:
             self.window = max(self.min_window, self.window / 2.0)
             self.pre_halving_count = self.in_flight_count
-        self._slots(now)
+        self._update_rate(now)
 
-    def _slots(self, now: float) -> None:
+    def _update_rate(self, now: float) -> None:
         if self.slot_start_ms is None or now - self.slot_start_ms < SLOT_MS:
             return
         rate = self.slot_placed_count / (now - self.slot_start_ms)
-        # While it grows it tells what could go out and not what can be placed.
+        # A growing rate shows how many tasks could go out, not how many can be placed.
         if self.rate_per_ms is not None:
             self.rate_per_ms += NEW_SLOT_WEIGHT * (rate - self.rate_per_ms)
         elif self.previous_rate_per_ms is not None and rate <= GROWTH_FACTOR * self.previous_rate_per_ms:
@@ -72,7 +87,7 @@
         self.previous_rate_per_ms, self.slot_start_ms, self.slot_placed_count = rate, now, 0
 
     def estimate_wait_ms(self, ahead: int) -> float:
-        """How long one with so many before it will wait for its turn; 0 while that can't be told."""
+        """How long a task with `ahead` tasks before it will wait for its turn; 0 while no rate is known."""
         if not self.rate_per_ms:
             return 0.0
         return max(0, ahead - self.free_window()) / self.rate_per_ms
--- a/glencleat/platform_server/__init__.py
+++ b/glencleat/platform_server/__init__.py
@@ -1,4 +1,5 @@
-"""The live path's sockets and process: owners' listener, links to hosts, the command channel, signals.
+"""Sockets and process of the platform allocator: client listener, host connections, command channel, signals.
 
-Imports the kernel and `glencleat/platform_protocol/`. `python -m glencleat node` starts it;
-nothing else is imported."""
+`python -m glencleat node` starts it and imports nothing but this package and what it needs: the event loop,
+`glencleat/platform_protocol/` and the policy.
+"""
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -1,7 +1,8 @@
-"""Owners' connections: what is read, answered, kept and closed, for good ones and bad.
+"""Client connections: what is read from them, answered, retained and closed.
 
-Imports the kernel, `isup` and `descriptors`. A connection that says nothing, half a message, or what can't be
-read is closed; one with nothing open on it goes when its descriptor is wanted."""
+A connection is closed if it sends no message, an incomplete message or bytes that can't be decoded. One
+without an open call is closed when its descriptor is needed.
+"""
 
 from __future__ import annotations
 
@@ -20,68 +21,83 @@
     from glencleat.platform_server.trace import Trace
 
 SWEEP_MS = 250.0
-MESSAGE_TIMEOUT_MS = 2_000.0  # for the first whole message, and for each one begun
-WRITE_STALL_TIMEOUT_MS = 5_000.0  # for a client to take some of what waits unsent
-MESSAGES_PER_TURN = 16  # messages of one connection before others have their turn
-READ_SIZE = 16_384  # bytes of one connection at a time
-MAX_BUFFERED_BYTES = (
-    1 << 17
-)  # bytes of one connection that may wait here where its end or a cancel is looked for
-ACCEPT_BATCHES = 64  # shares of the listen backlog that are taken in at one look
-MAX_INVALID_SETUPS = 50  # set-ups turned away unread on one connection before it is closed
-MAX_SOCKET_WAIT_MS = 60_000.0  # a clock that was set says more
-MAX_UNSENT_BYTES = 1 << 18  # bytes that a slow reader may leave with us
-MAX_PENDING_RELEASES, PENDING_RELEASE_TIMEOUT_MS = (
-    2_000,
-    10_000.0,
-)  # releases that wait for a connection of owners, and for how long
+
+MESSAGE_TIMEOUT_MS = 2_000.0
+"""The time for the first complete message, and for each message once it has begun."""
+
+WRITE_STALL_TIMEOUT_MS = 5_000.0
+"""The time for a client to read some of its unsent bytes."""
+
+MESSAGES_PER_TURN = 16
+"""Messages handled on one connection before others have their turn."""
+
+READ_SIZE = 16_384
+"""Bytes read from one connection at a time."""
+
+MAX_BUFFERED_BYTES = 1 << 17
+"""Bytes of one connection that may be buffered while its close or a cancellation is looked for."""
+
+ACCEPT_BATCHES = 64
+"""Batches of the listen backlog that one check accepts."""
+
+MAX_INVALID_SETUPS = 50
+"""Invalid set-ups rejected on one connection before it is closed."""
+
+MAX_SOCKET_WAIT_MS = 60_000.0
+"""The longest wait in a socket that is believed: a larger value means that the clock was set."""
+
+MAX_UNSENT_BYTES = 1 << 18
+"""Unsent bytes of a slow reader."""
+
+MAX_PENDING_RELEASES, PENDING_RELEASE_TIMEOUT_MS = 2_000, 10_000.0
+"""Releases that wait for a client connection, and for how long."""
 
 
 class ClientConnection:
-    """One connection. `open_task_ids` holds the ids that an answer is owed to; the exchange keeps it."""
+    """One connection. `open_task_ids` holds the ids that an answer is owed to; the exchange maintains it."""
 
     peer_kind = PeerKind.CLIENTS
 
-    def __init__(self, owners: ClientConnections, stream: Stream, now: float) -> None:
-        self.client_connections, self.stream, self.inbox = owners, stream, Inbox()
+    def __init__(self, client_connections: ClientConnections, stream: Stream, now: float) -> None:
+        self.client_connections, self.stream, self.inbox = client_connections, stream, Inbox()
         self.open_task_ids: set[int] = set()
         self.created_at_ms = self.last_used_at_ms = now
-        self.has_received_message = False  # a message came whole
-        self.is_trusted = False  # a task of its came to stand: no bad client's ever does
+        self.has_received_message = False  # a complete one
+        self.is_trusted = False  # one of its tasks was placed, which never happens to an invalid client
         self.invalid_setup_count = 0
-        self.write_stall: tuple[int, float] | None = (
-            None  # bytes written, since when so many while others wait
-        )
-        self.partial_message: tuple[int, float] | None = (
-            None  # where a message that is not whole begins, since when
-        )
+        # Bytes written so far, and since when that number has not changed while others are unsent.
+        self.write_stall: tuple[int, float] | None = None
+        # Where an incomplete message begins, and since when it has been incomplete.
+        self.partial_message: tuple[int, float] | None = None
 
     def eviction_priority(self) -> EvictionPriority:
+        """What the descriptor budget evicts this connection by."""
         if (
             self.open_task_ids
             or self.inbox.scanned_bytes
             or self.stream.send_buffer
             or (self.is_trusted and self.client_connections.trusted_count == 1)
         ):
-            return (
-                EvictionPriority.PINNED
-            )  # an answer is owed on it, or it is the last one that releases can go by
+            # An answer is owed on it, or it is the last connection that releases can be sent on.
+            return EvictionPriority.PINNED
         return EvictionPriority.TRUSTED_CLIENT if self.is_trusted else EvictionPriority.UNTRUSTED_CLIENT
 
     def read_pending(self) -> None:
+        """Reads what the poller has reported."""
         self.client_connections.read_if_readable(self)
 
     def evict(self) -> None:
-        self.stream.close("room is wanted")
+        """Closes the connection for its descriptor."""
+        self.stream.close("evicted: its descriptor is needed")
 
     def is_reading(self, now: float) -> bool:
-        """What waits unsent for it is being taken."""
+        """Whether the client has read some of its unsent bytes within the time-out."""
         if self.write_stall is None or self.write_stall[0] != self.stream.written_bytes:
             self.write_stall = self.stream.written_bytes, now
         return now - self.write_stall[1] <= WRITE_STALL_TIMEOUT_MS
 
     def track_partial_message(self, now: float) -> None:
-        """Notes since when a message is half here; one that drips on has begun once."""
+        """Records since when a message is incomplete; more bytes of it don't restart its time."""
         if not self.inbox.has_partial_message:
             self.partial_message = None
         elif self.partial_message is None or self.partial_message[0] != self.inbox.consumed_bytes:
@@ -89,185 +105,202 @@
 
 
 class ClientConnections:
-    """The listener and all connections. `exchange` is set by whoever joins the parts."""
+    """The listener and all client connections. `exchange` is set by whoever assembles the process."""
 
     exchange: Exchange
 
     def __init__(self, loop: Loop, descriptors: DescriptorBudget, log: Callable[[str], None]) -> None:
         self.loop, self.descriptors, self.log = loop, descriptors, log
-        self.connections: dict[ClientConnection, None] = {}  # in the order they came
+        self.connections: dict[ClientConnection, None] = {}  # in the order of their arrival
         self.pending_releases: deque[tuple[float, bytes]] = deque(maxlen=MAX_PENDING_RELEASES)
         self.listener: Listener | None = None
         self.is_draining = False
-        self.closed_at_unix_ms = float("inf")  # Unix milliseconds; who asks later is refused
-        self.is_ready: Callable[[], bool] = lambda: True  # there is somewhere to place
-        self.trusted_count = 0  # proven ones, of those connected
+        self.closed_at_unix_ms = float("inf")  # calls that arrive later are refused
+        self.is_ready: Callable[[], bool] = lambda: True  # there is a host to place on
+        self.trusted_count = 0  # of the open connections
         self.trace: Trace | None = None
         loop.call_in(SWEEP_MS, self._sweep)
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        # With 0 that are let in unasked, the descriptors' owner decides of each.
+        """Opens the listener and returns the address that it is bound to."""
+        # With 0 connections admitted unconditionally, the descriptor budget decides about each.
         self.listener = Listener(
             self.loop,
             address,
-            self._accepted,
+            self._on_accept,
             0,
             MAX_UNSENT_BYTES,
             lambda why: None,
-            self._make_room,
+            self._ensure_capacity,
             BACKLOG,
         )
         return self.listener.address
 
     def stop_listening(self) -> None:
-        """Nobody comes any more, and what those who are here still ask is refused."""
+        """Closes the listener; calls that arrive from now on over open connections are refused."""
         if self.listener is not None:
             self.listener.close()
             self.listener, self.closed_at_unix_ms = None, self.loop.clock.wall()
 
     def read_all_pending(self) -> tuple[bool, bool]:
-        """All that has come by this instant is taken in: newcomers, what lies unread. Whether anything did or
-        waits its turn, and whether some message is half here."""
-        came = False
+        """Accepts all connections and reads all bytes that have arrived by now.
+
+        Returns:
+            Whether anything arrived or waits for its turn, and whether some message is incomplete.
+        """
+        has_arrivals = False
         for _ in range(ACCEPT_BATCHES):
             if self.listener is None or not self.listener.accept_pending():
                 break
-            came = True
-        for owner in list(self.connections):
-            came |= self.read_pending(owner) or owner.inbox.has_next
-        return came, any(owner.partial_message is not None for owner in self.connections)
+            has_arrivals = True
+        for client in list(self.connections):
+            has_arrivals |= self.read_pending(client) or client.inbox.has_next
+        return has_arrivals, any(client.partial_message is not None for client in self.connections)
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Some answer has not been handed to the system yet."""
-        return any(owner.stream.send_buffer for owner in self.connections)
+        """Some answer has not been handed to the operating system yet."""
+        return any(client.stream.send_buffer for client in self.connections)
 
     # ---- connections ----
 
-    def _accepted(self, stream: Stream) -> None:
+    def _on_accept(self, stream: Stream) -> None:
         stream.enable_timestamps()
-        owner = ClientConnection(self, stream, self.loop.now())
-        self.connections[owner] = None
-        self.descriptors.add_holder(owner)
-        stream.close_callbacks.append(lambda _: self._closed(owner))
-        self.loop.spawn(self._serve(owner), "owner")
-
-    def _closed(self, owner: ClientConnection) -> None:
-        self.trusted_count -= owner.is_trusted
-        self.descriptors.remove_holder(owner)
-
-    def _serve(self, owner: ClientConnection) -> Coroutine:
-        inbox = owner.inbox
+        client = ClientConnection(self, stream, self.loop.now())
+        self.connections[client] = None
+        self.descriptors.add_holder(client)
+        stream.close_callbacks.append(lambda _: self._on_close(client))
+        self.loop.spawn(self._serve(client), "owner")
+
+    def _on_close(self, client: ClientConnection) -> None:
+        self.trusted_count -= client.is_trusted
+        self.descriptors.remove_holder(client)
+
+    def _serve(self, client: ClientConnection) -> Coroutine:
+        inbox = client.inbox
         try:
             while inbox.has_next or not inbox.is_closed:
-                came = owner.stream.is_readable and self._take_in(owner, READ_SIZE, exact=False)
-                if inbox.is_closed or owner.stream.close_reason is not None:
+                has_read = client.stream.is_readable and self._read(client, READ_SIZE, until_empty=False)
+                if inbox.is_closed or client.stream.close_reason is not None:
                     inbox.is_closed = True
-                    self.exchange.on_client_gone(owner)  # before what lies unread: it may be set-ups
-                if self._turn(owner) or (came and owner.stream.is_readable):
+                    self.exchange.on_client_gone(client)  # before unread messages, which may be set-ups
+                if self._handle_turn(client) or (has_read and client.stream.is_readable):
                     yield from self.loop.sleep(0.0)
-                elif not (came or inbox.is_closed):
-                    yield from owner.stream.wait_readable()
-            owner.stream.close("the owner closed it")
+                elif not (has_read or inbox.is_closed):
+                    yield from client.stream.wait_readable()
+            client.stream.close("closed by the client")
         except StreamClosedError:
             inbox.is_closed = True
         except m.ProtocolError as error:
-            owner.stream.close(str(error))
+            client.stream.close(str(error))
             self.log(f"an owner's connection closed: {error}")
         finally:
-            self.connections.pop(owner, None)
-            self.exchange.on_client_gone(owner)
+            self.connections.pop(client, None)
+            self.exchange.on_client_gone(client)
 
-    def _take_in(self, owner: ClientConnection, most: int, exact: bool) -> bool:
-        """Reads what has come, as far as `most` bytes wait; whether something came.
+    def _read(self, client: ClientConnection, max_buffered: int, until_empty: bool) -> bool:
+        """Reads what has arrived while fewer than `max_buffered` bytes are buffered.
 
-        `exact`: until the system says that there is no more; else the poller tells of what comes later."""
-        inbox, came = owner.inbox, False
+        With `until_empty` it reads until the operating system has no more; otherwise the poller reports later
+        bytes. Returns whether something arrived.
+        """
+        inbox, has_read = client.inbox, False
         try:
-            while not inbox.is_closed and len(inbox.buffer) < most:
-                data = owner.stream.read_nowait(READ_SIZE)
+            while not inbox.is_closed and len(inbox.buffer) < max_buffered:
+                data = client.stream.read_nowait(READ_SIZE)
                 if data is None:
                     break
-                came, owner.last_used_at_ms = True, self.loop.now()
+                has_read, client.last_used_at_ms = True, self.loop.now()
                 if data:
-                    inbox.feed(data, owner.stream.received_at_unix_ms)
+                    inbox.feed(data, client.stream.received_at_unix_ms)
                 else:
                     inbox.is_closed = True
-                if not (exact or owner.stream.is_readable):
+                if not (until_empty or client.stream.is_readable):
                     break
         except StreamClosedError:
-            came = inbox.is_closed = True
-        return came
-
-    def read_pending(self, owner: ClientConnection) -> bool:
-        """Takes in what has come by this instant, whoever's turn it is: an end or a cancel counts at once.
-
-        Whether something came."""
-        came = self._take_in(owner, MAX_BUFFERED_BYTES, exact=True)
-        owner.track_partial_message(self.loop.now())
-        if came:
-            owner.stream.wake_reader()
-        elif len(owner.inbox.buffer) >= MAX_BUFFERED_BYTES and owner.stream.has_peer_closed():
-            owner.inbox.is_closed = True
-        return came
-
-    def read_if_readable(self, owner: ClientConnection) -> None:
-        """The same where the poller has told of something."""
-        if owner.stream.is_readable:
-            self.read_pending(owner)
+            has_read = inbox.is_closed = True
+        return has_read
+
+    def read_pending(self, client: ClientConnection) -> bool:
+        """Reads what has arrived by now, out of turn, since a close or a cancellation takes effect at once.
+
+        Returns whether something arrived.
+        """
+        has_read = self._read(client, MAX_BUFFERED_BYTES, until_empty=True)
+        client.track_partial_message(self.loop.now())
+        if has_read:
+            client.stream.wake_reader()
+        elif len(client.inbox.buffer) >= MAX_BUFFERED_BYTES and client.stream.has_peer_closed():
+            client.inbox.is_closed = True
+        return has_read
+
+    def read_if_readable(self, client: ClientConnection) -> None:
+        """Does the same only where the poller has reported the connection as readable."""
+        if client.stream.is_readable:
+            self.read_pending(client)
 
     def is_client_waiting(self, client: ClientConnection, task: int, must_poll: bool) -> bool:
+        """Whether the client still waits for the answer; see `ExchangePorts`."""
         if must_poll:
             self.read_pending(client)
         else:
             self.read_if_readable(client)
         return client.inbox.is_client_waiting(task)
 
-    def _ended(self, owner: ClientConnection) -> bool:
-        """Its client has closed, as far as this round can tell: what is written to it is told to nobody."""
-        self.read_if_readable(owner)
-        return owner.inbox.is_closed
+    def _has_closed(self, client: ClientConnection) -> bool:
+        """Whether the client has closed, as far as is known in this round, and would read nothing."""
+        self.read_if_readable(client)
+        return client.inbox.is_closed
 
-    def _turn(self, owner: ClientConnection) -> bool:
-        """Up to MESSAGES_PER_TURN messages; whether there are more."""
+    def _handle_turn(self, client: ClientConnection) -> bool:
+        """Handles up to MESSAGES_PER_TURN messages; returns whether there are more."""
         for _ in range(MESSAGES_PER_TURN):
-            found = owner.inbox.next_message()
-            if found is None:
+            message_and_arrival = client.inbox.next_message()
+            if message_and_arrival is None:
                 break
-            self._message(owner, *found)
-        owner.track_partial_message(self.loop.now())
-        self.descriptors.update_priority(owner, was_used=True)
-        return owner.inbox.has_next
-
-    def _message(self, owner: ClientConnection, message: m.PlatformMessage, arrived: float | None) -> None:
-        owner.has_received_message = True
+            self._handle_message(client, *message_and_arrival)
+        client.track_partial_message(self.loop.now())
+        self.descriptors.update_priority(client, was_used=True)
+        return client.inbox.has_next
+
+    def _handle_message(
+        self, client: ClientConnection, message: m.PlatformMessage, arrived_at_unix_ms: float | None
+    ) -> None:
+        client.has_received_message = True
         if self.trace is not None:
             self.trace.record_message("owner", message)
         if message.kind == m.SETUP:
-            late = (arrived or self.loop.clock.wall()) > self.closed_at_unix_ms
-            owner.invalid_setup_count += not self.exchange.on_client_setup(
-                owner, message, self._waited(arrived), late
+            is_late = (arrived_at_unix_ms or self.loop.clock.wall()) > self.closed_at_unix_ms
+            client.invalid_setup_count += not self.exchange.on_client_setup(
+                client, message, self._socket_wait_ms(arrived_at_unix_ms), is_late
             )
-            if owner.invalid_setup_count > MAX_INVALID_SETUPS:
-                raise m.ProtocolError(f"{owner.invalid_setup_count} set-ups that can't be used")
+            if client.invalid_setup_count > MAX_INVALID_SETUPS:
+                raise m.ProtocolError(
+                    f"too many invalid set-ups on one connection: {client.invalid_setup_count}"
+                )
         elif message.kind == m.RELEASE:
-            message.cause  # noqa: B018 - it must be readable
-            self.exchange.on_client_release(owner, message)
+            message.cause  # noqa: B018 - raises if it can't be decoded
+            self.exchange.on_client_release(client, message)
         elif message.kind == m.PROBE:
-            takes = not self.is_draining and self.is_ready()
-            self._write(owner, m.encode_with_cause(m.PROBE_ANSWER, message.task_id, int(takes)))
-
-    def _waited(self, arrived: float | None) -> float:
-        """How long a message waited in our socket and loop: gone from what the owner waits.
-
-        After a standstill all that waited comes at once, with deadlines that would else seem fresh."""
-        return 0.0 if arrived is None else min(MAX_SOCKET_WAIT_MS, max(0.0, self.loop.clock.wall() - arrived))
+            is_accepting = not self.is_draining and self.is_ready()
+            self._write(client, m.encode_with_cause(m.PROBE_ANSWER, message.task_id, int(is_accepting)))
+
+    def _socket_wait_ms(self, arrived_at_unix_ms: float | None) -> float:
+        """How long a message waited in the socket and the loop, which counts against the client's wait.
+
+        After a stall all waiting messages are read at once, with deadlines that would otherwise seem fresh.
+        """
+        return (
+            0.0
+            if arrived_at_unix_ms is None
+            else min(MAX_SOCKET_WAIT_MS, max(0.0, self.loop.clock.wall() - arrived_at_unix_ms))
+        )
 
-    def _write(self, owner: ClientConnection, data: bytes) -> bool:
-        return owner.stream.try_send(data)
+    def _write(self, client: ClientConnection, data: bytes) -> bool:
+        return client.stream.try_send(data)
 
     def mark_trusted(self, client: ClientConnection) -> None:
-        """A task of its stands: it is one of those that releases may be told to."""
+        """Records that a task of the client was placed: its connection may carry releases from now on."""
         if not client.is_trusted:
             client.is_trusted = True
             self.trusted_count += client.stream.close_reason is None
@@ -276,39 +309,51 @@
                 self._write(client, self.pending_releases.popleft()[1])
 
     def send_to_client(self, client: ClientConnection | None, data: bytes, must_deliver: bool) -> None:
-        if client is not None and not (must_deliver and self._ended(client)) and self._write(client, data):
+        """Sends a message on the client's connection.
+
+        If that is closed and `must_deliver` is set, the message goes out on the most recently used trusted
+        connection, or waits for one.
+        """
+        if (
+            client is not None
+            and not (must_deliver and self._has_closed(client))
+            and self._write(client, data)
+        ):
             self.descriptors.update_priority(client)
             return
         if not must_deliver:
             return
-        # Of the rest nobody knows who listens there: a release told to a bad client is told to nobody.
+        # An untrusted connection may belong to an invalid client, which would drop the release.
         for other in sorted(
-            (o for o in self.connections if o.is_trusted), key=lambda o: o.last_used_at_ms, reverse=True
+            (candidate for candidate in self.connections if candidate.is_trusted),
+            key=lambda candidate: candidate.last_used_at_ms,
+            reverse=True,
         ):
-            if not self._ended(other) and self._write(other, data):
+            if not self._has_closed(other) and self._write(other, data):
                 return
         self.pending_releases.append((self.loop.now(), data))
 
-    # ---- room and time ----
+    # ---- capacity and time-outs ----
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         return self.descriptors.admit_client(self.loop.now())
 
     def _sweep(self) -> None:
         self.loop.call_in(SWEEP_MS, self._sweep)
         now = self.loop.now()
-        for owner in list(self.connections):
-            silent = not owner.has_received_message and now - owner.created_at_ms > MESSAGE_TIMEOUT_MS
-            if silent or (
-                owner.partial_message is not None and now - owner.partial_message[1] > MESSAGE_TIMEOUT_MS
+        for client in list(self.connections):
+            is_silent = not client.has_received_message and now - client.created_at_ms > MESSAGE_TIMEOUT_MS
+            if is_silent or (
+                client.partial_message is not None and now - client.partial_message[1] > MESSAGE_TIMEOUT_MS
             ):
-                self.read_pending(owner)  # after a standstill all of it may lie unread
-                if not owner.inbox.has_next:
-                    owner.stream.close("no whole message in time")
-            if not owner.stream.send_buffer:
-                owner.write_stall = None
-            elif not owner.is_reading(now):
-                owner.stream.close("it reads nothing")  # a descriptor that answers wait on is not given up
-            self.descriptors.update_priority(owner)
+                self.read_pending(client)  # after a stall the complete message may be unread
+                if not client.inbox.has_next:
+                    client.stream.close("no whole message in time")
+            if not client.stream.send_buffer:
+                client.write_stall = None
+            elif not client.is_reading(now):
+                # Unsent answers pin the connection, so the budget would never evict it.
+                client.stream.close("it reads nothing")
+            self.descriptors.update_priority(client)
         while self.pending_releases and now - self.pending_releases[0][0] > PENDING_RELEASE_TIMEOUT_MS:
             self.pending_releases.popleft()
--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -1,28 +1,39 @@
-"""From SIGTERM to the end of the process: a table of states, no I/O, time as an argument.
+"""Graceful shutdown, from SIGTERM to the end of the process: a table of states.
 
-`process.py` looks at what there is, by asking the system and not by what the loop has come to, and does what
-the state says. Guards against a request that was taken and never answered: one in the listen backlog, unread
-in a socket, half here, held over for fairness, waiting for a descriptor or a connection, or an answer unsent.
+The module does no I/O: time is an argument. `process.py` observes what is left by asking the operating
+system, not by what the loop has handled so far, and does what the state says. This guards against a request
+that was accepted and never answered: one in the listen backlog, unread in a socket, incomplete, held over for
+fairness, waiting for a descriptor or a connection, or with an unsent answer.
 
-    state      entered                               listener  a set-up that comes   a test
-    SERVING    at the start                          open      taken                 passed when ready
-    DRAINING   SIGTERM; a second one changes nothing open      taken                 failed
-    CLOSING    the window is over                    closed    refused at once       failed
-    CLOSED     a later look finds nothing            closed    -                     -
+    state      entered                               listener  a new set-up     a health check
+    SERVING    at the start                          open      accepted         passes when ready
+    DRAINING   SIGTERM; a second one has no effect   open      accepted         fails
+    CLOSING    the drain window is over              closed    refused at once  fails
+    CLOSED     a later check finds nothing left      closed    -                -
 
-Each open call has its own time. What else could hold the end up for ever does so for a bounded time."""
+Each open call has its own deadline. Anything else that could delay the end does so for a bounded time.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-DRAIN_WINDOW_MS = 700.0  # after SIGTERM: the page lets new requests come for so long
-UNDELIVERED_TIMEOUT_MS = 1_000.0  # beyond it: a release is due within a second
-UNHANDLED_TIMEOUT_MS = 2_500.0  # beyond it: one who goes on sending, or reads nothing; a half message has 2 s
+DRAIN_WINDOW_MS = 700.0
+"""The time after SIGTERM for which the operators' page still allows new requests."""
+
+UNDELIVERED_TIMEOUT_MS = 1_000.0
+"""The time after the drain window for undelivered releases: a release is due within a second."""
+
+UNHANDLED_TIMEOUT_MS = 2_500.0
+"""The time after the drain window for a client that goes on sending or reads nothing.
+
+It exceeds the 2 s that an incomplete message has."""
 
 
 class ShutdownState(Enum):
+    """The states of a shutdown, in their order."""
+
     SERVING = "serving"
     DRAINING = "draining"
     CLOSING = "closing"
@@ -31,17 +42,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownObservation:
-    """What one look found."""
+    """What one check found."""
 
     has_unanswered_calls: bool  # open calls
-    has_unhandled_data: (
-        bool  # connections or bytes that came since the look before or wait their turn, unsent answers
-    )
-    has_undelivered_releases: bool  # releases owed to clients or hosts, for which there is no connection
+    # Connections or bytes that arrived since the last check or wait for their turn, or unsent answers.
+    has_unhandled_data: bool
+    has_undelivered_releases: bool  # owed to clients or hosts that have no connection
 
 
 class GracefulShutdown:
-    """
+    """The state of the shutdown; it never goes back.
+
     >>> shutdown, nothing = GracefulShutdown(), ShutdownObservation(False, False, False)
     >>> shutdown.begin(0.0), shutdown.begin(5.0)
     (True, False)
@@ -51,23 +62,25 @@
 
     def __init__(self) -> None:
         self.state = ShutdownState.SERVING
-        self.drain_until_ms = float("inf")  # the window's end
+        self.drain_until_ms = float("inf")  # the end of the drain window
 
     def begin(self, now: float) -> bool:
-        """SIGTERM; False if it came before."""
+        """Handles SIGTERM; returns False if an earlier one was handled."""
         if self.state is not ShutdownState.SERVING:
             return False
         self.state, self.drain_until_ms = ShutdownState.DRAINING, now + DRAIN_WINDOW_MS
         return True
 
-    def update_state(self, now: float, seen: ShutdownObservation) -> ShutdownState:
+    def update_state(self, now: float, observation: ShutdownObservation) -> ShutdownState:
+        """Takes what a check has found and returns the state that results."""
         if self.state is ShutdownState.DRAINING and now >= self.drain_until_ms:
-            self.state = (
-                ShutdownState.CLOSING
-            )  # what was in the backlog is in: the next look finds what it says
+            # The backlog has been accepted: the next check finds what those connections sent.
+            self.state = ShutdownState.CLOSING
         elif self.state is ShutdownState.CLOSING:
-            held = seen.has_undelivered_releases and now < self.drain_until_ms + UNDELIVERED_TIMEOUT_MS
-            held |= seen.has_unhandled_data and now < self.drain_until_ms + UNHANDLED_TIMEOUT_MS
-            if not (seen.has_unanswered_calls or held):
+            is_delayed = (
+                observation.has_undelivered_releases and now < self.drain_until_ms + UNDELIVERED_TIMEOUT_MS
+            )
+            is_delayed |= observation.has_unhandled_data and now < self.drain_until_ms + UNHANDLED_TIMEOUT_MS
+            if not (observation.has_unanswered_calls or is_delayed):
                 self.state = ShutdownState.CLOSED
         return self.state
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -1,7 +1,8 @@
-"""One allocator on the platform: configuration, joined parts, signals, the end.
+"""The process of one platform allocator: configuration, assembly of its parts, signals and shutdown.
 
-Started by `python -m glencleat node`, reading ROUTER_CONFIG. Exit codes: 0 after SIGTERM, 2 for a
-configuration that can't be used, 3 when the system refuses (an address in use)."""
+`python -m glencleat node` starts it with the file that ROUTER_CONFIG names. Exit codes: 0 after SIGTERM, 2
+for an invalid configuration, 3 if the operating system refuses (an address in use).
+"""
 
 from __future__ import annotations
 
@@ -38,20 +39,30 @@
 from glencleat.platform_settings import read_settings
 from glencleat.policy.scheduler import Scheduler
 
-SHUTDOWN_CHECK_MS = 10.0  # between two looks whether all is answered
-# After the start: nine in ten have to be ready within 10 s, whether discovery is up or not. Sooner would cost
-# what is asked of an allocator that has no host and is told one a moment later.
+SHUTDOWN_CHECK_MS = 10.0
+"""The time between two checks whether everything is answered."""
+
 READY_TIMEOUT_MS = 7_000.0
-RELOAD_RETRY_MS, MAX_RELOAD_ATTEMPTS = 100.0, 20  # the file may be read while it is replaced
+"""The time after the start from which the process reports ready without a machine list.
+
+Nine in ten processes have to be ready within 10 s, whether discovery is up or not. A shorter time would cost
+the calls made to an allocator that knows no host yet and receives its list a moment later.
+"""
+
+RELOAD_RETRY_MS, MAX_RELOAD_ATTEMPTS = 100.0, 20
+"""The file may be read while it is being replaced."""
+
 STATUS_INTERVAL_MS = 10_000.0
 
 
 class ProcessConfigError(Exception):
-    """The configuration can't be used; the text says what and why."""
+    """The configuration is invalid; the text says what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessConfig:
+    """The checked contents of the configuration file."""
+
     name: str
     listen_address: tuple[str, int]
     seed: int
@@ -64,7 +75,11 @@
 
 
 def load_process_config(path: str) -> ProcessConfig:
-    """Reads and checks the file that ROUTER_CONFIG names; raises BadConfig."""
+    """Reads and checks the file that ROUTER_CONFIG names.
+
+    Raises:
+        ProcessConfigError: The file can't be read, or a value is missing or invalid.
+    """
     try:
         with open(path, "rb") as file:
             raw = msgspec.json.decode(file.read())
@@ -89,7 +104,7 @@
 
 
 class PlatformProcess:
-    """The parts joined; the exchange's Ports."""
+    """Assembles the parts of the process and implements the exchange's `ExchangePorts`."""
 
     def __init__(self, config: ProcessConfig, loop: Loop, log: Callable[[str], None], path: str) -> None:
         self.loop, self.log, self.path = loop, log, path
@@ -100,7 +115,7 @@
         limits = config.connect_ms, config.idle_ms
         self.connection_pool = ConnectionPool(loop, self.channel, self.descriptors, *limits, random, log)
         self.started_at_ms = loop.now()
-        self.client_connections.is_ready = self._ready
+        self.client_connections.is_ready = self._is_ready
         self.connection_pool.allocator_count, self.connection_pool.warm_up_ms = (
             config.settings.allocator_count,
             config.settings.warm_up_ms,
@@ -109,156 +124,186 @@
         self.exchange = Exchange(config.settings, module, self, config.connect_ms)
         self.exchange.list_machines = self.channel.list_machines
         self.client_connections.exchange = self.connection_pool.exchange = self.exchange
-        for news in self.channel.load_initial_list(config.initial_list, loop.now()):
-            self.apply_list_change(news)
-        asking = Backoff(COMMAND_CHANNEL_BACKOFF, random)
+        for change in self.channel.load_initial_list(config.initial_list, loop.now()):
+            self.apply_list_change(change)
+        backoff = Backoff(COMMAND_CHANNEL_BACKOFF, random)
         self.watch_client = WatchClient(
-            loop, self.channel, asking, config.channel_address, self.apply_list_change, log
+            loop, self.channel, backoff, config.channel_address, self.apply_list_change, log
         )
         self.reload_attempt_count = 0
         self.fault_count = 0
         if os.environ.get("GLENCLEAT_TRACE") == "1":
-            self._trace()
+            self._enable_trace()
         self.max_round_ms = 0.0
         self.shutdown = GracefulShutdown()
 
-    def _ready(self) -> bool:
-        """There is somewhere to place, or there was no list for too long: what is asked is then refused at
-        once, which costs its owners a moment, while one that is never ready counts as failed to start."""
+    def _is_ready(self) -> bool:
+        """Whether a host is known, or no list has come for too long.
+
+        In the second case calls are refused at once, which costs their clients a moment; a process that is
+        never ready counts as failed to start.
+        """
         return bool(self.channel.hosts_by_name) or self.loop.now() - self.started_at_ms > READY_TIMEOUT_MS
 
-    def _trace(self) -> None:
+    def _enable_trace(self) -> None:
         from glencleat.platform_server.trace import Trace
 
-        line, contract = (
+        write_line, contract = (
             RateLimitedLog("trace", max_lines_per_s=1 << 30, max_line_length=500),
             self.exchange.contract,
         )
-        contract.module = trace = Trace(contract.module, self.exchange.calls_by_id, line)
+        contract.module = trace = Trace(contract.module, self.exchange.calls_by_id, write_line)
         self.client_connections.trace = self.connection_pool.trace = trace
 
-    # ---- Ports ----
+    # ---- ports of the exchange; see `ExchangePorts` ----
 
     def send_to_client(self, client: Any, data: bytes, must_deliver: bool) -> None:
+        """Sends a message to a client; see `ClientConnections.send_to_client`."""
         self.client_connections.send_to_client(client, data, must_deliver)
 
     def is_client_waiting(self, client: Any, task: int, must_poll: bool) -> bool:
+        """Whether the client still waits for the answer."""
         return self.client_connections.is_client_waiting(client, task, must_poll)
 
     def mark_trusted(self, client: Any) -> None:
+        """Records that a task of the client was placed."""
         self.client_connections.mark_trusted(client)
 
     def offer_attempt(self, attempt: SetupAttempt) -> None:
+        """Sends an attempt to its host, at once or as soon as there is a connection."""
         self.connection_pool.offer_attempt(attempt)
 
     def cancel_attempt(self, attempt: SetupAttempt) -> DeliveryOutcome:
+        """Cancels an attempt and returns what is known of its delivery."""
         return self.connection_pool.cancel_attempt(attempt)
 
     def has_unread_bytes(self, attempt: SetupAttempt) -> bool:
+        """Whether unread bytes have arrived on the connection that the attempt went by."""
         return self.connection_pool.has_unread_bytes(attempt)
 
     def release_task(self, host: str, task: int) -> None:
+        """Releases a placed task at its host, at once or as soon as there is a connection."""
         self.connection_pool.release_task(host, task)
 
     def request_load_report(self, host: str, token: int) -> bool:
+        """Requests the load report of a host; False if there is no connection for it."""
         return self.connection_pool.request_load_report(host, token)
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
+        """Calls a function after a time on the loop."""
         return self.loop.call_in(in_ms, call)
 
     def now(self) -> float:
+        """The loop's monotonic time in milliseconds."""
         return self.loop.now()
 
-    # ---- the list ----
+    # ---- the machine list ----
 
-    def apply_list_change(self, news: ListChange) -> None:
-        # The module first: what stood at a host that was replaced is then bound anew by the newer list.
-        self.exchange.apply_list_change(news)
-        self.connection_pool.apply_list_change(news)
+    def apply_list_change(self, change: ListChange) -> None:
+        """Applies a change of the machine list."""
+        # The policy first: it then rebinds the tasks of a replaced host by the newer list.
+        self.exchange.apply_list_change(change)
+        self.connection_pool.apply_list_change(change)
 
     # ---- signals ----
 
     def reload(self) -> None:
-        """SIGHUP: the channel's address; anything else of the file belongs to the start."""
+        """Handles SIGHUP: reads the command channel's address again.
+
+        Everything else in the file applies only at the start.
+        """
         self.reload_attempt_count = 0
-        self._reread()
+        self._reload_config()
 
-    def _reread(self) -> None:
+    def _reload_config(self) -> None:
         try:
-            place = load_process_config(self.path).channel_address
+            address = load_process_config(self.path).channel_address
         except ProcessConfigError as error:
             self.reload_attempt_count += 1
             if self.reload_attempt_count < MAX_RELOAD_ATTEMPTS:
-                self.loop.call_in(RELOAD_RETRY_MS, self._reread)
+                self.loop.call_in(RELOAD_RETRY_MS, self._reload_config)
             else:
-                self.log(f"the new configuration can't be used, the old one goes on: {error}")
+                self.log(f"configuration not reloaded, the former one stays in use: {error}")
             return
-        self.log(f"configuration read again, command channel at {place[0]}:{place[1]}")
-        self.watch_client.change_address(place)
+        self.log(f"configuration read again, command channel at {address[0]}:{address[1]}")
+        self.watch_client.change_address(address)
 
     def stop(self) -> None:
-        """SIGTERM: `draining.py` says when all is over."""
+        """Handles SIGTERM; `graceful_shutdown.py` decides when the process ends."""
         if self.shutdown.begin(self.loop.now()):
             self.client_connections.is_draining = True
             self.log(f"stopping, {self.exchange.open_call_count} calls open")
-            self.loop.call_in(DRAIN_WINDOW_MS, self._look)
+            self.loop.call_in(DRAIN_WINDOW_MS, self._check_shutdown)
+
+    def _check_shutdown(self) -> None:
+        """Observes what is left to do, and stops the loop if the shutdown is complete.
 
-    def _look(self) -> None:
-        """Looks at all there is by asking the system: after a standstill no event tells of it yet."""
-        came, half = self.client_connections.read_all_pending()
-        seen = ShutdownObservation(
+        It asks the operating system: after a stall no event has reported the arrivals yet.
+        """
+        has_arrivals, has_partial_message = self.client_connections.read_all_pending()
+        observation = ShutdownObservation(
             has_unanswered_calls=bool(self.exchange.open_call_count),
-            has_unhandled_data=came or half or self.client_connections.has_unsent_bytes,
+            has_unhandled_data=has_arrivals
+            or has_partial_message
+            or self.client_connections.has_unsent_bytes,
             has_undelivered_releases=bool(self.client_connections.pending_releases)
             or self.connection_pool.has_unsent_releases,
         )
-        state = self.shutdown.update_state(self.loop.now(), seen)
+        state = self.shutdown.update_state(self.loop.now(), observation)
         if state is not ShutdownState.DRAINING:
             self.client_connections.stop_listening()
         if state is ShutdownState.CLOSED:
             self.loop.stop()
         else:
-            self.loop.call_in(SHUTDOWN_CHECK_MS, self._look)
+            self.loop.call_in(SHUTDOWN_CHECK_MS, self._check_shutdown)
 
     # ---- running ----
 
     def log_status(self) -> None:
+        """Logs the counters of the process and schedules the next status line."""
         self.loop.call_in(STATUS_INTERVAL_MS, self.log_status)
-        x = self.exchange
-        nothing = (
-            ", ".join(f"{outcome.value} {count}" for outcome, count in x.failed_attempts_by_outcome.items())
+        exchange = self.exchange
+        failed_attempts = (
+            ", ".join(
+                f"{outcome.value} {count}" for outcome, count in exchange.failed_attempts_by_outcome.items()
+            )
             or "none"
         )
-        stood, d = sum(map(len, x.placed_calls_by_host.values())), self.descriptors
+        placed_count, descriptors = sum(map(len, exchange.placed_calls_by_host.values())), self.descriptors
         self.log(
-            f"taken {x.call_count} open {x.open_call_count} standing {stood} bad {x.invalid_setup_count}"
-            f" late {x.late_answer_count} came to nothing: {nothing}; owners"
+            f"taken {exchange.call_count} open {exchange.open_call_count} standing {placed_count}"
+            f" bad {exchange.invalid_setup_count}"
+            f" late {exchange.late_answer_count} came to nothing: {failed_attempts}; owners"
             f" {len(self.client_connections.connections)} links {self.connection_pool.connection_count}"
             f" hosts {len(self.connection_pool.hosts_by_name)} descriptors"
-            f" {d.held_count} most {d.peak_count} of {d.capacity} refused {d.denied_count}"
+            f" {descriptors.held_count} most {descriptors.peak_count} of {descriptors.capacity}"
+            f" refused {descriptors.denied_count}"
             f" waited {self.connection_pool.pending_queue.total_count} paced"
             f" {self.connection_pool.connection_limiter.denied_count} cursor"
             f" {self.channel.cursor} channel breaks {self.watch_client.disconnect_count}"
-            f" longest round {self.max_round_ms:.0f} ms module {x.contract.module_cpu_s:.2f} s"
+            f" longest round {self.max_round_ms:.0f} ms module {exchange.contract.module_cpu_s:.2f} s"
             f" cpu {time.process_time():.2f} s faults {self.fault_count} rss {read_resident_size()}"
         )
         self.max_round_ms = 0.0
 
     def run(self) -> None:
-        """Until stopped. A fault of ours in one event is told and counted; the others go on."""
-        self.loop.on_error = lambda task, error: self._fault(error)
+        """Runs until stopped.
+
+        An exception in one event is logged and counted; other events are still handled.
+        """
+        self.loop.on_error = lambda task, error: self._record_fault(error)
         self.loop.is_running = True
         while self.loop.is_running:
-            began, idle = self.loop.now(), self.loop.poller.idle_ms
+            began_at_ms, idle_ms = self.loop.now(), self.loop.poller.idle_ms
             try:
                 self.loop.run_once()
             except Exception as error:
-                self._fault(error)
+                self._record_fault(error)
             self.max_round_ms = max(
-                self.max_round_ms, self.loop.now() - began - (self.loop.poller.idle_ms - idle)
+                self.max_round_ms, self.loop.now() - began_at_ms - (self.loop.poller.idle_ms - idle_ms)
             )
 
-    def _fault(self, error: BaseException) -> None:
+    def _record_fault(self, error: BaseException) -> None:
         self.fault_count += 1
         frames = reversed(traceback.extract_tb(error.__traceback__)[-5:])
         where = " < ".join(f"{frame.name}:{frame.lineno}" for frame in frames)
@@ -266,12 +311,13 @@
 
 
 def read_resident_size() -> str:
-    """Resident size in kB, as the system tells it."""
+    """The resident size of the process in kB, as text with the unit."""
     with open("/proc/self/statm", "rb") as file:
         return f"{int(file.read().split()[1]) * os.sysconf('SC_PAGE_SIZE') // 1024} kB"
 
 
 def main() -> int:
+    """Runs the process and returns its exit code."""
     signals = Signals()
     log = RateLimitedLog(os.environ.get("ROUTER_NAME", "node"))
     path = os.environ.get("ROUTER_CONFIG")
@@ -285,15 +331,15 @@
         print(f"glencleat node: {error}", file=sys.stderr)
         return 2
     except (LookupError, TypeError, AttributeError, ArithmeticError) as error:
-        # Settings of a form that nothing here was made for: as good as none, and no fault to be traced.
+        # Settings of an unforeseen form: an invalid configuration, not a bug that needs a traceback.
         print(f"glencleat node: {path}: {type(error).__name__}: {error}", file=sys.stderr)
         return 2
     signals.attach(process.loop, process.stop, process.reload)
     try:
         bound = process.client_connections.listen(config.listen_address)
     except OSError as error:
-        place = f"{config.listen_address[0]}:{config.listen_address[1]}"
-        print(f"glencleat node: can't listen on {place}: {error.strerror}", file=sys.stderr)
+        address = f"{config.listen_address[0]}:{config.listen_address[1]}"
+        print(f"glencleat node: can't listen on {address}: {error.strerror}", file=sys.stderr)
         return 3
     gc.collect()
     gc.freeze()
--- a/glencleat/platform_server/rate_limited_log.py
+++ b/glencleat/platform_server/rate_limited_log.py
@@ -1,6 +1,7 @@
-"""Short lines on standard error: bounded in number and never waited for.
+"""Short lines on standard error, limited in number and length. Writing one never blocks.
 
-structlog, the rest of the program's, takes ten megabytes and a tenth of a second of a small core."""
+structlog, which the rest of the program uses, takes ten megabytes and a tenth of a second of a small core.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +9,13 @@
 import select
 import time
 
-MAX_LINES_PER_S, MAX_LINE_LENGTH = 20, 400  # lines a second, the rest are counted; characters of a line
+MAX_LINES_PER_S, MAX_LINE_LENGTH = 20, 400
+"""Lines a second, beyond which they are only counted; characters of a line."""
 
 
 class RateLimitedLog:
+    """A callable that writes a line of text with the time and the process's name."""
+
     def __init__(
         self,
         name: str,
@@ -30,6 +34,7 @@
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, text: str) -> None:
+        """Writes a line, or counts it as dropped if the limit is reached or the descriptor isn't writable."""
         now = time.time()
         if int(now) != self.current_second:
             self.current_second, self.line_count = int(now), 0
@@ -37,12 +42,12 @@
         if self.line_count > self.max_lines_per_s or not self.poll.poll(0):
             self.dropped_count += 1
             return
-        more = f" (and {self.dropped_count} lines not written)" if self.dropped_count else ""
+        dropped = f" ({self.dropped_count} lines dropped)" if self.dropped_count else ""
         self.dropped_count = 0
         try:
             os.write(
                 self.fd,
-                f"{now:.3f} {self.name} {text[: self.max_line_length]}{more}\n".encode(errors="replace"),
+                f"{now:.3f} {self.name} {text[: self.max_line_length]}{dropped}\n".encode(errors="replace"),
             )
         except OSError:
             self.dropped_count += 1
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -1,7 +1,9 @@
-"""Belief against fact: with GLENCLEAT_TRACE=1 every event and action of the module and every message of the
-links is one line on standard error. Off by default; a line that standard error would not take is dropped.
+"""Traces the policy against the messages that passed, if GLENCLEAT_TRACE=1 is set.
 
-Imports the interface and messages. `pair` in a line is the platform's id: `grep ID` shows both sides."""
+Each event and action of the policy and each message of the connections is one line on standard error. A line
+that standard error would not accept is dropped. `pair` in a line is the platform's id: `grep ID` shows both
+sides.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +17,12 @@
 if TYPE_CHECKING:
     from glencleat.platform_protocol.exchange import SetupCall
 
-ROUTINE_EVENTS = (
-    api.TimerFired,
-    api.MachineListUpdated,
-    api.TaskObserved,
-)  # told only where the module answers with more than a timer
+ROUTINE_EVENTS = (api.TimerFired, api.MachineListUpdated, api.TaskObserved)
+"""Events that are traced only if the policy answers with more than a timer."""
 
 
 class Trace:
-    """A module around the real one, which it asks; `record_message` is for what passes on the sockets."""
+    """A decision module that wraps the real one and traces it; `record_message` traces messages."""
 
     def __init__(
         self, module: DecisionModule, calls: dict[int, SetupCall], write_line: Callable[[str], None]
@@ -31,14 +30,18 @@
         self.module, self.calls, self.write_line = module, calls, write_line
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Passes the event to the wrapped module and traces it with the resulting actions."""
         actions = self.module.handle(now_ms, event)
         if isinstance(event, ROUTINE_EVENTS) and all(isinstance(action, api.SetTimer) for action in actions):
             return actions
-        calls = [self.calls.get(getattr(said, "call", -1)) for said in (event, *actions)]
-        pairs = {f"{call.setup.task_id:016x}" for call in calls if call is not None}
-        told = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
-        self.write_line(f"module {now_ms:.0f} pair {' '.join(sorted(pairs))}: {told} -> {actions}")
+        calls = [self.calls.get(getattr(item, "call", -1)) for item in (event, *actions)]
+        platform_ids = {f"{call.setup.task_id:016x}" for call in calls if call is not None}
+        shown_event = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
+        self.write_line(
+            f"module {now_ms:.0f} pair {' '.join(sorted(platform_ids))}: {shown_event} -> {actions}"
+        )
         return actions
 
     def record_message(self, where: str, message: m.PlatformMessage) -> None:
+        """Traces a message that passed on a connection; `where` names the kind of the peer."""
         self.write_line(f"{where} pair {message.task_id:016x}: {message.kind} {message.parameters}")
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -1,7 +1,7 @@
-"""Holds a connection to the command channel, always: breaks, silence and moves end one and begin the next.
+"""Keeps a connection to the command channel open: reconnects after a break, silence or a change of address.
 
-Imports the kernel, `isup.channel` and `fleet.asking`. What a break may cost is 2 s, a silence or a move 4 s:
-drains count as told by then."""
+A break may cost 2 s, silence or a change of address 4 s: draining hosts count as known by then.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +14,17 @@
 from glencleat.platform_protocol.messages import ProtocolError
 
 CONNECT_MS = 500.0
-SILENCE_TIMEOUT_MS = 1_800.0  # a line is due every second
-PROGRESS_BYTES = 65_536  # bytes of a line that is not whole count as a word: a long list may take its time
+
+SILENCE_TIMEOUT_MS = 1_800.0
+"""The time without a complete line after which the connection is closed; one is due every second."""
+
+PROGRESS_BYTES = 65_536
+"""Bytes of an incomplete line that count as activity, because a long list may take its time."""
 
 
 class WatchClient:
+    """The connection to the command channel; it is retried for as long as the process runs."""
+
     def __init__(
         self,
         loop: Loop,
@@ -28,18 +34,31 @@
         on_change: Callable[[ListChange], None],
         log: Callable[[str], None],
     ) -> None:
+        """Starts to connect.
+
+        Args:
+            loop: Runs the connection and tells the time.
+            channel: Decodes the lines and holds the cursor that a reconnect resumes from.
+            backoff: The intervals between attempts.
+            address: Where the command channel listens.
+            on_change: Takes each change of the machine list.
+            log: Takes a line of text.
+        """
         self.loop, self.channel, self.backoff, self.address = loop, channel, backoff, address
         self.on_change, self.log = on_change, log
         self.stream: Stream | None = None
         self.last_heard_at_ms = 0.0
-        self.partial_bytes = 0  # bytes since the last whole line, or since as much was counted as a word
-        self.retry_pause = Pause(loop)  # between two tries
-        self.receiving_since_ms: float | None = None  # since when this connection tells something
+        self.partial_bytes = 0  # since the last complete line, or since as many counted as activity
+        self.retry_pause = Pause(loop)  # between two attempts
+        self.receiving_since_ms: float | None = None  # of the current connection's first bytes
         self.disconnect_count = 0
         loop.spawn(self._run(), "command channel", is_urgent=True)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Another address from now on; the numbers go on. The old one's failures say nothing of it."""
+        """Connects to another address from now on, with the same cursor.
+
+        Failures at the former address say nothing about the new one, so the backoff starts anew.
+        """
         if address != self.address:
             self.address = address
             self.backoff.reset()
@@ -50,50 +69,55 @@
     def _run(self) -> Coroutine:
         while True:
             try:
-                yield from self._follow()
+                yield from self._receive()
             except (StreamClosedError, ProtocolError) as error:
                 self.disconnect_count += 1
                 self.log(f"command channel: {error}; asking again from {self.channel.cursor}")
             if self.stream is not None:
                 self.stream.close()
                 self.stream = None
-            lasted = 0.0 if self.receiving_since_ms is None else self.loop.now() - self.receiving_since_ms
-            while not (yield from self.retry_pause.sleep(self.backoff.next_delay_ms(lasted))):
-                lasted = 0.0  # moved meanwhile: a first wait, so that all that move are spread
+            connected_ms = (
+                0.0 if self.receiving_since_ms is None else self.loop.now() - self.receiving_since_ms
+            )
+            while not (yield from self.retry_pause.sleep(self.backoff.next_delay_ms(connected_ms))):
+                # The address has changed: a first interval spreads all clients that change it.
+                connected_ms = 0.0
 
-    def _follow(self) -> Coroutine:
-        place, self.receiving_since_ms = self.address, None
-        stream: Stream = yield from connect(self.loop, place, CONNECT_MS)
+    def _receive(self) -> Coroutine:
+        address, self.receiving_since_ms = self.address, None
+        stream: Stream = yield from connect(self.loop, address, CONNECT_MS)
         self.stream = stream
-        if place != self.address:
+        if address != self.address:
             raise StreamClosedError("the command channel moved")
         self.last_heard_at_ms, self.partial_bytes = self.loop.now(), 0
-        self._watch(stream)
+        self._check_silence(stream)
         stream.send(self.channel.encode_resume())
         while True:
             data = yield from stream.read()
             if not data:
-                raise StreamClosedError("it ended")
+                raise StreamClosedError("closed by the peer")
             now = self.loop.now()
             self.partial_bytes = 0 if b"\n" in data else self.partial_bytes + len(data)
+            # Fewer bytes don't count: a channel that sends byte by byte would prevent a reconnect.
             if not self.partial_bytes or self.partial_bytes >= PROGRESS_BYTES:
-                self.last_heard_at_ms, self.partial_bytes = (
-                    now,
-                    0,
-                )  # else one that drips would keep us from asking again
+                self.last_heard_at_ms, self.partial_bytes = now, 0
             if self.receiving_since_ms is None:
                 self.receiving_since_ms = now
-            for news in self.channel.feed(data, now):
-                self.on_change(news)
+            for change in self.channel.feed(data, now):
+                self.on_change(change)
 
-    def _watch(self, stream: Stream, last: bool = False) -> None:
-        """Closes the stream once no line has come for too long: one that stops may stay open.
+    def _check_silence(self, stream: Stream, was_deferred: bool = False) -> None:
+        """Closes the stream if no line has arrived within the time-out; a peer that stops may leave it open.
 
-        `last`: what lay unread when it was due has been read since; after a standstill that may be all."""
+        `was_deferred` means that bytes that were unread when the time was over have been read since. After a
+        stall they may be all that there is.
+        """
         if stream.close_reason is not None:
             return
-        left = self.last_heard_at_ms + SILENCE_TIMEOUT_MS - self.loop.now()
-        if left <= 0.0 and (last or not stream.is_readable):
+        remaining_ms = self.last_heard_at_ms + SILENCE_TIMEOUT_MS - self.loop.now()
+        if remaining_ms <= 0.0 and (was_deferred or not stream.is_readable):
             stream.close("it is silent")
         else:
-            self.loop.call_in(max(left, 50.0), lambda: self._watch(stream, left <= 0.0))
+            self.loop.call_in(
+                max(remaining_ms, 50.0), lambda: self._check_silence(stream, remaining_ms <= 0.0)
+            )
--- a/tests/flow_control/test_backoff.py
+++ b/tests/flow_control/test_backoff.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("bad", [(0.0, 1.0, 1.0), (2.0, 1.0, 1.0), (1.0, 2.0, -1.0), (1.0, 2.0, 1.0, 0.5)])
 def test_a_pace_that_cannot_be_kept(bad):
-    with pytest.raises(ValueError, match="pace"):
+    with pytest.raises(ValueError, match="invalid backoff policy"):
         BackoffPolicy(*bad)
 
 
--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -62,8 +62,8 @@
     flood.send(b"".join(m.encode(m.PROGRESS, i) for i in range(1, 500)))
     good.send(m.encode(m.PROBE, 9))
     seen = []
-    original = world.owners._message
-    world.owners._message = lambda owner, message, at: (
+    original = world.owners._handle_message
+    world.owners._handle_message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
@@ -83,8 +83,8 @@
             break
     good.send(m.encode(m.PROBE, 9))
     seen = []
-    original = world.owners._message
-    world.owners._message = lambda owner, message, at: (
+    original = world.owners._handle_message
+    world.owners._handle_message = lambda owner, message, at: (
         seen.append(message.kind),
         original(owner, message, at),
     )
--- a/tests/test_endpoint_snapshot.py
+++ b/tests/test_endpoint_snapshot.py
@@ -47,7 +47,7 @@
     data, ends = b"".join(lines), [len(lines[0]), len(lines[0] + lines[1])]
     for length in range(len(data)):
         if length < ends[0]:
-            with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="no whole line"):
+            with pytest.raises(endpoint_snapshot.EndpointSnapshotError, match="no complete line"):
                 endpoint_snapshot.decode_snapshot(data[:length])
         else:
             assert phases(data[:length])["a"] is (DRAINING if length >= ends[1] else SERVING)
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "data",
     [b"", b"\n", b"garbage\n", b"%08x {}\n" % 0, written()[1], written()[0] * 2,
-     endpoint_snapshot._line(endpoint_snapshot.SnapshotRecord(9, "p", WALL, []))],
+     endpoint_snapshot._encode_line(endpoint_snapshot.SnapshotRecord(9, "p", WALL, []))],
     ids=["empty", "blank", "garbage", "no checksum", "change first", "twice", "format"],
 )  # fmt: skip
 def test_what_is_no_list_is_refused(data):
