--- a/glencleat/flow_control/backoff.py
+++ b/glencleat/flow_control/backoff.py
@@ -69,7 +69,7 @@
     def first_delay_ms(self) -> float:
         """The interval before the very first attempt, which spreads processes that start together.
 
-        It is for a process that can't work without the peer yet. One that starts with a list connects at once.
+        It is for a process that can't work without the peer. One that starts with a list connects at once.
         """
         return self.random.uniform(0.0, self.policy.first_ms)
 
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -1,4 +1,4 @@
-"""One allocator as the platform starts it, with a small host, channel and owner of the page's own words."""
+"""An allocator process as the platform starts it, with a host, command channel and client of the protocol."""
 
 import contextlib
 import json
@@ -38,10 +38,10 @@
 
 
 class Peer:
-    """A listener in a thread of its own that runs `serve` for each connection."""
+    """A listener in its own thread that runs `serve` for each connection."""
 
     def __init__(self, serve):
-        self.serve, self.port, self.open_ones = serve, 0, []
+        self.serve, self.port, self.accepted = serve, 0, []
         self.open()
         self.address = f"127.0.0.1:{self.port}"
 
@@ -51,10 +51,10 @@
         threading.Thread(target=self.run, args=(self.sock,), daemon=True).start()
 
     def close(self):
-        """Nobody is let in, and who is in is cut off."""
+        """Closes the listener and every accepted connection."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
-        for sock in self.open_ones:
+        for sock in self.accepted:
             sock.close()
 
     def run(self, listener):
@@ -63,35 +63,35 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            self.open_ones.append(sock)
+            self.accepted.append(sock)
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
 
 class Reader:
     def __init__(self, sock):
-        self.sock, self.decoder, self.found = sock, m.MessageDecoder(), []
+        self.sock, self.decoder, self.messages = sock, m.MessageDecoder(), []
         sock.settimeout(20.0)
 
     def next(self):
-        while not self.found:
+        while not self.messages:
             data = self.sock.recv(4096)
             assert data, "closed"
             self.decoder.feed(data)
-            self.found = list(self.decoder.messages())
-        return self.found.pop(0)
+            self.messages = list(self.decoder.messages())
+        return self.messages.pop(0)
 
 
 class Platform:
-    """Host h1, two command channels, the configuration, the process."""
+    """Host h1, two command channels, the configuration and the allocator process."""
 
     def __init__(self, folder, known=True):
-        self.hold, self.resumed, self.known = threading.Event(), [[], []], known
-        self.asked = [threading.Event(), threading.Event()]
-        self.again = [threading.Event(), threading.Event()]
+        self.may_answer, self.resume_lines, self.known = threading.Event(), [[], []], known
+        self.has_connected = [threading.Event(), threading.Event()]
+        self.has_reconnected = [threading.Event(), threading.Event()]
         self.host = Peer(self.serve_host)
         self.channels = [Peer(lambda sock, i=i: self.serve_channel(i, sock)) for i in (0, 1)]
         self.path = folder / "config.json"
-        self.write(0)
+        self.write_config(0)
         variables = {"ROUTER_NAME": "n0", "ROUTER_CONFIG": str(self.path), "ROUTER_LISTEN": "127.0.0.1:0"}
         self.process = subprocess.Popen(
             [sys.executable, "-m", "glencleat", "node"],
@@ -99,16 +99,16 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        line = self.line("listening on")
+        line = self.wait_for_line("listening on")
         self.address = ("127.0.0.1", int(line.split("listening on 127.0.0.1:")[1].split(",")[0]))
 
-    def line(self, text):
+    def wait_for_line(self, text):
         for line in self.process.stderr:
             if text in line:
                 return line
         raise AssertionError(f"no line with {text!r}; ended with {self.process.wait()}")
 
-    def write(self, channel):
+    def write_config(self, channel):
         entry = {"instanceId": "h1", "hostPort": self.host.address, "zone": "a", "machineType": "std", "cell": 0,
                  "lifecycle": "SERVING", "weight": 1, "startedAtMs": 0, "free": [16.0, 32.0]}  # fmt: skip
         event = {"cursor": 1, "nodes": {"generation": 1, "reset": True, "instances": [entry]}}
@@ -124,62 +124,62 @@
             while True:
                 message = reader.next()
                 if message.kind == m.SETUP:
-                    self.hold.wait(20.0)
+                    self.may_answer.wait(20.0)
                     sock.send(m.encode(m.ANSWER, message.task_id, {m.DESCRIPTION: b"from h1"}))
         except (AssertionError, OSError):
             sock.close()
 
     def serve_channel(self, i, sock):
-        self.resumed[i].append(sock.recv(100))
-        (self.again if self.asked[i].is_set() else self.asked)[i].set()
+        self.resume_lines[i].append(sock.recv(100))
+        (self.has_reconnected if self.has_connected[i].is_set() else self.has_connected)[i].set()
 
-    def owner(self):
+    def connect_client(self):
         sock = socket.create_connection(self.address)
         return sock, Reader(sock)
 
 
 @pytest.fixture
 def platform(tmp_path):
-    made = Platform(tmp_path)
-    yield made
-    if made.process.poll() is None:
-        made.process.kill()
-    made.process.wait()
-    made.process.stderr.close()
+    platform = Platform(tmp_path)
+    yield platform
+    if platform.process.poll() is None:
+        platform.process.kill()
+    platform.process.wait()
+    platform.process.stderr.close()
 
 
 def test_a_day_in_short(platform):
-    """Ready, an answer, a reload, a broken file, a planned restart with a call open."""
-    sock, reader = platform.owner()
+    """Covers readiness, an answer, a reload of an incomplete file, and a planned restart with an open call."""
+    sock, reader = platform.connect_client()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
-    platform.hold.set()
+    platform.may_answer.set()
     sock.send(setup(7))
     answer = reader.next()
     assert (answer.kind, answer.task_id, answer.parameters) == (m.ANSWER, 7, {m.DESCRIPTION: b"from h1"})
-    assert platform.asked[0].wait(20.0) and platform.resumed[0][0] == b"resume 1\n"
+    assert platform.has_connected[0].wait(20.0) and platform.resume_lines[0][0] == b"resume 1\n"
 
-    platform.path.write_text("{")  # while it is replaced
+    platform.path.write_text("{")  # incomplete, as while it is being replaced
     platform.process.send_signal(signal.SIGHUP)
-    platform.write(1)
-    assert platform.asked[1].wait(20.0) and platform.resumed[1][0] == b"resume 1\n"
+    platform.write_config(1)
+    assert platform.has_connected[1].wait(20.0) and platform.resume_lines[1][0] == b"resume 1\n"
 
-    platform.hold.clear()
+    platform.may_answer.clear()
     sock.send(setup(8) + m.encode(m.PROBE, 2, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.process.send_signal(signal.SIGTERM)
-    platform.line("stopping, 1 calls open")
-    for token in range(3, 13):  # rounds of its loop go by
+    platform.wait_for_line("stopping, 1 calls open")
+    for token in range(3, 13):  # while rounds of its loop pass
         sock.send(m.encode(m.PROBE, token, {m.CAUSE: b"\0"}))
         assert reader.next().cause == 0
-    late, late_reader = platform.owner()
-    late.send(setup(9))
-    platform.hold.set()
+    late_client, late_reader = platform.connect_client()
+    late_client.send(setup(9))
+    platform.may_answer.set()
     assert reader.next().kind == m.ANSWER and late_reader.next().kind == m.ANSWER
     assert platform.process.wait(20.0) == 0
 
 
-def test_memory_at_the_start_is_what_the_path_needs(platform):
+def test_memory_at_the_start_is_what_the_platform_server_needs(platform):
     with open(f"/proc/{platform.process.pid}/maps") as file:
         loaded = file.read()
     assert "pydantic" not in loaded
@@ -188,29 +188,29 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "{}", '{"name": "n0", "listen": 5}', "[]"])
-def test_a_configuration_that_cannot_be_used(tmp_path, text):
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, text):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     env = {**os.environ, "ROUTER_CONFIG": str(path)}
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "glencleat", "node"], env=env, capture_output=True, text=True
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "config.json" in done.stderr
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1 and "config.json" in result.stderr
 
 
-def test_it_says_what_it_needs():
+def test_a_missing_configuration_variable_is_named():
     env = {name: value for name, value in os.environ.items() if name != "ROUTER_CONFIG"}
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "glencleat", "node"], env=env, capture_output=True, text=True
     )
-    assert done.returncode == 2 and "ROUTER_CONFIG" in done.stderr
+    assert result.returncode == 2 and "ROUTER_CONFIG" in result.stderr
 
 
-def test_what_lay_unread_as_the_end_came_is_answered(platform):
-    """It was taken: after a standstill the end's timer is due in the very turn that reads it."""
-    sock, reader = platform.owner()
-    platform.hold.set()
+def test_a_call_that_lay_unread_at_the_end_is_answered(platform):
+    """After a stall the shutdown timer is due in the same round that reads the call."""
+    sock, reader = platform.connect_client()
+    platform.may_answer.set()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
@@ -220,30 +220,31 @@
 
 @contextlib.contextmanager
 def stalled(platform):
-    """SIGTERM, then a standstill; what is done in the body comes while it lasts, which is past the window."""
+    """Sends SIGTERM and stalls the process past its drain window; the body runs during the stall."""
     platform.process.send_signal(signal.SIGTERM)
-    platform.line("stopping, 0 calls open")
+    platform.wait_for_line("stopping, 0 calls open")
     platform.process.send_signal(signal.SIGSTOP)
     yield
-    time.sleep(2.0 * DRAIN_WINDOW_MS / 1e3)  # nothing is waited for but the time itself
+    time.sleep(2.0 * DRAIN_WINDOW_MS / 1e3)  # no event marks the end of the window
     platform.process.send_signal(signal.SIGCONT)
 
 
-def test_connections_that_no_round_could_take_are_answered_at_the_end(platform):
-    """More than one round lets in lie in the listen backlog as the window's end is due."""
-    platform.hold.set()
+def test_connections_in_the_backlog_are_answered_at_the_end(platform):
+    """When the drain window ends, the listen backlog holds more connections than one round accepts."""
+    platform.may_answer.set()
     with stalled(platform):
-        owners = [platform.owner() for _ in range(100)]
-        for number, (sock, _) in enumerate(owners, 1):
+        clients = [platform.connect_client() for _ in range(100)]
+        for number, (sock, _) in enumerate(clients, 1):
             sock.send(setup(number))
-    assert all(reader.next().kind in (m.ANSWER, m.RELEASE) for _, reader in owners)  # h1 has not room for all
+    # Host h1 lacks the capacity for all of them.
+    assert all(reader.next().kind in (m.ANSWER, m.RELEASE) for _, reader in clients)
     assert platform.process.wait(20.0) == 0
 
 
-def test_set_ups_that_wait_their_turn_are_answered_at_the_end(platform):
-    """Several times as many on one connection as have their turn at once."""
-    platform.hold.set()
-    sock, reader = platform.owner()
+def test_set_ups_that_wait_for_their_turns_are_answered_at_the_end(platform):
+    """One connection has several times as many set-ups as are handled in one turn."""
+    platform.may_answer.set()
+    sock, reader = platform.connect_client()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
@@ -252,40 +253,40 @@
     assert platform.process.wait(20.0) == 0
 
 
-def test_signals_in_any_order_end_in_order(platform):
-    """A reload while it ends, and another SIGTERM: one end, without a traceback."""
+def test_signals_in_any_order_cause_one_shutdown(platform):
+    """A reload during the shutdown and a second SIGTERM cause no traceback."""
     platform.path.write_text("{")
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         platform.process.send_signal(number)
-    said = platform.process.stderr.read()
+    log = platform.process.stderr.read()
     assert platform.process.wait(20.0) == 0
-    assert said.count("stopping") == 1 and "Traceback" not in said and "FAULT" not in said
+    assert log.count("stopping") == 1 and "Traceback" not in log and "FAULT" not in log
 
 
 def test_a_process_that_is_not_ready_ends_on_sigterm(tmp_path):
-    made = Platform(tmp_path, known=False)
-    sock, reader = made.owner()
+    platform = Platform(tmp_path, known=False)
+    sock, reader = platform.connect_client()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 0
-    made.process.send_signal(signal.SIGTERM)
-    assert "Traceback" not in made.process.stderr.read() and made.process.wait(20.0) == 0
-    made.process.stderr.close()
+    platform.process.send_signal(signal.SIGTERM)
+    assert "Traceback" not in platform.process.stderr.read() and platform.process.wait(20.0) == 0
+    platform.process.stderr.close()
 
 
 def test_idle_clients_that_fill_every_descriptor_do_not_cost_the_command_channel(platform):
-    """They come while discovery is down; its return is heard all the same, and so are its news."""
+    """They connect while discovery is down; the allocator still reconnects to it and places tasks."""
     resource.prlimit(platform.process.pid, resource.RLIMIT_NOFILE, (256, 256))
-    assert platform.asked[0].wait(20.0)
+    assert platform.has_connected[0].wait(20.0)
     platform.channels[0].close()
     flood = [socket.create_connection(platform.address) for _ in range(400)]
     platform.channels[0].open()
-    assert platform.again[0].wait(20.0)
-    sock, reader = platform.owner()
-    platform.hold.set()
+    assert platform.has_reconnected[0].wait(20.0)
+    sock, reader = platform.connect_client()
+    platform.may_answer.set()
     sock.send(setup(7))
     assert reader.next().kind == m.ANSWER
-    for one in flood:
-        one.close()
+    for idle in flood:
+        idle.close()
 
 
 class Clock:
@@ -299,7 +300,7 @@
 
 
 def test_without_any_list_it_is_ready_in_time(tmp_path):
-    """The platform gives up on one that is not ready after 30 s; what it is asked is refused at once."""
+    """The platform gives up on a process that is not ready after 30 s; a ready one refuses calls at once."""
     known = {"cursor": 0, "cmds": []}
     (tmp_path / "config.json").write_text(json.dumps({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c", "limits": {"sockets": 256}, "channel": "127.0.0.1:9",
@@ -311,11 +312,12 @@
     loop.clock.at += READY_TIMEOUT_MS
     assert not process.client_connections.is_ready()
     loop.clock.at += 1.0
-    assert process.client_connections.is_ready() and READY_TIMEOUT_MS < 9_000.0  # nine in ten within 10 s
+    # Nine in ten processes must be ready within 10 s.
+    assert process.client_connections.is_ready() and READY_TIMEOUT_MS < 9_000.0
 
 
 class VirtualClock(Clock):
-    """Monotonic time stands still between steps; wall time is the system's, which stamps what arrives."""
+    """Monotonic time advances in steps; wall time is the system's, because the kernel stamps arrivals with it."""
 
     def wall(self):
         return time.time() * 1e3
@@ -323,7 +325,7 @@
 
 @pytest.fixture
 def stepped_process(tmp_path):
-    """A process with host h1 known, in this one, whose time passes only by `loop.clock.at`."""
+    """A process that knows host h1, run within the test; its time advances only by `loop.clock.at`."""
     entry = {"instanceId": "h1", "hostPort": "127.0.0.1:9", "zone": "a", "machineType": "std", "cell": 0,
              "lifecycle": "SERVING", "weight": 1, "startedAtMs": 0, "free": [16.0, 32.0]}  # fmt: skip
     event = {"cursor": 1, "nodes": {"generation": 1, "reset": True, "instances": [entry]}}
@@ -349,8 +351,8 @@
     raise AssertionError(f"not done in {rounds} rounds")
 
 
-def test_half_a_message_is_waited_for_and_what_came_too_late_is_refused(stepped_process):
-    """The rest comes at the last instant that its time allows, well after the window."""
+def test_half_a_message_is_waited_for_and_a_late_call_is_refused(stepped_process):
+    """The rest of the message arrives at the last moment of its time-out, well after the drain window."""
     process, clock = stepped_process, stepped_process.loop.clock
     address = process.client_connections.listen(("127.0.0.1", 0))
     with socket.create_connection(address) as sock:
@@ -378,6 +380,8 @@
             return messages
 
         run_rounds_until(process.loop, has_answer)
-        assert [(told.kind, told.task_id, told.cause) for told in messages] == [(m.RELEASE, 7, m.REJECTED)]
+        assert [(message.kind, message.task_id, message.cause) for message in messages] == [
+            (m.RELEASE, 7, m.REJECTED)
+        ]
         clock.at += SHUTDOWN_CHECK_MS
         run_rounds_until(process.loop, lambda: not process.loop.is_running)
--- a/tests/support/socket_world.py
+++ b/tests/support/socket_world.py
@@ -1,4 +1,4 @@
-"""Hosts, clients and the path between them on real sockets of one loop."""
+"""Hosts, clients and the allocator between them, on real sockets of one loop."""
 
 import errno
 import socket
@@ -14,17 +14,17 @@
 from tests.support.exchange_world import SETTINGS, Script, setup
 
 
-def run_until(loop, done, ms, say):
-    """Runs the loop until it is so; `say` tells what there is to see if that took longer."""
-    end = loop.now() + ms
-    while not done():
-        assert loop.now() < end, say()
+def run_until(loop, is_done, timeout_ms, describe):
+    """Runs the loop until `is_done`; on a time-out the failure shows what `describe` returns."""
+    end = loop.now() + timeout_ms
+    while not is_done():
+        assert loop.now() < end, describe()
         loop.call_in(5.0, lambda: None)
         loop.run_once()
 
 
 class Peer:
-    """A listener that keeps what each connection said; `script` answers each message."""
+    """A listener that records the messages of each connection; `script` is called with each message."""
 
     def __init__(self, loop, script=lambda stream, message: None, address=("127.0.0.1", 0)):
         self.loop = loop
@@ -51,6 +51,7 @@
         stream.close()
 
     def die(self):
+        """Closes the listener and resets every connection."""
         self.listener.close()
         for stream in self.streams:
             stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -58,7 +59,7 @@
 
 
 class World:
-    """Exchange, pool and clients joined as the process joins them, with a scripted policy."""
+    """Exchange, pool and clients assembled as in the process, with a scripted policy."""
 
     def __init__(self, room=40, loop=None):
         self.loop = loop or Loop()
@@ -85,7 +86,7 @@
         self.calls = 0
 
     def join_ports(self):
-        """The ports that the exchange asks of the sockets."""
+        """Assigns the ports of the exchange; see `ExchangePorts`."""
         self.now = self.loop.now
         self.call_in = self.loop.call_in
         self.log = self.logs.append
@@ -99,12 +100,16 @@
         self.request_load_report = self.hosts.request_load_report
 
     def list(self, *told, whole=False, phase=api.MachinePhase.SERVING):
-        """Machines as (name, address[, started Unix ms])."""
-        made = [
-            HostEntry(api.Machine(x[0], "std", "a", 0, phase), x[1], x[2] if len(x) > 2 else 0.0)
-            for x in told
+        """Applies a list of machines, each as (name, address[, started Unix ms])."""
+        entries = [
+            HostEntry(
+                api.Machine(machine[0], "std", "a", 0, phase),
+                machine[1],
+                machine[2] if len(machine) > 2 else 0.0,
+            )
+            for machine in told
         ]
-        self.hosts.apply_list_change(ListChange(whole, tuple(made)))
+        self.hosts.apply_list_change(ListChange(whole, tuple(entries)))
 
     def client(self):
         sock = socket.create_connection(self.address)
@@ -127,25 +132,27 @@
         return [event for event in self.module.events if isinstance(event, kind)]
 
     def back(self, count=1, ms=4000.0):
-        found = lambda: [e.outcome for e in self.module.events if isinstance(e, api.AttemptEnded)]  # noqa: E731
-        self.until(lambda: len(found()) >= count, ms)
-        return found()
+        outcomes = lambda: [  # noqa: E731
+            event.outcome for event in self.module.events if isinstance(event, api.AttemptEnded)
+        ]
+        self.until(lambda: len(outcomes()) >= count, ms)
+        return outcomes()
 
     def says(self, sock, size=65536, ms=4000.0):
-        """What a client reads next; b"" is a close."""
-        got = []
+        """The bytes that a client reads next; b"" means that the connection is closed."""
+        data = []
 
         def done():
             try:
-                got.append(sock.recv(size))
+                data.append(sock.recv(size))
             except BlockingIOError:
                 return False
             except ConnectionResetError:
-                got.append(b"")
+                data.append(b"")
             return True
 
         self.until(done, ms)
-        return got[0]
+        return data[0]
 
 
 def stands(stream, message):
@@ -162,14 +169,14 @@
 
 
 def settled(world, rounds=30):
-    """Everything that lies ready is handled, and what follows from it."""
+    """Runs the loop until everything pending, and what follows from it, is handled."""
     for _ in range(rounds):
         world.loop.call_in(1.0, lambda: None)
         world.loop.run_once()
 
 
 def linked(world):
-    """A host with a link up, on which task 9 came to stand, and a client."""
+    """A host with an open connection on which task 9 was placed, and a client."""
     peer, sock, other = Peer(world.loop, stands), world.client(), world.client()
     world.list(("h1", peer.address))
     world.ask(other, 9)
@@ -182,28 +189,35 @@
 
 
 def cut_off(monkeypatch):
-    """No connection comes up while the list's one entry is true; those that are up stay, and say nothing."""
-    real, cut = host_connection.connect, [True]
+    """Lets no connection be established while the returned list's one entry is true.
+
+    Open connections stay and send nothing.
+    """
+    original_connect, is_cut = host_connection.connect, [True]
 
     def connect(loop, address, timeout_ms):
-        if cut[0]:
+        if is_cut[0]:
             yield from loop.sleep(10.0)
             raise ConnectError(address, errno.ETIMEDOUT)
-        return (yield from real(loop, address, timeout_ms))
+        return (yield from original_connect(loop, address, timeout_ms))
 
     monkeypatch.setattr(host_connection, "connect", connect)
-    return cut
+    return is_cut
 
 
 def standing(world, count):
-    """`count` hosts with a task that stands at each; their peers."""
-    peers, owner = [Peer(world.loop, stands) for _ in range(count)], world.client()
+    """`count` hosts with a placed task each; returns their peers and the client."""
+    peers, client = [Peer(world.loop, stands) for _ in range(count)], world.client()
     for i, peer in enumerate(peers):
         world.list((f"h{i}", peer.address))
-        world.ask(owner, i + 1, host=f"h{i}")
+        world.ask(client, i + 1, host=f"h{i}")
     world.until(lambda: len(world.exchange.placed_calls_by_host) == count)
-    return peers, owner
+    return peers, client
 
 
 def live(world, host="h0"):
-    return [link for link in world.hosts.hosts_by_name[host].connections if link.stream is not None]
+    return [
+        connection
+        for connection in world.hosts.hosts_by_name[host].connections
+        if connection.stream is not None
+    ]
