--- a/tests/platform_server/test_client_sockets.py
+++ b/tests/platform_server/test_client_sockets.py
@@ -61,9 +61,9 @@
     other.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._handle_message
-    world.owners._handle_message = lambda owner, message, at: (
+    world.owners._handle_message = lambda client, message, arrived_at: (
         seen.append(message.kind),
-        original(owner, message, at),
+        original(client, message, arrived_at),
     )
     world.until(lambda: m.PROBE in seen)
     assert len(seen) <= 3 * client_connections.MESSAGES_PER_TURN
@@ -82,9 +82,9 @@
     other.send(m.encode(m.PROBE, 9))
     seen = []
     original = world.owners._handle_message
-    world.owners._handle_message = lambda owner, message, at: (
+    world.owners._handle_message = lambda client, message, arrived_at: (
         seen.append(message.kind),
-        original(owner, message, at),
+        original(client, message, arrived_at),
     )
     world.until(lambda: m.PROBE in seen)
     assert len(seen) <= 3
--- a/tests/platform_server/test_process.py
+++ b/tests/platform_server/test_process.py
@@ -85,13 +85,13 @@
     """Host h1, two command channels, the configuration and the allocator process."""
 
     def __init__(self, folder, known=True):
-        self.may_answer, self.resume_lines, self.known = threading.Event(), [[], []], known
-        self.has_connected = [threading.Event(), threading.Event()]
-        self.has_reconnected = [threading.Event(), threading.Event()]
+        self.hold, self.resume_lines, self.known = threading.Event(), [[], []], known
+        self.asked = [threading.Event(), threading.Event()]
+        self.again = [threading.Event(), threading.Event()]
         self.host = Peer(self.serve_host)
         self.channels = [Peer(lambda sock, i=i: self.serve_channel(i, sock)) for i in (0, 1)]
         self.path = folder / "config.json"
-        self.write_config(0)
+        self.write(0)
         variables = {"ROUTER_NAME": "n0", "ROUTER_CONFIG": str(self.path), "ROUTER_LISTEN": "127.0.0.1:0"}
         self.process = subprocess.Popen(
             [sys.executable, "-m", "glencleat", "node"],
@@ -108,7 +108,7 @@
                 return line
         raise AssertionError(f"no line with {text!r}; ended with {self.process.wait()}")
 
-    def write_config(self, channel):
+    def write(self, channel):
         entry = {"instanceId": "h1", "hostPort": self.host.address, "zone": "a", "machineType": "std", "cell": 0,
                  "lifecycle": "SERVING", "weight": 1, "startedAtMs": 0, "free": [16.0, 32.0]}  # fmt: skip
         event = {"cursor": 1, "nodes": {"generation": 1, "reset": True, "instances": [entry]}}
@@ -124,16 +124,16 @@
             while True:
                 message = reader.next()
                 if message.kind == m.SETUP:
-                    self.may_answer.wait(20.0)
+                    self.hold.wait(20.0)
                     sock.send(m.encode(m.ANSWER, message.task_id, {m.DESCRIPTION: b"from h1"}))
         except (AssertionError, OSError):
             sock.close()
 
     def serve_channel(self, i, sock):
         self.resume_lines[i].append(sock.recv(100))
-        (self.has_reconnected if self.has_connected[i].is_set() else self.has_connected)[i].set()
+        (self.again if self.asked[i].is_set() else self.asked)[i].set()
 
-    def connect_client(self):
+    def owner(self):
         sock = socket.create_connection(self.address)
         return sock, Reader(sock)
 
@@ -150,21 +150,21 @@
 
 def test_a_day_in_short(platform):
     """Covers readiness, an answer, a reload of an incomplete file, and a planned restart with an open call."""
-    sock, reader = platform.connect_client()
+    sock, reader = platform.owner()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
-    platform.may_answer.set()
+    platform.hold.set()
     sock.send(setup(7))
     answer = reader.next()
     assert (answer.kind, answer.task_id, answer.parameters) == (m.ANSWER, 7, {m.DESCRIPTION: b"from h1"})
-    assert platform.has_connected[0].wait(20.0) and platform.resume_lines[0][0] == b"resume 1\n"
+    assert platform.asked[0].wait(20.0) and platform.resume_lines[0][0] == b"resume 1\n"
 
     platform.path.write_text("{")  # incomplete, as while it is being replaced
     platform.process.send_signal(signal.SIGHUP)
-    platform.write_config(1)
-    assert platform.has_connected[1].wait(20.0) and platform.resume_lines[1][0] == b"resume 1\n"
+    platform.write(1)
+    assert platform.asked[1].wait(20.0) and platform.resume_lines[1][0] == b"resume 1\n"
 
-    platform.may_answer.clear()
+    platform.hold.clear()
     sock.send(setup(8) + m.encode(m.PROBE, 2, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     platform.process.send_signal(signal.SIGTERM)
@@ -172,9 +172,9 @@
     for token in range(3, 13):  # while rounds of its loop pass
         sock.send(m.encode(m.PROBE, token, {m.CAUSE: b"\0"}))
         assert reader.next().cause == 0
-    late_client, late_reader = platform.connect_client()
+    late_client, late_reader = platform.owner()
     late_client.send(setup(9))
-    platform.may_answer.set()
+    platform.hold.set()
     assert reader.next().kind == m.ANSWER and late_reader.next().kind == m.ANSWER
     assert platform.process.wait(20.0) == 0
 
@@ -209,8 +209,8 @@
 
 def test_a_call_that_lay_unread_at_the_end_is_answered(platform):
     """After a stall the shutdown timer is due in the same round that reads the call."""
-    sock, reader = platform.connect_client()
-    platform.may_answer.set()
+    sock, reader = platform.owner()
+    platform.hold.set()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
@@ -231,9 +231,9 @@
 
 def test_connections_in_the_backlog_are_answered_at_the_end(platform):
     """When the drain window ends, the listen backlog holds more connections than one round accepts."""
-    platform.may_answer.set()
+    platform.hold.set()
     with stalled(platform):
-        clients = [platform.connect_client() for _ in range(100)]
+        clients = [platform.owner() for _ in range(100)]
         for number, (sock, _) in enumerate(clients, 1):
             sock.send(setup(number))
     # Host h1 lacks the capacity for all of them.
@@ -243,8 +243,8 @@
 
 def test_set_ups_that_wait_for_their_turns_are_answered_at_the_end(platform):
     """One connection has several times as many set-ups as are handled in one turn."""
-    platform.may_answer.set()
-    sock, reader = platform.connect_client()
+    platform.hold.set()
+    sock, reader = platform.owner()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 1
     with stalled(platform):
@@ -265,7 +265,7 @@
 
 def test_a_process_that_is_not_ready_ends_on_sigterm(tmp_path):
     platform = Platform(tmp_path, known=False)
-    sock, reader = platform.connect_client()
+    sock, reader = platform.owner()
     sock.send(m.encode(m.PROBE, 1, {m.CAUSE: b"\0"}))
     assert reader.next().cause == 0
     platform.process.send_signal(signal.SIGTERM)
@@ -276,13 +276,13 @@
 def test_idle_clients_that_fill_every_descriptor_do_not_cost_the_command_channel(platform):
     """They connect while discovery is down; the allocator still reconnects to it and places tasks."""
     resource.prlimit(platform.process.pid, resource.RLIMIT_NOFILE, (256, 256))
-    assert platform.has_connected[0].wait(20.0)
+    assert platform.asked[0].wait(20.0)
     platform.channels[0].close()
     flood = [socket.create_connection(platform.address) for _ in range(400)]
     platform.channels[0].open()
-    assert platform.has_reconnected[0].wait(20.0)
-    sock, reader = platform.connect_client()
-    platform.may_answer.set()
+    assert platform.again[0].wait(20.0)
+    sock, reader = platform.owner()
+    platform.hold.set()
     sock.send(setup(7))
     assert reader.next().kind == m.ANSWER
     for idle in flood:
