--- a/glencleat/allocator/agent_membership.py
+++ b/glencleat/allocator/agent_membership.py
@@ -1,8 +1,8 @@
-"""Which agents there are: sessions, heartbeats, absence. Pure; the time is an argument.
+"""Membership of agents: their sessions, heartbeats and time-outs, without I/O or a clock.
 
-An agent is known by its id; each start of its process is an incarnation with a name of its own (the
-ExecutorID is `AGENT.INCARNATION`). At most one session of an agent counts, the newest. `TRANSITIONS` is the
-state machine of a member; times are in milliseconds on the clock of the event loop.
+An agent is identified by its id, and each start of its process is an incarnation with its own name (the
+ExecutorID is `AGENT.INCARNATION`). An agent has at most one current session, the newest. `TRANSITIONS` is the
+state machine of a member. The current time is passed in; times are in milliseconds on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -20,25 +20,28 @@
 
 
 class AgentState(Enum):
-    """State of an agent as a member."""
+    """Membership state of an agent."""
 
-    SUBSCRIBED = "subscribed"  # a session is open and heard
-    AWAY = "away"  # its session ended; it may come back with its tasks
-    LOST = "lost"  # away for too long: its tasks are reported as unreachable
+    SUBSCRIBED = "subscribed"  # a session is open
+    AWAY = "away"  # its session ended; it may resubscribe with its tasks
+    LOST = "lost"  # away for longer than the time-out: its tasks are reported as unreachable
 
 
 class AgentEvent(Enum):
-    """What moves an agent from state to state."""
+    """Event that changes the state of an agent."""
 
     SUBSCRIBE = "subscribe"
     SESSION_CLOSED = "session closed"
     REREGISTRATION_TIMEOUT = "reregistration timeout"
 
 
-# An event that is not listed for a state can't happen in it.
+# An event that has no entry for a state can't happen in that state.
 TRANSITIONS: Mapping[tuple[AgentState, AgentEvent], AgentState] = MappingProxyType(
     {
-        (AgentState.SUBSCRIBED, AgentEvent.SUBSCRIBE): AgentState.SUBSCRIBED,  # a newer session replaces it
+        (
+            AgentState.SUBSCRIBED,
+            AgentEvent.SUBSCRIBE,
+        ): AgentState.SUBSCRIBED,  # a newer session replaces the open one
         (AgentState.SUBSCRIBED, AgentEvent.SESSION_CLOSED): AgentState.AWAY,
         (AgentState.AWAY, AgentEvent.SUBSCRIBE): AgentState.SUBSCRIBED,
         (AgentState.AWAY, AgentEvent.REREGISTRATION_TIMEOUT): AgentState.LOST,
@@ -49,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class AgentMember:
-    """One agent. `session` is set exactly while it is subscribed."""
+    """An agent and its state. `session` is set exactly while the agent is subscribed."""
 
     id: str
     incarnation: str
@@ -60,25 +63,25 @@
     incarnation_count: int = 1
 
     def apply(self, event: AgentEvent, now_ms: float) -> None:
-        """Moves to the state that follows the event; raises KeyError where the event can't happen."""
+        """Changes to the state that follows the event; raises KeyError if it can't happen in this state."""
         self.state = TRANSITIONS[self.state, event]
         self.state_since_ms = now_ms
 
 
 @dataclass(frozen=True, slots=True)
 class AgentSubscription:
-    """What a SUBSCRIBE of an agent came to."""
+    """Result of an agent's SUBSCRIBE."""
 
     member: AgentMember
-    replaced_session: SessionStream | None = None  # the session that was still open
-    is_same_incarnation: bool = False  # the process that was here before: its list of tasks is complete
+    replaced_session: SessionStream | None = None  # the earlier session, if it was still open
+    is_same_incarnation: bool = False  # the process did not restart, so the tasks that it lists are complete
 
 
 class AgentLimitError(AllocatorError):
-    """An agent can't be taken, as too many are known.
+    """The membership is full and no lost agent can be evicted.
 
     Attributes:
-        max_agents: how many may be known.
+        max_agents: the maximum number of agents.
 
     """
 
@@ -87,24 +90,24 @@
         self.max_agents = max_agents
 
 
-class ExecutorName(NamedTuple):
+class ExecutorIdParts(NamedTuple):
     """The two parts of an ExecutorID."""
 
     agent: str
     incarnation: str
 
 
-def split_executor_id(executor_id: str) -> ExecutorName:
-    """Agent and incarnation of an ExecutorID.
+def split_executor_id(executor_id: str) -> ExecutorIdParts:
+    """Splits an ExecutorID at its last dot.
 
-    Without a dot the incarnation is unnamed (empty) and never counts as the same.
+    Without a dot the incarnation is empty, and an empty incarnation never equals another one.
     """
     agent, _, incarnation = executor_id.rpartition(".")
-    return ExecutorName(agent, incarnation) if agent else ExecutorName(executor_id, "")
+    return ExecutorIdParts(agent, incarnation) if agent else ExecutorIdParts(executor_id, "")
 
 
 class AgentMembership:
-    """The agents that are subscribed, away or lost."""
+    """The known agents, by id: subscribed, away or lost."""
 
     def __init__(
         self,
@@ -113,13 +116,13 @@
         reregistration_timeout_ms: float,
         max_agents: int = DEFAULT_MAX_AGENTS,
     ) -> None:
-        """An empty membership.
+        """Creates an empty membership.
 
         Args:
-            heartbeat_ms: how often agents send a heartbeat.
-            max_missed_heartbeats: how many a subscribed agent may miss.
-            reregistration_timeout_ms: how long an agent may be away.
-            max_agents: how many agents may be known; lost ones give way.
+            heartbeat_ms: interval at which agents send heartbeats.
+            max_missed_heartbeats: consecutive heartbeats that a subscribed agent may miss.
+            reregistration_timeout_ms: how long an agent may be away before it is lost.
+            max_agents: maximum number of agents; a new one evicts the agent that has been lost the longest.
 
         """
         self.heartbeat_ms = heartbeat_ms
@@ -131,7 +134,7 @@
     def subscribe(
         self, agent: str, incarnation: str, session: SessionStream, now_ms: float
     ) -> AgentSubscription:
-        """Records that a session of an agent begins; raises AgentLimitError."""
+        """Records a new session of an agent; raises AgentLimitError if the membership is full."""
         member = self.members_by_agent.get(agent)
         if member is None:
             return AgentSubscription(self._add_member(agent, incarnation, session, now_ms))
@@ -160,7 +163,7 @@
         return member
 
     def _evict_lost_member(self) -> None:
-        """Forgets the agent that is lost for longest; raises AgentLimitError where none is lost."""
+        """Removes the agent that has been lost the longest; raises AgentLimitError if none is lost."""
         lost = [member for member in self.members_by_agent.values() if member.state is AgentState.LOST]
         if not lost:
             raise AgentLimitError(self.max_agents)
@@ -168,9 +171,9 @@
         del self.members_by_agent[oldest.id]
 
     def record_heartbeat(self, agent: str, incarnation: str, now_ms: float) -> bool:
-        """Records a call of an agent.
+        """Records that an agent sent a call.
 
-        Returns False where it is not of the incarnation that is subscribed: the call must not count.
+        Returns False if the call is not from the subscribed incarnation; the caller must then ignore it.
         """
         member = self.members_by_agent.get(agent)
         if member is None or member.incarnation != incarnation or member.state is not AgentState.SUBSCRIBED:
@@ -179,12 +182,12 @@
         return True
 
     def session_of(self, agent: str) -> SessionStream | None:
-        """The open session of an agent, if there is one."""
+        """Returns the open session of an agent, or None."""
         member = self.members_by_agent.get(agent)
         return member.session if member is not None else None
 
     def close_session(self, agent: str, session: SessionStream, now_ms: float) -> bool:
-        """Records that a session ended; returns False if it was not the one that counts."""
+        """Records that a session ended; returns False if it was not the agent's current session."""
         member = self.members_by_agent.get(agent)
         if member is None or member.session is not session:
             return False
@@ -193,9 +196,9 @@
         return True
 
     def find_unresponsive(self, now_ms: float) -> list[AgentMember]:
-        """Subscribed agents whose heartbeats stopped: their sessions are to be closed.
+        """Returns the subscribed agents whose heartbeats stopped, so that their sessions can be closed.
 
-        The connection may look open for hours when a machine is gone without a word.
+        A connection may seem open for hours after its machine disappeared without closing it.
         """
         limit_ms = self.heartbeat_ms * self.max_missed_heartbeats
         return [
@@ -205,7 +208,7 @@
         ]
 
     def mark_lost(self, now_ms: float) -> list[AgentMember]:
-        """Marks agents that are away for too long as lost; returns them, each once."""
+        """Marks agents that exceeded the reregistration time-out as lost; returns those newly marked."""
         expired = [
             member
             for member in self.members_by_agent.values()
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -1,7 +1,7 @@
-"""Agents' half of the core: their subscriptions, status updates, messages and absence.
+"""Agents' half of the core: their subscriptions, status updates, messages and loss.
 
-Called by the server of the executor API and by the core. `status_mapping` reads what an agent says,
-`delivery_status` decides what it means for an attempt whose execution is uncertain.
+Called by the server of the executor API and by the core. `status_mapping` interprets the statuses that agents
+send, and `delivery_status` decides about attempts whose execution is uncertain.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class NotSubscribedError(AllocatorError):
-    """A call of an agent's incarnation that has no session.
+    """An incarnation of an agent sent a call without having an open session.
 
     Attributes:
-        executor_id: the ExecutorID of the call.
+        executor_id: ExecutorID of the call.
 
     """
 
@@ -44,12 +44,12 @@
 
 
 def to_load_report(payload: m.Payload) -> api.LoadReport:
-    """The load report of an agent's message."""
+    """Converts the payload of an agent's message to a load report."""
     return api.LoadReport(payload.cores_free, payload.memory_free, payload.busy, payload.queue)
 
 
 class AgentSessions:
-    """Handles what agents say, and that they stop to say anything."""
+    """Handles the calls of agents, the end of their sessions and their loss."""
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
@@ -58,9 +58,9 @@
     # ---- sessions ----
 
     def subscribe(self, call: m.ExecutorCall, session: SessionStream) -> str:
-        """Begins a session and returns the agent's id; raises AgentLimitError.
+        """Starts a session and returns the agent's id; raises AgentLimitError.
 
-        Updates that the agent still holds are handled as if just sent.
+        Unacknowledged updates that the agent reports are handled like new ones.
         """
         core = self.core
         agent, incarnation = split_executor_id(call.executor_id.value)
@@ -68,7 +68,7 @@
         subscription = core.membership.subscribe(agent, incarnation, session, core.now())
         core.publish_event(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
-        # An old stream that was still open may hold a LAUNCH which this incarnation has yet to read.
+        # The replaced session's stream may hold a LAUNCH that this incarnation has yet to read.
         is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
         if subscription.replaced_session is not None:
             self._end_replaced_session(agent, subscription.replaced_session)
@@ -82,9 +82,9 @@
         return agent
 
     def _end_replaced_session(self, agent: str, session: SessionStream) -> None:
-        text = "another connection subscribed under this id"
-        session.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(text))))
-        session.close(text)
+        reason = "another connection subscribed under this id"
+        session.send(m.encode(m.ExecutorEvent("ERROR", error=m.ErrorEvent(reason))))
+        session.close(reason)
         self._resolve_lost_session(agent, session)
 
     def _send_subscribed(self, call: m.ExecutorCall, agent: str, session: SessionStream) -> None:
@@ -95,16 +95,16 @@
         )
         session.send(m.encode(m.ExecutorEvent("SUBSCRIBED", subscribed=subscribed)))
 
-    def close_session(self, agent: str, session: SessionStream, why: str) -> None:
+    def close_session(self, agent: str, session: SessionStream, reason: str) -> None:
         """Handles the end of a session's connection."""
         core = self.core
         if core.membership.close_session(agent, session, core.now()):
             core.publish_event(AgentStateChanged(agent, AgentState.AWAY.value))
-            core.log("agent away", agent=agent, why=why)
+            core.log("agent away", agent=agent, why=reason)
         self._resolve_lost_session(agent, session)
 
     def _resolve_lost_session(self, agent: str, session: SessionStream) -> None:
-        """Decides about each attempt whose LAUNCH went to a session that ended."""
+        """Decides about each open attempt whose LAUNCH was queued on a session that ended."""
         for attempt in self.core.call_table.attempts_at(agent):
             if attempt.session is not session or attempt.is_concluded:
                 continue
@@ -117,13 +117,13 @@
     def _compare_with_reported(
         self, agent: str, session: SessionStream, reported: m.SubscribeExecutor, *, is_list_complete: bool
     ) -> None:
-        """Compares the attempts of earlier sessions with the tasks and updates that the agent reports."""
-        listed_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
-        listed_ids |= {update.status.task_id.value for update in reported.unacknowledged_updates}
+        """Concludes attempts of earlier sessions that the agent reports in no task and no update."""
+        reported_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
+        reported_ids |= {update.status.task_id.value for update in reported.unacknowledged_updates}
         for attempt in self.core.call_table.attempts_at(agent):
             if attempt.session is not session:
                 decision = delivery_status.decide_on_resubscribe(
-                    attempt.step, is_listed=attempt.id in listed_ids, is_same_incarnation=is_list_complete
+                    attempt.step, is_listed=attempt.id in reported_ids, is_same_incarnation=is_list_complete
                 )
                 if decision.action is not DeliveryAction.IGNORE:
                     self._conclude_not_listed(attempt, decision)
@@ -142,10 +142,10 @@
         else:
             self._record_end(attempt, StatusMeaning(AttemptStep.ENDED, decision.outcome), None)
 
-    # ---- tasks that an agent lists ----
+    # ---- tasks that an agent reports ----
 
     def _handle_listed_task(self, agent: str, task: m.TaskInfo) -> None:
-        """A task that the agent holds: known, or placed by a former incarnation of this allocator."""
+        """Handles a reported task, of a known attempt or of an earlier incarnation of this allocator."""
         attempt = self.core.call_table.attempts_by_id.get(task.task_id.value)
         if attempt is None:
             self.adoption.handle_unknown_task(agent, task)
@@ -162,7 +162,7 @@
     def handle_update(self, executor_id: str, status: m.TaskStatus) -> None:
         """Handles an UPDATE; raises NotSubscribedError.
 
-        It is acknowledged whatever it says, as its agent repeats it until then.
+        The update is acknowledged whatever its content, because the agent repeats it until then.
         """
         core = self.core
         agent = self.record_heartbeat(executor_id)
@@ -177,7 +177,9 @@
             core.counters.counts_by_event["update unknown"] += 1
             return
         if attempt.check_duplicate_update(status.uuid) or meaning.step.value <= attempt.step.value:
-            core.counters.counts_by_event["update stale"] += 1  # a duplicate, or overtaken by a later one
+            core.counters.counts_by_event["update stale"] += (
+                1  # a duplicate, or older than a status already applied
+            )
             return
         self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
 
@@ -187,24 +189,26 @@
             acknowledged = m.Acknowledged(task_id, uuid)
             session.send(m.encode(m.ExecutorEvent("ACKNOWLEDGED", acknowledged=acknowledged)))
 
-    def _apply_status(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
+    def _apply_status(
+        self, attempt: Attempt, meaning: StatusMeaning, load_report: api.LoadReport | None
+    ) -> None:
         if attempt.is_concluded:
             self._apply_late_status(attempt, meaning)
             return
         if meaning.step is AttemptStep.ENDED and not meaning.may_have_run:
-            self._record_rejected(attempt, meaning, report)
+            self._record_rejected(attempt, meaning, load_report)
             return
         if attempt.step is AttemptStep.DISPATCHED:
             self._record_accepted(attempt)
         if meaning.step is AttemptStep.RUNNING and not attempt.is_concluded:
             self._record_running(attempt)
         elif meaning.step is AttemptStep.ENDED:
-            self._record_end(attempt, meaning, report)
+            self._record_end(attempt, meaning, load_report)
 
     def _apply_late_status(self, attempt: Attempt, meaning: StatusMeaning) -> None:
-        """Applies a status of an attempt that was concluded; reports what it settles to an owner in doubt."""
-        # Not by its step: a late acceptance moves that on too, and its next status would pass for a placed
-        # task's.
+        """Applies a status of a concluded attempt; reports it to the client if it removes an uncertainty."""
+        # The step can't tell this: a late acceptance advances it too, and the next status of that task would
+        # be taken for one of a placed task.
         was_placed = attempt.was_placed
         call = attempt.call
         attempt.step = meaning.step
@@ -215,7 +219,7 @@
             attempt.has_run = False
         self.core.call_table.remove_from_machine(attempt)
         if self.core.call_table.find_call(call.framework_id, call.task_id) is not call:
-            return  # it was asked for again since
+            return  # a newer call of the same task has replaced it
         if was_placed and call.final_answer is FinalAnswer.PLACED and attempt is call.last_attempt():
             self.core.status_reporter.report_status(
                 call, status_mapping.end_answer(meaning.outcome, meaning.reason)
@@ -226,18 +230,18 @@
             )
 
     def _record_rejected(
-        self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None
+        self, attempt: Attempt, meaning: StatusMeaning, load_report: api.LoadReport | None
     ) -> None:
-        """The agent dropped the task: it is known not to have run."""
+        """Records that the agent rejected the task, which is then known not to have run."""
         attempt.step = AttemptStep.ENDED
         attempt.has_run = False
         self.core.call_table.remove_from_machine(attempt)
         self.core.conclude_attempt(
-            attempt, meaning.outcome, over=attempt.call.is_cancelled, why=meaning.reason, report=report
+            attempt, meaning.outcome, over=attempt.call.is_cancelled, why=meaning.reason, report=load_report
         )
 
     def _record_accepted(self, attempt: Attempt) -> None:
-        """The agent accepted the task: it is placed, which is its answer."""
+        """Records that the agent accepted the task, and answers the call as placed."""
         core = self.core
         call = attempt.call
         core.stop_timer(attempt)
@@ -247,7 +251,7 @@
         core.dispatch_event(api.AttemptAccepted(call.number, attempt.number, attempt.machine, spent_ms))
         core.answer(call, FinalAnswer.PLACED, StatusAnswer(TaskState.STARTING, RetryAdvice.NEVER))
         if call.is_cancelled:
-            core.kill(attempt)  # its owner cancelled it just as the machine accepted
+            core.kill(attempt)  # the client cancelled it while the acceptance was on its way
 
     def _record_running(self, attempt: Attempt) -> None:
         call = attempt.call
@@ -258,11 +262,15 @@
         if call.final_answer is not None:
             self.core.status_reporter.report_status(call, StatusAnswer(TaskState.RUNNING, RetryAdvice.NEVER))
 
-    def _record_end(self, attempt: Attempt, meaning: StatusMeaning, report: api.LoadReport | None) -> None:
-        """The end of a placed task."""
+    def _record_end(
+        self, attempt: Attempt, meaning: StatusMeaning, load_report: api.LoadReport | None
+    ) -> None:
+        """Records the end of a placed task and reports it to the client."""
         attempt.step = AttemptStep.ENDED
         self.core.call_table.remove_from_machine(attempt)
-        self.core.conclude_attempt(attempt, meaning.outcome, over=True, why=meaning.reason, report=report)
+        self.core.conclude_attempt(
+            attempt, meaning.outcome, over=True, why=meaning.reason, report=load_report
+        )
         self.core.status_reporter.report_status(
             attempt.call, status_mapping.end_answer(meaning.outcome, meaning.reason)
         )
@@ -270,23 +278,23 @@
     # ---- messages ----
 
     def handle_message(self, executor_id: str, payload: m.Payload) -> None:
-        """Handles a MESSAGE: an answer to a probe, and what tasks use; raises NotSubscribedError."""
+        """Handles a MESSAGE with a probe's answer or the usage of tasks; raises NotSubscribedError."""
         agent = self.record_heartbeat(executor_id)
         if payload.probe is not None:
             self.core.conclude_probe(agent, payload.probe, to_load_report(payload))
-        for use in payload.tasks:
-            self._observe_task(agent, use, payload.memory_used)
+        for usage in payload.tasks:
+            self._observe_task(agent, usage, payload.memory_used)
 
-    def _observe_task(self, agent: str, use: m.TaskUse, memory_used: float | None) -> None:
-        attempt = self.core.call_table.attempts_by_id.get(use.task_id)
+    def _observe_task(self, agent: str, usage: m.TaskUse, memory_used: float | None) -> None:
+        attempt = self.core.call_table.attempts_by_id.get(usage.task_id)
         if attempt is None or attempt.is_concluded or attempt.machine != agent:
             return
         if attempt.step is AttemptStep.DISPATCHED:
             return
         observations = (
-            (api.ObservationKind.CORES_IN_USE, use.cores),
-            (api.ObservationKind.MEMORY_IN_USE, use.memory),
-            (api.ObservationKind.SERVICE_LEVEL, use.served),
+            (api.ObservationKind.CORES_IN_USE, usage.cores),
+            (api.ObservationKind.MEMORY_IN_USE, usage.memory),
+            (api.ObservationKind.SERVICE_LEVEL, usage.served),
             (api.ObservationKind.MACHINE_MEMORY_IN_USE, memory_used),
         )
         for kind, value in observations:
@@ -294,19 +302,19 @@
                 self.core.dispatch_event(api.TaskObserved(attempt.call.number, agent, kind, value))
 
     def record_heartbeat(self, executor_id: str) -> str:
-        """Records a sign of life, which every call is, and returns the agent's id.
+        """Records a heartbeat, as every call is one, and returns the agent's id.
 
-        Raises NotSubscribedError where the call is not of the incarnation that is subscribed.
+        Raises NotSubscribedError if the call is not from the subscribed incarnation.
         """
         agent, incarnation = split_executor_id(executor_id)
         if not self.core.membership.record_heartbeat(agent, incarnation, self.core.now()):
             raise NotSubscribedError(executor_id)
         return agent
 
-    # ---- absence ----
+    # ---- lost agents ----
 
     def handle_lost_agent(self, agent: str) -> None:
-        """Ends the placed tasks of an agent that was away for too long; whether they run is uncertain."""
+        """Concludes the placed tasks of a lost agent as lost; whether they still run is uncertain."""
         for attempt in self.core.call_table.attempts_at(agent):
             if attempt.is_concluded or attempt.step is AttemptStep.DISPATCHED:
                 continue
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -1,13 +1,13 @@
 """Decisions about attempts whose execution is uncertain.
 
-They are those at a time-out, at a lost session, at a late acceptance and when an agent comes back. Pure: no
-I/O, no clock; the core asks and carries out the decision. The decision module knows an attempt as dispatched,
-accepted or concluded; what the network leaves open in between is settled here, always on the safe side: an
-attempt counts as not having run only when that is known.
-
-It is known where the LAUNCH's last byte was never handed to the socket (an agent can't act on a part of a
-record), where the agent dropped the task, and where the same incarnation of the agent lists its tasks without
-it. A new incarnation of the agent proves nothing: the old one may have started the task.
+They are taken when an attempt times out, a session is lost, an acceptance comes late or an agent subscribes
+again. The module has no I/O and no clock; the core calls it and carries out the decision. To the policy an
+attempt is dispatched, accepted or concluded. This module resolves the uncertainty that the network adds, and
+errs on the safe side: an attempt counts as not having run only when that is known.
+
+That is known in three cases: the last byte of the LAUNCH was never written to the socket (an agent can't act
+on part of a record), the agent dropped the task, or the same incarnation of the agent reports its tasks and
+the task is not among them. A new incarnation proves nothing, as the old one may have started the task.
 """
 
 from __future__ import annotations
@@ -23,41 +23,42 @@
 
 
 class DeliveryStatus(Enum):
-    """How much of an attempt's LAUNCH had been handed to the socket."""
+    """How much of an attempt's LAUNCH was written to the socket."""
 
-    NOT_SENT = "nothing"  # not one byte of it
+    NOT_SENT = "nothing"  # not a single byte
     PARTIALLY_SENT = "part"
     SENT = "whole"
 
 
 class DeliveryAction(Enum):
-    """What the core does about an attempt."""
+    """What the core does with an attempt."""
 
-    WAIT = "wait"  # it stays dispatched: its time-out decides, or what the agent says till then
-    CONCLUDE = "return"  # report the outcome to the decision module
+    WAIT = "wait"  # it stays dispatched until the agent reports it or its time-out passes
+    CONCLUDE = "return"  # report the outcome to the policy
     CLOSE_SESSION = (
-        "cut"  # end the agent's session first, so that the rest of the LAUNCH can't arrive; conclude
+        "cut"  # close the agent's session so that the rest of the LAUNCH can't arrive, then conclude
     )
     IGNORE = "ignore"
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveryDecision:
-    """What to do about an attempt; `outcome` and `may_have_run` count where it is concluded."""
+    """What to do with an attempt; `outcome` and `may_have_run` apply where the attempt is concluded."""
 
     action: DeliveryAction
     outcome: api.Outcome = api.Outcome.NOT_SENT
     may_have_run: bool = False
 
 
-def classify_delivery(written: int, begin: int, end: int) -> DeliveryStatus:
-    """How much of a record was handed to the socket.
+def classify_delivery(written_bytes: int, begin_byte: int, end_byte: int) -> DeliveryStatus:
+    """Returns how much of a record was written to the socket.
 
-    `written` is how many bytes of the stream were; the record lies at `begin` to `end` (exclusive) in it.
+    The socket has taken `written_bytes` bytes of the stream, in which the record occupies `begin_byte` to
+    `end_byte` (exclusive).
     """
-    if written >= end:
+    if written_bytes >= end_byte:
         return DeliveryStatus.SENT
-    return DeliveryStatus.NOT_SENT if written <= begin else DeliveryStatus.PARTIALLY_SENT
+    return DeliveryStatus.NOT_SENT if written_bytes <= begin_byte else DeliveryStatus.PARTIALLY_SENT
 
 
 _WAIT = DeliveryDecision(DeliveryAction.WAIT)
@@ -68,9 +69,9 @@
 _LOST = DeliveryDecision(DeliveryAction.CONCLUDE, outcome=api.Outcome.LOST, may_have_run=True)
 _TIMED_OUT = DeliveryDecision(DeliveryAction.CONCLUDE, outcome=api.Outcome.TIMED_OUT, may_have_run=True)
 
-# A dispatched attempt whose agent's session ended. What was not sent in full is known not to have run. An
-# idempotent task is retried elsewhere at once. The others wait for the agent to come back and report, as
-# long as their time-out lets them: an answer now would turn a short interruption into a failure.
+# Decisions for a dispatched attempt whose agent's session ended. An attempt that was not sent in full is
+# known not to have run. An idempotent task is retried elsewhere at once. Any other waits, up to its time-out,
+# for the agent to subscribe again and report: answering now would turn a short interruption into a failure.
 SESSION_LOST_DECISIONS: Mapping[tuple[DeliveryStatus, api.Idempotency], DeliveryDecision] = MappingProxyType(
     {
         (DeliveryStatus.NOT_SENT, api.Idempotency.IDEMPOTENT): _UNREACHABLE,
@@ -85,8 +86,8 @@
     }
 )
 
-# A dispatched attempt that timed out. Where the agent does not even read, its session is closed: a LAUNCH
-# that lies in our buffer must not be sent after the attempt was concluded.
+# Decisions for a dispatched attempt that timed out. If the LAUNCH was not sent in full, the agent does not
+# read its stream: its session is closed, as a buffered LAUNCH must not be sent after the conclusion.
 TIMEOUT_DECISIONS: Mapping[DeliveryStatus, DeliveryDecision] = MappingProxyType(
     {
         DeliveryStatus.NOT_SENT: _CLOSE_SESSION,
@@ -95,8 +96,8 @@
     }
 )
 
-# An attempt that its agent did not list when it subscribed again, by step and by whether it is the same
-# incarnation of the agent.
+# Decisions for an attempt that its agent did not report when it subscribed again. The key is the attempt's
+# step and whether the agent is the same incarnation.
 NOT_LISTED_DECISIONS: Mapping[tuple[AttemptStep, bool], DeliveryDecision] = MappingProxyType(
     {
         (AttemptStep.DISPATCHED, True): _NOT_SENT,
@@ -114,28 +115,31 @@
 def decide_on_session_lost(
     step: AttemptStep, delivery: DeliveryStatus, idempotency: api.Idempotency
 ) -> DeliveryDecision:
-    """The agent's session ended while the attempt was dispatched or its task ran."""
+    """Decides about an attempt whose agent's session ended."""
     if step is not AttemptStep.DISPATCHED:
-        return _WAIT  # the membership decides when the tasks of an absent agent are lost
+        return _WAIT  # the reregistration time-out decides when the tasks of an agent that is away are lost
     return SESSION_LOST_DECISIONS[delivery, idempotency]
 
 
 def decide_on_timeout(step: AttemptStep, delivery: DeliveryStatus) -> DeliveryDecision:
-    """The attempt's time-out passed."""
+    """Decides about an attempt whose time-out passed."""
     return TIMEOUT_DECISIONS[delivery] if step is AttemptStep.DISPATCHED else _IGNORE
 
 
 def decide_on_resubscribe(
     step: AttemptStep, *, is_listed: bool, is_same_incarnation: bool
 ) -> DeliveryDecision:
-    """The agent subscribed again; `is_listed`: the attempt is among the tasks or updates that it reported."""
+    """Decides about an attempt whose agent subscribed again.
+
+    `is_listed` tells whether the attempt is among the tasks and updates that the agent reported.
+    """
     if is_listed:
-        return _IGNORE  # its own statuses follow and say all
+        return _IGNORE  # the statuses that the agent reports decide
     return NOT_LISTED_DECISIONS[step, is_same_incarnation]
 
 
 class LateAcceptance(Enum):
-    """What becomes of a task that an agent holds although its attempt was concluded."""
+    """What is done with a task that an agent holds although its attempt was concluded."""
 
     ADOPT = "adopt"
     KILL = "kill"
@@ -143,22 +147,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LateAcceptanceCase:
-    """What is known when an agent accepts or runs a task whose attempt was concluded."""
+    """Facts on a task that an agent accepted or runs after its attempt was concluded."""
 
-    answer: FinalAnswer | None  # what the task's owner was answered
-    was_placed: bool  # the attempt had been accepted in time; its agent was away and is back
+    answer: FinalAnswer | None  # the answer that the client got
+    was_placed: bool  # the attempt was accepted in time; its agent was away and has subscribed again
     has_other_dispatched: bool = False  # another attempt of the task is dispatched
     has_other_placed: bool = False  # another attempt of the task is placed
-    is_framework_gone: bool = False  # the owner cancelled the task or is not known any more
+    is_framework_gone: bool = False  # the client cancelled the task or is no longer known
 
 
 def decide_late_acceptance(case: LateAcceptanceCase) -> LateAcceptance:
-    """Whether a task that was accepted late is adopted or killed.
+    """Decides whether a task that was accepted late is adopted or killed.
 
-    With another attempt dispatched or placed it is a second copy, and is killed. An owner that was answered
-    `failed` reconciles, and learns that its task runs: it is adopted. So is the placed task of an agent that
-    was away and is back. An owner that was answered `refused` asks again and must not find two; one that
-    cancelled the task or is gone wants none.
+    If another attempt is dispatched or placed, the task is a duplicate and is killed. A client that was
+    answered `failed` reconciles and then learns that its task runs, so the task is adopted; so is a placed
+    task whose agent was away and subscribed again. A client that was answered `rejected` retries, which must
+    not lead to two running copies, and one that cancelled or is gone needs none, so the task is killed.
     """
     if case.has_other_dispatched or case.has_other_placed or case.is_framework_gone:
         return LateAcceptance.KILL
@@ -168,10 +172,10 @@
 
 
 def decide_unknown_task(*, is_live_elsewhere: bool) -> LateAcceptance:
-    """An agent lists a task that the call table does not know.
+    """Decides about a task that an agent reports and the call table does not contain.
 
-    Most likely a former incarnation of this allocator placed it.
-    It is adopted, also when its owner has not come back yet, so that its work is not lost; unless another
-    attempt of the same task is open or placed (`is_live_elsewhere`).
+    Most likely an earlier incarnation of this allocator placed it. It is adopted, even if its client has not
+    reconnected yet, so that its work is not lost, unless another attempt of the same task is open or placed
+    (`is_live_elsewhere`).
     """
     return LateAcceptance.KILL if is_live_elsewhere else LateAcceptance.ADOPT
--- a/glencleat/allocator/endpoint_list.py
+++ b/glencleat/allocator/endpoint_list.py
@@ -1,8 +1,9 @@
-"""Reads the agents of the Operator API as machines. Pure; the client of the directory carries the bytes.
+"""Converts agents of the Operator API to machines, without I/O; the directory client handles the connection.
 
-What the specification has no field for travels in attributes: `kind` (TEXT) and `cell` (SCALAR). Free
-capacity is total_resources less allocated_resources. registered_time, or the later reregistered_time, tells
-when the agent came up. Times are in milliseconds: `now_ms` on the monotonic clock, `wall_ms` since the epoch.
+Attributes carry what the specification has no field for: `kind` (TEXT) and `cell` (SCALAR). Free capacity is
+total_resources minus allocated_resources. registered_time, or reregistered_time if that is later, is the time
+at which the agent started. Times are in milliseconds: `now_ms` on the monotonic clock, `wall_ms` since the
+epoch.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 from glencleat import interface as api
 from glencleat.mesos import messages as m
 
-CLOCK_DRIFT_MS = 50.0  # between two readings of a start time; the clocks drift, it is no restart
+CLOCK_DRIFT_MS = 50.0  # start times closer than this are one start, as the clocks drift
 NS_PER_MS = 1e6
 
 
 def find_attribute(info: m.AgentInfo, name: str) -> m.Attribute | None:
-    """The first attribute of that name, if there is one."""
+    """Returns the first attribute with that name, or None."""
     return next((attribute for attribute in info.attributes if attribute.name == name), None)
 
 
 def compute_ready_at_ms(agent: m.Agent, now_ms: float, wall_ms: float) -> float | None:
-    """When the agent came up, on the monotonic clock; never in the future, whatever the clocks say."""
+    """Returns when the agent started, on the monotonic clock; a time in the future counts as now."""
     times = (agent.registered_time, agent.reregistered_time)
     times_ns = [time.nanoseconds for time in times if time is not None]
     if not times_ns:
@@ -32,21 +33,21 @@
 
 
 def to_machine_phase(agent: m.Agent) -> api.MachinePhase:
-    """Whether the agent serves, drains or is gone."""
+    """Returns the phase of an agent: serving, draining or removed."""
     if agent.drain_info is not None or agent.deactivated:
         return api.MachinePhase.DRAINING
     return api.MachinePhase.SERVING if agent.active else api.MachinePhase.REMOVED
 
 
 def compute_free_capacity(agent: m.Agent, resource: str) -> float:
-    """What is not allocated of a resource; below 0 where the agent is overcommitted."""
+    """Returns the unallocated amount of a resource, below 0 if the agent is overcommitted."""
     total = m.sum_scalar(agent.total_resources, resource) or 0.0
     allocated = m.sum_scalar(agent.allocated_resources, resource) or 0.0
     return total - allocated
 
 
 def to_machine(agent: m.Agent, now_ms: float, wall_ms: float) -> api.Machine | None:
-    """The machine, or None for an agent without an id, to which nothing can be bound."""
+    """Converts an agent to a machine, or to None without an id, as no task can be bound to it then."""
     info = agent.agent_info
     if info.id is None or not info.id.value:
         return None
@@ -66,47 +67,47 @@
 
 
 def to_machines(agents: Iterable[m.Agent], now_ms: float, wall_ms: float) -> tuple[api.Machine, ...]:
-    """The machines of all agents that have an id."""
+    """Converts all agents that have an id to machines."""
     machines = (to_machine(agent, now_ms, wall_ms) for agent in agents)
     return tuple(machine for machine in machines if machine is not None)
 
 
 class MachineListing:
-    """The machine list as last received, so that a removal has the machine's own zone and kind.
+    """The machine list as last received, so that a removal can carry the machine's zone and kind.
 
-    The decision module takes a machine's facts from the entry it is given: a bare removal would wipe its
-    place.
+    The policy takes a machine's properties from the entry that it receives, so a removal without them would
+    erase its location.
     """
 
     def __init__(self) -> None:
         self.machines_by_name: dict[str, api.Machine] = {}
 
     def replace_all(self, agents: Iterable[m.Agent], now_ms: float, wall_ms: float) -> api.MachineListUpdated:
-        """Records a complete list; returns it as a snapshot."""
+        """Replaces the list with a complete one; returns it as a snapshot."""
         machines = to_machines(agents, now_ms, wall_ms)
         self.machines_by_name = {machine.name: machine for machine in machines}
         return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, machines)
 
     def snapshot(self) -> api.MachineListUpdated:
-        """The list as it is now, changes since the last complete one included."""
+        """Returns the current list as a snapshot, with the changes since the last complete list."""
         return api.MachineListUpdated(api.ListUpdateKind.SNAPSHOT, tuple(self.machines_by_name.values()))
 
     def record_change(self, agent: m.Agent, now_ms: float, wall_ms: float) -> api.MachineListUpdated | None:
-        """Records an agent that is new or changed; returns the delta, None for an agent without an id."""
+        """Records a new or changed agent; returns the delta, or None for an agent without an id."""
         machine = to_machine(agent, now_ms, wall_ms)
         if machine is None:
             return None
-        before = self.machines_by_name.get(machine.name)
-        started_at_ms = before.ready_at_ms if before is not None else None
-        if started_at_ms and machine.ready_at_ms is not None:
-            drift_ms = abs(started_at_ms - machine.ready_at_ms)
+        previous = self.machines_by_name.get(machine.name)
+        previous_ready_at_ms = previous.ready_at_ms if previous is not None else None
+        if previous_ready_at_ms and machine.ready_at_ms is not None:
+            drift_ms = abs(previous_ready_at_ms - machine.ready_at_ms)
             if drift_ms < CLOCK_DRIFT_MS:
-                machine = replace(machine, ready_at_ms=started_at_ms)
+                machine = replace(machine, ready_at_ms=previous_ready_at_ms)
         self.machines_by_name[machine.name] = machine
         return api.MachineListUpdated(api.ListUpdateKind.DELTA, (machine,))
 
     def record_removal(self, agent_id: str) -> api.MachineListUpdated:
-        """Records that an agent is gone; returns the delta, also for one that is not known."""
+        """Records the removal of an agent; returns the delta, also for an agent that is not in the list."""
         machine = self.machines_by_name.pop(agent_id, None)
         if machine is None:
             removed = api.Machine(agent_id, kind="", zone="", cell=0, phase=api.MachinePhase.REMOVED)
--- a/glencleat/allocator/framework_offers.py
+++ b/glencleat/allocator/framework_offers.py
@@ -1,6 +1,6 @@
-"""Offers of the Scheduler API: made to frameworks, used and declined by them.
+"""Resource offers of the Scheduler API, which frameworks accept or decline.
 
-An offer stands for the whole pool, as if it were one agent, and reserves nothing: the allocator chooses the
+An offer represents the whole pool as if it were one agent and reserves nothing: the allocator chooses the
 machine of each task itself.
 """
 
@@ -10,19 +10,19 @@
 from glencleat.allocator.ports import CorePort
 from glencleat.mesos import messages as m
 
-DEFAULT_REFUSE_S = 5.0  # of a DECLINE without filters, as the specification of the API has it
-MAX_REFUSE_S = 31_536_000.0  # a year
+DEFAULT_REFUSE_S = 5.0  # default of the API's specification for a DECLINE without filters
+MAX_REFUSE_S = 31_536_000.0  # one year
 
 
 class FrameworkOffers:
-    """Makes offers when they are due."""
+    """Sends offers when they are due, and handles their use and decline."""
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
         self.last_offer_number = 0
 
     def send_if_due(self, framework: Framework, now_ms: float) -> None:
-        """Sends an offer if one is due, and rescinds the oldest if too many stand."""
+        """Sends an offer if one is due, and rescinds the oldest if too many are outstanding."""
         core = self.core
         if core.is_shutting_down or not core.frameworks.is_offer_due(framework, now_ms):
             return
@@ -36,7 +36,7 @@
         framework.send_event(m.SchedulerEvent("OFFERS", offers=m.Offers([offer])))
 
     def _make_offer(self, framework: Framework, offer_id: str) -> m.Offer:
-        """An offer of the pool: the capacity of one machine of each kind."""
+        """Builds an offer of the pool, with the capacity of one machine of each kind."""
         core = self.core
         sizes = core.settings.machine_sizes.values()
         cores = sum(size.cores for size in sizes)
@@ -51,19 +51,19 @@
         )
 
     def use_offers(self, framework: Framework, accept: m.Accept) -> bool:
-        """Uses the offers of an ACCEPT; returns whether all are valid, and there is one."""
+        """Records the use of an ACCEPT's offers; returns whether there is at least one and all are valid."""
         core = self.core
         now_ms = core.now()
         used = [
             core.frameworks.use_offer(
-                framework, offer_id.value, now_ms, offer_again_ms=core.options.offer_interval_ms
+                framework, offer_id.value, now_ms, next_offer_delay_ms=core.options.offer_interval_ms
             )
             for offer_id in accept.offer_ids
         ]
         return bool(used) and all(used)
 
     def decline(self, framework: Framework, decline: m.Decline) -> None:
-        """Drops the offers of a DECLINE, and makes none for as long as it asks."""
+        """Drops the offers of a DECLINE, and sends none for the time that the DECLINE requests."""
         refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
         refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
         for offer_id in decline.offer_ids:
--- a/glencleat/allocator/framework_sessions.py
+++ b/glencleat/allocator/framework_sessions.py
@@ -1,6 +1,6 @@
-"""Frameworks' half of the core: the calls of the Scheduler API on frameworks and tasks, and their updates.
+"""Frameworks' half of the core: handling of Scheduler API calls, and status updates to frameworks.
 
-Called by the server of the scheduler API, by owners within the process and by the core.
+Called by the server of the scheduler API, by clients within the process and by the core.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from glencleat.allocator.task_requests import TaskRequestError, read_task_request
 from glencleat.mesos import messages as m
 
-MAX_LOGGED_TYPE_CHARACTERS = 40  # of an operation's type that is not known here
-UNKNOWN_CLASS = "-"  # in the counters, for a task whose class is not known
+MAX_LOGGED_TYPE_CHARACTERS = 40  # longest part of an unsupported operation's type that is logged
+UNKNOWN_CLASS = "-"  # label of the counters for a task of an unknown class
 
 INVALID_OFFERS_TEXT = "the offer is not valid any more; expected one that was made in this session"
 
 
 class FrameworkSessions:
-    """Handles what frameworks call, and reports to them what became of their tasks."""
+    """Handles the calls of frameworks and reports the status of their tasks to them."""
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
@@ -47,9 +47,9 @@
     # ---- sessions ----
 
     def subscribe(self, info: m.FrameworkInfo, stream_id: str, session: SessionStream) -> Framework:
-        """Begins a session and returns its framework; raises FrameworkLimitError.
+        """Starts a session and returns its framework; raises FrameworkLimitError.
 
-        Updates that were not acknowledged are sent again.
+        Unacknowledged updates are sent again.
         """
         core = self.core
         now_ms = core.now()
@@ -76,14 +76,14 @@
         session.send(m.encode(m.SchedulerEvent("ERROR", error=error)))
         session.close("framework failed over")
 
-    def close_session(self, framework: Framework, session: SessionStream, why: str) -> None:
+    def close_session(self, framework: Framework, session: SessionStream, reason: str) -> None:
         """Handles the end of a session's connection."""
         core = self.core
         if core.frameworks.close_session(framework, session, core.now()):
-            core.log("framework away", framework=framework.id, why=why)
+            core.log("framework away", framework=framework.id, why=reason)
 
-    def teardown(self, framework: Framework, why: str) -> None:
-        """Removes a framework: its tasks are cancelled, and nobody waits for their updates."""
+    def teardown(self, framework: Framework, reason: str) -> None:
+        """Removes a framework, cancels its tasks and drops its unacknowledged updates."""
         core = self.core
         for call in core.call_table.calls_of(framework.id):
             self.cancel(call)
@@ -91,11 +91,11 @@
         session = framework.session
         framework.session = None
         if session is not None:
-            session.close(why)
-        core.log("framework removed", framework=framework.id, why=why)
+            session.close(reason)
+        core.log("framework removed", framework=framework.id, why=reason)
 
     def sweep(self, now_ms: float) -> None:
-        """Removes frameworks that stay away, sends unacknowledged updates again and makes due offers."""
+        """Removes frameworks past their failover timeout, resends overdue updates and sends due offers."""
         frameworks = self.core.frameworks
         for framework in frameworks.find_expired(now_ms):
             self.teardown(framework, "failover timeout")
@@ -114,7 +114,7 @@
     # ---- launches ----
 
     def accept(self, framework: Framework, accept: m.Accept) -> None:
-        """Handles an ACCEPT with LAUNCH: every task gets exactly one answer, whatever is wrong with it."""
+        """Handles an ACCEPT with LAUNCH operations; each task, valid or not, gets exactly one answer."""
         has_valid_offers = self.offers.use_offers(framework, accept)
         for operation in accept.operations:
             if operation.type != "LAUNCH" or operation.launch is None:
@@ -132,14 +132,14 @@
 
     def _launch(self, framework: Framework, info: m.TaskInfo) -> None:
         core = self.core
-        before = core.call_table.find_call(framework.id, info.task_id.value)
-        if admission.classify_repeat(before) == "same" and before is not None:
+        previous_call = core.call_table.find_call(framework.id, info.task_id.value)
+        if admission.classify_repeat(previous_call) == "same" and previous_call is not None:
             core.counters.counts_by_event["launch repeated"] += 1
-            if before.final_answer is not None:
-                self._send_reconciliation(framework, before.task_id, before)
+            if previous_call.final_answer is not None:
+                self._send_reconciliation(framework, previous_call.task_id, previous_call)
             return
         decision = self._check_admission(
-            before,
+            previous_call,
             open_task_count=framework.open_task_count,
             has_update_backlog=core.frameworks.has_update_backlog(framework),
         )
@@ -165,15 +165,15 @@
         core.request_placement(admitted)
 
     def _check_admission(
-        self, before: Call | None, *, open_task_count: int, has_update_backlog: bool
+        self, previous_call: Call | None, *, open_task_count: int, has_update_backlog: bool
     ) -> AdmissionDecision | None:
-        """Why a task is not taken, before what it asks for is looked at; None where it may be.
+        """Returns why a task is not admitted, without reading its request, or None if it may be.
 
-        `before` is the latest call of the same task, if there is one: no repeat that is still open or placed.
+        `previous_call` is the latest call of the same task, if any; it is neither open nor placed.
         """
         core = self.core
-        if admission.classify_repeat(before) == "never" and before is not None:
-            answer = status_mapping.reconciliation_answer(before.execution_status())
+        if admission.classify_repeat(previous_call) == "never" and previous_call is not None:
+            answer = status_mapping.reconciliation_answer(previous_call.execution_status())
             return AdmissionDecision(answer, "it may have run before")
         load = admission.AdmissionLoad(
             open_task_count=core.call_table.open_task_count,
@@ -182,21 +182,21 @@
             has_update_backlog=has_update_backlog,
             is_shutting_down=core.is_shutting_down,
         )
-        why = admission.check_limits(load, core.options.limits)
-        if why is None:
+        rejection_reason = admission.check_limits(load, core.options.limits)
+        if rejection_reason is None:
             return None
-        return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), why)
+        return AdmissionDecision(status_mapping.rejection_answer(may_have_run=False), rejection_reason)
 
     def _admit(
-        self, owner: str, tenant: str | None, info: m.TaskInfo, request: TaskRequest
+        self, framework_id: str, tenant: str | None, info: m.TaskInfo, request: TaskRequest
     ) -> Call | AdmissionDecision:
-        """Takes a task as a new call, unless the admission chain decides against it."""
+        """Adds a task as a new call, unless the admission chain rejects it."""
         core = self.core
         task_id = info.task_id.value
         idempotency = core.classes_by_name[request.task_class].idempotency
         decision = core.decide_admission(
             AdmissionRequest(
-                framework_id=owner,
+                framework_id=framework_id,
                 tenant=tenant,
                 task_id=task_id,
                 idempotency=idempotency,
@@ -207,7 +207,7 @@
             return decision
         call = Call(
             number=next(core.call_numbers),
-            framework_id=owner,
+            framework_id=framework_id,
             task_id=task_id,
             info=info,
             task_request=request,
@@ -222,35 +222,36 @@
 
     def launch_in_process(
         self,
-        owner: str,
+        client_id: str,
         tenant: str,
         info: m.TaskInfo,
         request: TaskRequest,
         pending_reasons: PendingReasons | None = None,
     ) -> Call | AdmissionDecision:
-        """Takes a task of an owner within the process, as a LAUNCH of a framework.
+        """Launches a task of a client within the process, as a LAUNCH does for a framework.
 
         Args:
-            owner: the owner's id.
-            tenant: whose work it is.
+            client_id: the client's id, in the place of a framework's.
+            tenant: the tenant that the task belongs to.
             info: the task.
-            request: what it asks for.
-            pending_reasons: the reasons of its earlier rounds, to which this one's are added.
+            request: the task's requirements, as read from `info`.
+            pending_reasons: reasons from earlier rounds of the task, to which this round's are added.
 
         Returns:
-            The call, or why the task is not taken. A task that is open or placed already is returned as it
-            is: it is the same request again, or was adopted from a former incarnation.
+            The call, or why the task is not admitted. The existing call of a task that is already open or
+            placed is returned unchanged: the request is a repeat, or the task was adopted from an earlier
+            incarnation.
 
         """
         core = self.core
-        before = core.call_table.find_call(owner, info.task_id.value)
-        if admission.classify_repeat(before) == "same" and before is not None:
+        previous_call = core.call_table.find_call(client_id, info.task_id.value)
+        if admission.classify_repeat(previous_call) == "same" and previous_call is not None:
             core.counters.counts_by_event["launch repeated"] += 1
-            return before
-        decision = self._check_admission(before, open_task_count=0, has_update_backlog=False)
+            return previous_call
+        decision = self._check_admission(previous_call, open_task_count=0, has_update_backlog=False)
         if decision is not None:
             return decision
-        admitted = self._admit(owner, tenant, info, request)
+        admitted = self._admit(client_id, tenant, info, request)
         if isinstance(admitted, Call):
             if pending_reasons is not None:
                 admitted.pending_reasons = pending_reasons
@@ -258,7 +259,7 @@
         return admitted
 
     def _reject_launch(self, framework: Framework, info: m.TaskInfo, answer: StatusAnswer, text: str) -> None:
-        """Answers without a call: the module was never asked. Counted as taken, and as refused or failed."""
+        """Answers a launch that the policy never saw; counts it as received and as rejected or failed."""
         label = m.find_label(info.labels, "class")
         task_class = label if label in self.core.classes_by_name else UNKNOWN_CLASS
         is_harmless = answer.retry_advice is RetryAdvice.HARMLESS
@@ -280,7 +281,7 @@
         self._send_status(framework, task_id, answer, text="no such task here", is_acknowledged=False)
 
     def cancel(self, call: Call) -> None:
-        """The owner wants no more of the task; with an attempt dispatched, the answer waits for its end."""
+        """Cancels a call for its client; with an active attempt, the answer waits for the attempt's end."""
         core = self.core
         if call.is_closed or call.is_cancelled:
             return
@@ -303,13 +304,13 @@
     # ---- updates ----
 
     def report_status(self, call: Call, answer: StatusAnswer, text: str | None = None) -> None:
-        """Reports a status of a call's task to its owner, if that is still known."""
+        """Reports a status of a call's task to its framework, if that is still known."""
         self.core.publish_event(TaskStatusReported(call, answer, text))
         framework = self.core.framework_of(call)
         if framework is not None:
-            last = call.last_attempt()
-            is_placed = last is not None and call.final_answer is FinalAnswer.PLACED
-            machine = last.machine if last is not None and is_placed else None
+            last_attempt = call.last_attempt()
+            is_placed = last_attempt is not None and call.final_answer is FinalAnswer.PLACED
+            machine = last_attempt.machine if last_attempt is not None and is_placed else None
             self._send_status(framework, call.task_id, answer, machine=machine, text=text)
 
     def _send_status(
@@ -322,7 +323,7 @@
         text: str | None = None,
         is_acknowledged: bool = True,
     ) -> None:
-        """Sends a status; it is stored and repeated until the framework acknowledges it, if it has to be."""
+        """Sends a status; if it requires acknowledgement, it is stored and resent until acknowledged."""
         status = self.core.build_status(task_id, answer, machine, text, is_acknowledged)
         self.core.frameworks.record_update(framework, status, self.core.now())
         self._send_update(framework, status)
@@ -338,7 +339,7 @@
     # ---- reconciliation ----
 
     def reconcile(self, framework: Framework, tasks: list[m.ReconcileTask]) -> None:
-        """Handles a RECONCILE: explicit for the named tasks, implicit (all that are placed) for none."""
+        """Handles a RECONCILE: explicit for the listed tasks, implicit (all placed tasks) without any."""
         self.reconciliation_queue.enqueue(framework, [task.task_id.value for task in tasks])
 
     def _send_reconciliation(self, framework: Framework, task_id: str, call: Call | None) -> None:
@@ -348,8 +349,8 @@
         elif call.final_answer is None:
             answer = StatusAnswer(TaskState.STAGING, RetryAdvice.NEVER, StatusReason.RECONCILIATION)
         else:
-            last = call.last_attempt()
-            is_accepted = last is not None and last.step is AttemptStep.ACCEPTED
+            last_attempt = call.last_attempt()
+            is_accepted = last_attempt is not None and last_attempt.step is AttemptStep.ACCEPTED
             answer = status_mapping.reconciliation_answer(call.execution_status(), is_accepted=is_accepted)
-            machine = last.machine if last is not None and call.is_placed() else None
+            machine = last_attempt.machine if last_attempt is not None and call.is_placed() else None
         self._send_status(framework, task_id, answer, machine=machine, is_acknowledged=False)
--- a/glencleat/allocator/frameworks.py
+++ b/glencleat/allocator/frameworks.py
@@ -1,8 +1,9 @@
-"""Frameworks' sessions: subscription, fail-over, offers, updates until they are acknowledged. Pure.
+"""State of frameworks, without I/O: subscription, failover, offers and unacknowledged updates.
 
-A framework keeps its id over connections. While it is away its updates wait; when its failover_timeout has
-passed it is torn down. One that never acknowledges is bounded: after `max_unacknowledged` updates its new
-tasks are rejected until it has caught up. Times are in milliseconds on the clock of the event loop.
+A framework keeps its id across connections. While it is disconnected its updates are stored; when its
+failover_timeout has passed it is torn down. The memory for a framework that never acknowledges is bounded:
+from `max_unacknowledged` updates on, its new tasks are rejected until it acknowledges some. Times are in
+milliseconds on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """A status that its framework has yet to acknowledge."""
+    """A status that its framework has not acknowledged yet."""
 
     status: TaskStatus
     sent_at_ms: float
@@ -28,42 +29,42 @@
 
 @dataclass(slots=True, eq=False)
 class Framework:
-    """One framework, with a session or away."""
+    """A framework, subscribed or disconnected."""
 
     id: str
     info: FrameworkInfo
     stream_id: str = ""
     session: SessionStream | None = None
-    session_changed_at_ms: float = 0.0  # when the session began, or ended
-    offered_at_ms_by_id: dict[str, float] = field(default_factory=dict)  # offers that stand
-    next_offer_at_ms: float = 0.0  # infinite while an offer waits to be used
-    is_suppressed: bool = False  # it asked for no offers
+    session_changed_at_ms: float = 0.0  # when the session last started or ended
+    offered_at_ms_by_id: dict[str, float] = field(default_factory=dict)  # outstanding offers
+    next_offer_at_ms: float = 0.0  # infinite while an offer waits to be accepted or declined
+    is_suppressed: bool = False  # the framework suppressed offers
     unacknowledged_by_uuid: OrderedDict[str, PendingUpdate] = field(default_factory=OrderedDict)
-    open_task_count: int = 0  # its tasks without an answer
+    open_task_count: int = 0  # tasks without a final answer
 
     def role(self) -> str | None:
-        """The tenant: `role`, or the first of `roles` (multi-role frameworks)."""
+        """Returns the tenant: `role`, or the first of `roles` for a multi-role framework."""
         return self.info.role or (self.info.roles[0] if self.info.roles else None)
 
     def send_event(self, event: SchedulerEvent) -> None:
-        """Sends an event, if a session is open."""
+        """Sends an event if a session is open."""
         if self.session is not None:
             self.session.send(encode(event))
 
 
 @dataclass(frozen=True, slots=True)
 class FrameworkSubscription:
-    """What a SUBSCRIBE of a framework came to."""
+    """Result of a framework's SUBSCRIBE."""
 
     framework: Framework
-    replaced_session: SessionStream | None  # the session that was still open
+    replaced_session: SessionStream | None  # the earlier session, if it was still open
 
 
 class FrameworkLimitError(AllocatorError):
-    """A framework can't be taken, as too many are subscribed.
+    """No further framework can be subscribed.
 
     Attributes:
-        max_frameworks: how many may be known.
+        max_frameworks: the maximum number of frameworks.
 
     """
 
@@ -73,7 +74,7 @@
 
 
 class Frameworks:
-    """The frameworks that are known, by id."""
+    """The known frameworks, by id."""
 
     def __init__(
         self,
@@ -83,14 +84,14 @@
         update_retry_ms: float = 10_000.0,
         max_failover_timeout_s: float = 600.0,
     ) -> None:
-        """No frameworks yet.
+        """Creates an empty registry.
 
         Args:
-            max_frameworks: how many may be known.
-            max_unacknowledged: updates of one framework after which its new tasks are rejected.
-            max_offers: offers of one framework that stand at a time.
-            update_retry_ms: how long an update waits for its acknowledgement before it is sent again.
-            max_failover_timeout_s: bound on the failover_timeout that a framework may ask for.
+            max_frameworks: maximum number of frameworks.
+            max_unacknowledged: unacknowledged updates of a framework from which its new tasks are rejected.
+            max_offers: maximum number of outstanding offers of a framework.
+            update_retry_ms: time after which an unacknowledged update is sent again.
+            max_failover_timeout_s: upper bound on the failover_timeout that a framework requests.
 
         """
         self.max_frameworks = max_frameworks
@@ -103,9 +104,9 @@
     def subscribe(
         self, info: FrameworkInfo, *, new_id: str, stream_id: str, session: SessionStream, now_ms: float
     ) -> FrameworkSubscription:
-        """Records that a session begins, of a framework that is new (`new_id`) or comes back.
+        """Records a new session, of a new framework (which gets `new_id`) or of one that subscribes again.
 
-        Raises FrameworkLimitError.
+        Raises FrameworkLimitError if there are too many frameworks.
         """
         framework_id = info.id.value if info.id is not None and info.id.value else new_id
         framework = self.frameworks_by_id.get(framework_id)
@@ -124,12 +125,12 @@
         return FrameworkSubscription(framework, replaced_session)
 
     def check_capacity(self, framework_id: str | None) -> None:
-        """Raises FrameworkLimitError where a framework of that id, or a new one (None), can't be taken."""
+        """Raises FrameworkLimitError if the framework (None for a new one) would exceed the limit."""
         if framework_id not in self.frameworks_by_id and len(self.frameworks_by_id) >= self.max_frameworks:
             raise FrameworkLimitError(self.max_frameworks)
 
     def close_session(self, framework: Framework, session: SessionStream, now_ms: float) -> bool:
-        """Records that a session ended; returns False if it was not the one that counts."""
+        """Records that a session ended; returns False if it was not the framework's current session."""
         if framework.session is not session:
             return False
         framework.session = None
@@ -138,7 +139,7 @@
         return True
 
     def find_expired(self, now_ms: float) -> list[Framework]:
-        """Frameworks that are away for longer than the failover_timeout that they asked for."""
+        """Returns the frameworks that have been disconnected for longer than their failover_timeout."""
         return [
             framework
             for framework in self.frameworks_by_id.values()
@@ -150,31 +151,31 @@
         return MS_PER_S * min(max(0.0, framework.info.failover_timeout), self.max_failover_timeout_s)
 
     def remove(self, framework: Framework) -> None:
-        """Forgets a framework."""
+        """Removes a framework."""
         if self.frameworks_by_id.get(framework.id) is framework:
             del self.frameworks_by_id[framework.id]
 
     # ---- updates ----
 
     def record_update(self, framework: Framework, status: TaskStatus, now_ms: float) -> None:
-        """Stores an update until its uuid is acknowledged; one without a uuid needs no acknowledgement."""
+        """Stores an update until it is acknowledged; one without a uuid needs no acknowledgement."""
         if status.uuid is not None:
             framework.unacknowledged_by_uuid[status.uuid] = PendingUpdate(status, now_ms)
 
     def has_update_backlog(self, framework: Framework) -> bool:
-        """Whether so many updates are unacknowledged that no new tasks are taken."""
+        """Whether so many updates are unacknowledged that new tasks are rejected."""
         return len(framework.unacknowledged_by_uuid) >= self.max_unacknowledged
 
     def acknowledge(self, framework: Framework, uuid: str) -> bool:
-        """Drops an update that was acknowledged; returns False if there is none of that uuid."""
+        """Removes an acknowledged update; returns False if no update has that uuid."""
         return framework.unacknowledged_by_uuid.pop(uuid, None) is not None
 
     def unacknowledged_statuses(self, framework: Framework) -> list[TaskStatus]:
-        """All statuses that wait for an acknowledgement, in order, for a session that has just begun."""
+        """Returns all unacknowledged statuses in order, to be sent at the start of a session."""
         return [update.status for update in framework.unacknowledged_by_uuid.values()]
 
     def take_due_retries(self, framework: Framework, now_ms: float) -> list[TaskStatus]:
-        """Updates whose acknowledgement is overdue, to be sent again; their time begins anew."""
+        """Returns the statuses whose acknowledgement is overdue, to be resent, and restarts their timers."""
         due = list[TaskStatus]()
         for update in framework.unacknowledged_by_uuid.values():
             if now_ms - update.sent_at_ms < self.update_retry_ms:
@@ -186,7 +187,7 @@
     # ---- offers ----
 
     def is_offer_due(self, framework: Framework, now_ms: float) -> bool:
-        """Whether an offer is due."""
+        """Whether an offer is due to the framework."""
         return (
             framework.session is not None
             and not framework.is_suppressed
@@ -194,36 +195,39 @@
         )
 
     def record_offer(self, framework: Framework, offer_id: str, now_ms: float) -> str | None:
-        """Records a new offer; returns the id of the oldest, to be rescinded, when there are too many.
+        """Records a new offer; if there are too many, removes the oldest and returns its id to be rescinded.
 
-        An offer stands for the pool and reserves nothing: the next is due only when one was used or declined.
+        An offer represents the pool and reserves nothing, so the next is due only after a use or a decline.
         """
         framework.offered_at_ms_by_id[offer_id] = now_ms
         framework.next_offer_at_ms = math.inf
         if len(framework.offered_at_ms_by_id) <= self.max_offers:
             return None
-        oldest = next(iter(framework.offered_at_ms_by_id))
-        del framework.offered_at_ms_by_id[oldest]
-        return oldest
+        oldest_id = next(iter(framework.offered_at_ms_by_id))
+        del framework.offered_at_ms_by_id[oldest_id]
+        return oldest_id
 
-    def use_offer(self, framework: Framework, offer_id: str, now_ms: float, *, offer_again_ms: float) -> bool:
+    def use_offer(
+        self, framework: Framework, offer_id: str, now_ms: float, *, next_offer_delay_ms: float
+    ) -> bool:
         """Records an ACCEPT of an offer; returns False if the offer is not valid.
 
-        It stays valid, and a fresh one follows after `offer_interval_ms` for clients that take it as used up.
+        The offer stays valid. A new one follows after `next_offer_delay_ms`, for clients that treat an
+        accepted offer as used up.
         """
         if offer_id not in framework.offered_at_ms_by_id:
             return False
-        framework.next_offer_at_ms = min(framework.next_offer_at_ms, now_ms + offer_again_ms)
+        framework.next_offer_at_ms = min(framework.next_offer_at_ms, now_ms + next_offer_delay_ms)
         return True
 
     def decline_offer(self, framework: Framework, offer_id: str, now_ms: float, *, refuse_ms: float) -> bool:
-        """Drops an offer, and makes none for `refuse_ms`; returns False if the offer is not valid."""
+        """Drops an offer and sends none for `refuse_ms`; returns False if the offer is not valid."""
         if framework.offered_at_ms_by_id.pop(offer_id, None) is None:
             return False
         framework.next_offer_at_ms = now_ms + refuse_ms
         return True
 
     def revive(self, framework: Framework, now_ms: float) -> None:
-        """Makes offers again, at once, to a framework that declined or suppressed them."""
+        """Resumes offers at once to a framework that declined or suppressed them."""
         framework.is_suppressed = False
         framework.next_offer_at_ms = now_ms
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -1,10 +1,10 @@
-"""Answers to RECONCILE, a bounded number in each turn of the event loop, once they can be true.
+"""Queue of RECONCILE requests, answered in batches once the state of the tasks is known.
 
-After a start every framework asks for all of its tasks in the same second, and agents have yet to report what
-runs: an answer then says 'unknown' of tasks that run, and all ask again. So nothing is answered before the
-startup gate opens, and then a bounded number in each turn, frameworks in rotation. A question that waits
-already is the same question; what is beyond the bound is dropped, and its framework, which gets no answer,
-asks again, as the API has it.
+After a start, every framework requests all of its tasks within the same second, while agents have yet to
+report what runs. Answers at that time would report running tasks as unknown, and all frameworks would request
+again. So nothing is answered before the startup gate opens, and from then on a bounded number per iteration
+of the event loop, with the frameworks in rotation. A request for a task that is already queued is merged.
+Requests beyond the bound are dropped: their framework gets no answer and repeats them, as the API specifies.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 if TYPE_CHECKING:
     from glencleat.allocator.ports import CorePort
 
-ANSWERS_PER_TURN = 200  # some 5 ms
-ANSWERS_PER_FRAMEWORK = 50  # of one framework, before the next has its turn
-MAX_WAITING = 50_000  # questions that wait, of all frameworks
-ALL_TASKS = ""  # a question for every task that is placed; no task has an empty id
+ANSWERS_PER_TURN = 200  # about 5 ms of work in an iteration of the event loop
+ANSWERS_PER_FRAMEWORK = 50  # before the next framework in rotation
+MAX_WAITING = 50_000  # queued requests of all frameworks
+ALL_TASKS = ""  # requests every placed task; no task has an empty id
 
-Questions = dict[str, None]  # task ids, each once, in the order asked
+PendingTaskIds = dict[str, None]  # distinct task ids, in the order of the requests
 
 
 class ReconciliationQueue:
-    """Questions that wait for their answer, by framework."""
+    """Task ids to be reconciled, by framework."""
 
-    def __init__(self, core: CorePort, answer: Callable[[Framework, str, Call | None], None]) -> None:
-        """An empty queue.
+    def __init__(self, core: CorePort, send_answer: Callable[[Framework, str, Call | None], None]) -> None:
+        """Creates an empty queue.
 
         Args:
-            core: whose call table has the answers.
-            answer: sends the answer about a task, by its id; the call is None where the task is not known.
+            core: the core whose call table holds the tasks.
+            send_answer: sends the status of a task, given its id; the call is None for an unknown task.
 
         """
         self.core = core
-        self.answer = answer
-        self.questions_by_framework: dict[str, Questions] = {}
+        self.send_answer = send_answer
+        self.questions_by_framework: dict[str, PendingTaskIds] = {}
         self.waiting_count = 0
         self.is_scheduled = False
         core.add_listener(self._on_domain_event)
 
     def enqueue(self, framework: Framework, task_ids: Iterable[str]) -> None:
-        """Adds a question for each of the tasks; for none, one for all that are placed."""
-        questions = self.questions_by_framework.setdefault(framework.id, {})
+        """Queues a request for each of the tasks, or for all placed tasks if none is given."""
+        pending_ids = self.questions_by_framework.setdefault(framework.id, {})
         for task_id in list(task_ids) or [ALL_TASKS]:
-            if task_id in questions:
+            if task_id in pending_ids:
                 continue
-            if not self._add_question(questions, task_id):
+            if not self._add_pending(pending_ids, task_id):
                 break
         if not self.is_scheduled:
-            self._answer_turn()  # a small number is answered before the call returns
+            self._answer_batch()  # a small request is answered before the call returns
 
-    def _add_question(self, questions: Questions, task_id: str) -> bool:
-        """Adds a question; returns False, and counts it, where too many wait."""
+    def _add_pending(self, pending_ids: PendingTaskIds, task_id: str) -> bool:
+        """Queues a task id; if the queue is full, counts the drop and returns False."""
         if self.waiting_count >= MAX_WAITING:
             self.core.counters.counts_by_event["reconcile turned away"] += 1
             return False
-        questions[task_id] = None
+        pending_ids[task_id] = None
         self.waiting_count += 1
         return True
 
@@ -72,44 +72,44 @@
     def _schedule(self) -> None:
         if not self.is_scheduled and self.questions_by_framework:
             self.is_scheduled = True
-            self.core.timing.call_in(0.0, self._answer_turn)
+            self.core.timing.call_in(0.0, self._answer_batch)
 
-    def _answer_turn(self) -> None:
+    def _answer_batch(self) -> None:
         self.is_scheduled = False
         if not self.core.startup_gate.is_open:
             return
         remaining = ANSWERS_PER_TURN
         while remaining > 0 and self.questions_by_framework:
-            framework_id, questions = next(iter(self.questions_by_framework.items()))
+            framework_id, pending_ids = next(iter(self.questions_by_framework.items()))
             del self.questions_by_framework[framework_id]
             framework = self.core.frameworks.frameworks_by_id.get(framework_id)
             if framework is None or framework.session is None:
-                self.waiting_count -= len(questions)  # it asks anew when it is back
+                self.waiting_count -= len(pending_ids)  # it requests again when it reconnects
                 continue
             limit = min(remaining, ANSWERS_PER_FRAMEWORK)
-            remaining -= self._answer_framework(framework, questions, limit)
-            if questions:
-                self.questions_by_framework[framework_id] = questions  # behind the others
+            remaining -= self._answer_framework(framework, pending_ids, limit)
+            if pending_ids:
+                self.questions_by_framework[framework_id] = pending_ids  # rotates it behind the others
         self._schedule()
 
-    def _answer_framework(self, framework: Framework, questions: Questions, limit: int) -> int:
-        """Answers up to `limit` questions of a framework; returns how many."""
-        count = 0
-        while questions and count < limit:
-            task_id = next(iter(questions))
-            del questions[task_id]
+    def _answer_framework(self, framework: Framework, pending_ids: PendingTaskIds, limit: int) -> int:
+        """Answers up to `limit` requests of a framework; returns how many."""
+        answered_count = 0
+        while pending_ids and answered_count < limit:
+            task_id = next(iter(pending_ids))
+            del pending_ids[task_id]
             self.waiting_count -= 1
             if task_id == ALL_TASKS:
-                self._enqueue_all_tasks(framework, questions)
+                self._enqueue_all_tasks(framework, pending_ids)
                 continue
-            self.answer(framework, task_id, self.core.call_table.find_call(framework.id, task_id))
-            count += 1
-        return count
+            self.send_answer(framework, task_id, self.core.call_table.find_call(framework.id, task_id))
+            answered_count += 1
+        return answered_count
 
-    def _enqueue_all_tasks(self, framework: Framework, questions: Questions) -> None:
+    def _enqueue_all_tasks(self, framework: Framework, pending_ids: PendingTaskIds) -> None:
         for call in self.core.call_table.calls_of(framework.id):
             if self.waiting_count >= MAX_WAITING:
                 self.core.counters.counts_by_event["reconcile turned away"] += 1
                 return
-            if call.is_placed() and not call.is_closed and call.task_id not in questions:
-                self._add_question(questions, call.task_id)
+            if call.is_placed() and not call.is_closed and call.task_id not in pending_ids:
+                self._add_pending(pending_ids, call.task_id)
--- a/glencleat/allocator/session_stream.py
+++ b/glencleat/allocator/session_stream.py
@@ -1,4 +1,4 @@
-"""The stream of records to a peer that subscribed: an agent or a framework."""
+"""Outgoing record stream of a session, to a subscribed agent or framework."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class SessionStream(Protocol):
-    """A session's stream of records, as a server provides it."""
+    """Outgoing record stream of a session; the servers implement it."""
 
     def send(self, record: bytes) -> tuple[int, int]:
-        """Queues a record and returns its place in the stream: begin and end (exclusive), in bytes.
+        """Queues a record and returns the offsets of its begin and end (exclusive) in the stream, in bytes.
 
-        Closes the stream, and does not raise, when that fails.
+        On failure it closes the stream and does not raise.
         """
         ...
 
     def written_bytes(self) -> int:
-        """How many bytes of the stream have been handed to the socket."""
+        """Returns how many bytes of the stream were written to the socket."""
         ...
 
-    def close(self, why: str) -> None:
-        """Ends the session; `why` goes to the log."""
+    def close(self, reason: str) -> None:
+        """Ends the session; `reason` is logged."""
         ...
--- a/glencleat/allocator/status_mapping.py
+++ b/glencleat/allocator/status_mapping.py
@@ -1,11 +1,11 @@
-"""Mapping between the task states of the Mesos v1 API and the outcomes of the decision module. Pure.
+"""Mapping between the task states of the Mesos v1 API and the outcomes of the policy, without I/O.
 
-One direction reads an agent's status update as the step and outcome of an attempt (`read_status`), the other
-turns the module's answers and what is known of a task into the status that its owner gets. Both are tables,
-which the pages in docs/ follow.
+`read_status` converts an agent's status update to the step and outcome of an attempt. The other functions
+convert the policy's answers and the execution status of a task to the status that its client gets. Both
+directions are tables, which the pages in docs/ follow.
 
-A state is read together with its reason and, for TASK_DROPPED, the `cause` label, as the published reasons
-have no word for the cause that a machine states.
+A state is read together with its reason and, for TASK_DROPPED, with the `cause` label, because the published
+reasons can't express why a machine rejected a task.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TaskState(StrEnum):
-    """Task states of the Mesos v1 API, as they stand on the wire."""
+    """Task states of the Mesos v1 API; the values are those on the wire."""
 
     STAGING = "TASK_STAGING"
     STARTING = "TASK_STARTING"
@@ -38,7 +38,7 @@
 
 
 class StatusReason(StrEnum):
-    """Reasons of the Mesos v1 API's TaskStatus that are sent or read here, as they stand on the wire."""
+    """Reasons of a Mesos v1 TaskStatus that are sent or read here; the values are those on the wire."""
 
     MEMORY_LIMIT = "REASON_CONTAINER_LIMITATION_MEMORY"
     PREEMPTED = "REASON_CONTAINER_PREEMPTED"
@@ -52,7 +52,7 @@
 
 
 class AttemptStep(Enum):
-    """How far an attempt has come by what its agent said; a status that goes back is stale."""
+    """Progress of an attempt as its agent reported it; a status with a lower step is stale."""
 
     DISPATCHED = 0
     ACCEPTED = 1
@@ -61,27 +61,27 @@
 
 
 class ExecutionStatus(Enum):
-    """What is known of whether a task ran; RECONCILE reports it."""
+    """Whether a task ran, as far as is known; answers to RECONCILE report it."""
 
     RUNNING = "runs"
     NEVER_RAN = "never ran"
-    UNCERTAIN = "unsure"  # a machine that may hold it has not been heard
-    ENDED = "ended"  # ran, or may have run, and is over
+    UNCERTAIN = "unsure"  # a machine that may hold the task has not reported
+    ENDED = "ended"  # ran or may have run, and does not run any more
 
 
 class RetryAdvice(Enum):
-    """What an answer tells the owner about asking again; travels as the `retry` label."""
+    """Advice to the client on retrying; sent as the `retry` label."""
 
-    HARMLESS = "harmless"  # ask again at once: nothing ran, or what ran does no harm
-    RECONCILE = "reconcile"  # an attempt may have run: wait, RECONCILE, and follow what that says
-    NEVER = "never"  # it ran, or may have and nobody can tell any more
+    HARMLESS = "harmless"  # retry at once: nothing ran, or a second run does no harm
+    RECONCILE = "reconcile"  # an attempt may have run: wait, RECONCILE, and act on the answer
+    NEVER = "never"  # it ran, or may have run and that can't be found out any more
 
 
 @dataclass(frozen=True, slots=True)
 class StatusMeaning:
-    """What an agent's status means for its attempt: the step it reaches, and for an end the outcome.
+    """Meaning of an agent's status for its attempt: the step that it reaches and, for an end, the outcome.
 
-    `may_have_run` is False only where the status says that the task never started.
+    `may_have_run` is False only if the status tells that the task never started.
     """
 
     step: AttemptStep
@@ -92,18 +92,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusAnswer:
-    """A status for an owner: the state, what it says about asking again, and the reason if there is one."""
+    """A status for the client: the state, the advice on retrying, and the reason if there is one."""
 
     state: TaskState
     retry_advice: RetryAdvice
     reason: StatusReason | None = None
 
 
-# ---- an agent's status -> its meaning for the attempt ----
+# ---- from an agent's status to its meaning for the attempt ----
 
 _LOST = StatusMeaning(step=AttemptStep.ENDED, outcome=api.Outcome.LOST)
 
-# States that are not listed say nothing about the attempt (TASK_KILLING, and states that agents don't send).
+# States without an entry don't change the attempt (TASK_KILLING, and states that agents don't send).
 STATUS_MEANINGS: Mapping[str, StatusMeaning] = MappingProxyType(
     {
         TaskState.STARTING: StatusMeaning(step=AttemptStep.ACCEPTED),
@@ -111,7 +111,7 @@
         TaskState.DROPPED: StatusMeaning(
             step=AttemptStep.ENDED, outcome=api.Outcome.REJECTED, may_have_run=False
         ),
-        # An error in the task's description, by the specification of the API: the task never started.
+        # By the API's specification, the task's description is invalid, so the task never started.
         TaskState.ERROR: StatusMeaning(
             step=AttemptStep.ENDED,
             outcome=api.Outcome.REJECTED,
@@ -127,7 +127,7 @@
     }
 )
 
-# Why a machine rejected a task, by the `cause` label of its TASK_DROPPED.
+# Reason of a machine's rejection, by the `cause` label of its TASK_DROPPED.
 REJECTION_REASONS: Mapping[str, api.OutcomeReason] = MappingProxyType(
     {
         "cores": api.OutcomeReason.INSUFFICIENT_CORES,
@@ -137,7 +137,7 @@
     }
 )
 
-# Why a task ended, by its state and the reason of the status.
+# Reason of a task's end, by the state and the reason of the status.
 END_REASONS: Mapping[tuple[str, str], api.OutcomeReason] = MappingProxyType(
     {
         (TaskState.FAILED, StatusReason.MEMORY_LIMIT): api.OutcomeReason.EVICTED,
@@ -148,9 +148,9 @@
 
 
 def read_status(state: str, reason: str | None, cause: str | None) -> StatusMeaning | None:
-    """What an agent's status says of its attempt, or None where it says nothing that matters.
+    """Returns the meaning of an agent's status for its attempt, or None if it does not change the attempt.
 
-    `state` and `reason` are those of the TaskStatus, `cause` is its label of that name.
+    `state` and `reason` are fields of the TaskStatus, `cause` is the label of that name.
     """
     meaning = STATUS_MEANINGS.get(state)
     if meaning is None:
@@ -162,9 +162,9 @@
     return meaning if outcome_reason is None else replace(meaning, reason=outcome_reason)
 
 
-# ---- the module's answer, or what is known of a task -> the status for its owner ----
+# ---- from the policy's answer or a task's execution status to the client's status ----
 
-# Answers to RECONCILE; None stands for a task that is not known here.
+# Answers to RECONCILE; None stands for an unknown task.
 RECONCILIATION_ANSWERS: Mapping[ExecutionStatus | None, StatusAnswer] = MappingProxyType(
     {
         ExecutionStatus.RUNNING: StatusAnswer(
@@ -193,24 +193,24 @@
 
 
 def rejection_answer(may_have_run: bool) -> StatusAnswer:
-    """The status of the module's Reject.
+    """Returns the status for the policy's Reject.
 
-    TASK_DROPPED promises that nothing ran, so a task of which an attempt may have run is TASK_LOST.
+    TASK_DROPPED promises that nothing ran, so a task of which an attempt may have run gets TASK_LOST.
     """
     state = TaskState.LOST if may_have_run else TaskState.DROPPED
     return StatusAnswer(state, RetryAdvice.HARMLESS, StatusReason.RESOURCES_UNKNOWN)
 
 
 def failure_answer() -> StatusAnswer:
-    """The status of the module's Fail: an attempt may have run and a second run might do harm."""
+    """Returns the status for the policy's Fail: an attempt may have run, and a second run might do harm."""
     return StatusAnswer(TaskState.LOST, RetryAdvice.RECONCILE, StatusReason.AGENT_DISCONNECTED)
 
 
 def reconciliation_answer(execution: ExecutionStatus | None, *, is_accepted: bool = False) -> StatusAnswer:
-    """The status that answers RECONCILE.
+    """Returns the status that answers RECONCILE.
 
-    `execution` is None for a task that is not known here; `is_accepted` tells of a running task that its
-    agent accepted it and has not reported it as running yet.
+    `execution` is None for an unknown task. `is_accepted` tells that the agent accepted the task but has not
+    reported it as running yet.
     """
     if execution is ExecutionStatus.RUNNING and is_accepted:
         return ACCEPTED_RECONCILIATION_ANSWER
@@ -218,7 +218,7 @@
 
 
 def end_answer(outcome: api.Outcome, reason: api.OutcomeReason) -> StatusAnswer:
-    """The status of a placed task's end, for its owner; the module gets the same outcome."""
+    """Returns the client's status for the end of a placed task; the policy gets the same outcome."""
     if outcome is api.Outcome.COMPLETED:
         return StatusAnswer(TaskState.FINISHED, RetryAdvice.NEVER)
     if outcome is api.Outcome.STOPPED:
@@ -227,18 +227,18 @@
     return StatusAnswer(TaskState.FAILED, RetryAdvice.HARMLESS, _FAILURE_REASONS.get(reason))
 
 
-# ---- what is known of a task ----
+# ---- execution status of a task ----
 
-_COMBINATION_ORDER = (ExecutionStatus.RUNNING, ExecutionStatus.UNCERTAIN, ExecutionStatus.ENDED)
+_COMBINATION_PRECEDENCE = (ExecutionStatus.RUNNING, ExecutionStatus.UNCERTAIN, ExecutionStatus.ENDED)
 
 
 def combine_execution_statuses(statuses: Iterable[ExecutionStatus]) -> ExecutionStatus:
-    """What is known of a task, from what is known of each of its attempts.
+    """Combines the execution statuses of all attempts of a task.
 
-    It never ran only if no attempt did.
+    The task never ran only if no attempt did.
     """
     known = set(statuses)
-    for status in _COMBINATION_ORDER:
+    for status in _COMBINATION_PRECEDENCE:
         if status in known:
             return status
     return ExecutionStatus.NEVER_RAN
--- a/glencleat/allocator/task_adoption.py
+++ b/glencleat/allocator/task_adoption.py
@@ -1,7 +1,7 @@
-"""Adoption of tasks that run on an agent without a call that follows them.
+"""Adoption of tasks that an agent holds and that no call tracks.
 
-Two kinds: tasks that a former incarnation of this allocator placed, and tasks whose attempt was concluded
-before the agent accepted them. `delivery_status` decides whether such a task is adopted or killed.
+Either an earlier incarnation of this allocator placed the task, or its attempt was concluded before the agent
+accepted it. `delivery_status` decides whether such a task is adopted or killed.
 """
 
 from __future__ import annotations
@@ -17,21 +17,23 @@
 
 
 class TaskAdoption:
-    """Adopts or kills tasks that agents hold."""
+    """Adopts or kills tasks that agents hold without a call."""
 
     def __init__(self, core: CorePort) -> None:
         self.core = core
 
     def handle_unknown_task(self, agent: str, task: m.TaskInfo) -> None:
-        """An agent lists a task that the call table does not know: it is adopted, killed or left alone."""
+        """Adopts or kills a task that the call table does not contain; leaves an unreadable one alone."""
         core = self.core
         try:
             attempt = self._read_unknown_task(agent, task)
         except TaskRequestError as error:
             core.log("task not adopted", agent=agent, task=task.task_id.value, why=str(error))
             return
-        before = core.call_table.find_call(attempt.call.framework_id, attempt.call.task_id)
-        is_live_elsewhere = before is not None and (before.final_answer is None or before.is_placed())
+        previous_call = core.call_table.find_call(attempt.call.framework_id, attempt.call.task_id)
+        is_live_elsewhere = previous_call is not None and (
+            previous_call.final_answer is None or previous_call.is_placed()
+        )
         decision = delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere)
         if decision is LateAcceptance.KILL:
             core.kill(attempt)
@@ -39,7 +41,7 @@
             self._adopt(attempt, attempt.call)
 
     def _read_unknown_task(self, agent: str, task: m.TaskInfo) -> Attempt:
-        """An attempt and its call, made from the labels of a LAUNCH; raises TaskRequestError."""
+        """Rebuilds an attempt and its call from the labels of the LAUNCH; raises TaskRequestError."""
         core = self.core
         framework = m.find_label(task.labels, "framework")
         task_id = m.find_label(task.labels, "task")
@@ -67,7 +69,7 @@
         )
 
     def _adopt(self, attempt: Attempt, call: Call) -> None:
-        """Makes a task that runs already a call of its own, which this allocator follows from here on."""
+        """Adds a placed call for a task that an agent already holds, so that it is tracked from now on."""
         core = self.core
         call.number = next(core.call_numbers)
         call.final_answer = FinalAnswer.PLACED
@@ -89,32 +91,32 @@
         )
 
     def handle_late_acceptance(self, attempt: Attempt, *, was_placed: bool) -> None:
-        """An agent holds a task whose attempt was concluded."""
+        """Adopts or kills a task that an agent holds although its attempt was concluded."""
         core = self.core
         call = attempt.call
-        latest = core.call_table.find_call(call.framework_id, call.task_id) or call
-        is_latest_placed = latest.is_placed()
-        is_owner_gone = call.is_cancelled or not core.is_framework_known(call)
+        latest_call = core.call_table.find_call(call.framework_id, call.task_id) or call
+        is_latest_placed = latest_call.is_placed()
+        is_client_gone = call.is_cancelled or not core.is_framework_known(call)
         core.counters.counts_by_event["late yes"] += 1
         decision = delivery_status.decide_late_acceptance(
             LateAcceptanceCase(
-                answer=latest.final_answer,
+                answer=latest_call.final_answer,
                 was_placed=was_placed,
-                has_other_dispatched=latest.active_attempt() is not None and not is_latest_placed,
+                has_other_dispatched=latest_call.active_attempt() is not None and not is_latest_placed,
                 has_other_placed=is_latest_placed,
-                is_framework_gone=is_owner_gone,
+                is_framework_gone=is_client_gone,
             )
         )
-        core.log("late yes", task=call.task_id, agent=attempt.machine, verdict=decision.value)
+        core.log("late acceptance", task=call.task_id, agent=attempt.machine, decision=decision.value)
         if decision is LateAcceptance.KILL:
             core.kill(attempt)
             return
         call.attempts.remove(attempt)
-        core.call_table.forget(latest)
+        core.call_table.forget(latest_call)
         self._adopt(attempt, self._copy_call(call))
 
     def _copy_call(self, call: Call) -> Call:
-        """A fresh call of the same task, for an attempt that is adopted."""
+        """Returns a new call of the same task, for an adopted attempt."""
         return Call(
             number=0,
             framework_id=call.framework_id,
--- a/glencleat/allocator/task_requests.py
+++ b/glencleat/allocator/task_requests.py
@@ -1,8 +1,8 @@
-"""Reads what a TaskInfo asks for, and says plainly what is wrong with one. Pure.
+"""Reads and validates the requirements of a task from its TaskInfo, without I/O.
 
-Labels: `class`, `service`, `key` (the idempotency key; the task's id if absent), `time_left_ms` (until the
-owner gives up; the class's deadline if absent), `life_ms` (expected, optional), `again` ("true" on a retry).
-Resources: `cpus` (cores) and `mem` (MB, as in Mesos).
+Labels: `class`, `service`, `key` (the idempotency key; defaults to the task's id), `time_left_ms` (until the
+client gives up; defaults to the deadline of the class), `life_ms` (expected run time, optional) and `again`
+("true" on a retry). Resources: `cpus` (cores) and `mem` (MB, as in Mesos).
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from glencleat.allocator.errors import AllocatorError
 from glencleat.mesos.messages import TaskInfo, find_label, sum_scalar
 
-MAX_TEXT_CHARACTERS = 256  # of an id, a service or a key
-MAX_QUOTED_CHARACTERS = 40  # of a wrong value, in the text of an error
+MAX_TEXT_CHARACTERS = 256  # limit of a task id, a service or an idempotency key
+MAX_QUOTED_CHARACTERS = 40  # longest part of an invalid value that an error quotes
 
 
 class TaskRequestError(AllocatorError):
-    """A task that can't be read, by its owner's fault; the text says what was expected.
+    """A TaskInfo from a client is invalid; the message tells what was found and what was expected.
 
     Attributes:
-        field: the part of the TaskInfo that is wrong, such as "label time_left_ms".
+        field: the invalid part of the TaskInfo, such as "label time_left_ms".
 
     """
 
@@ -33,7 +33,7 @@
 
 
 def read_duration_ms(info: TaskInfo, key: str) -> float | None:
-    """A label with a time in milliseconds, None if it is absent; raises TaskRequestError."""
+    """Reads a label with a time in milliseconds; returns None if absent; raises TaskRequestError."""
     text = find_label(info.labels, key)
     if text is None:
         return None
@@ -48,7 +48,7 @@
 
 
 def read_resource(info: TaskInfo, name: str) -> float:
-    """The amount of a resource that a task asks for; raises TaskRequestError."""
+    """Reads the requested amount of a resource; raises TaskRequestError."""
     amount = sum_scalar(info.resources, name)
     if amount is None or not math.isfinite(amount) or amount < 0.0:
         raise TaskRequestError(f"resource {name}", f"is {amount}; expected a SCALAR of 0 or more")
@@ -56,7 +56,7 @@
 
 
 def read_text(info: TaskInfo, key: str, default: str) -> str:
-    """A label with a text, or the default if it is absent or empty; raises TaskRequestError."""
+    """Reads a text label, or returns the default if it is absent or empty; raises TaskRequestError."""
     text = find_label(info.labels, key) or default
     if len(text) > MAX_TEXT_CHARACTERS:
         raise TaskRequestError(
@@ -74,18 +74,18 @@
 def _read_task_class(
     info: TaskInfo, classes: Mapping[str, api.TaskClass], default_class: str | None
 ) -> api.TaskClass:
-    name = find_label(info.labels, "class") or default_class
-    if name is None or name not in classes:
-        raise TaskRequestError("label class", f"is {name!r}; expected one of {', '.join(classes)}")
-    return classes[name]
+    class_name = find_label(info.labels, "class") or default_class
+    if class_name is None or class_name not in classes:
+        raise TaskRequestError("label class", f"is {class_name!r}; expected one of {', '.join(classes)}")
+    return classes[class_name]
 
 
 def _read_remaining_ms(info: TaskInfo, task_class: api.TaskClass, answer_margin_ms: float) -> float:
-    """The time in which the task is to be placed: the owner's, bounded by the class, less the margin."""
+    """Returns the time left to place the task: the client's, limited by the class, minus the margin."""
     remaining_ms = task_class.deadline_ms
-    owner_remaining_ms = read_duration_ms(info, "time_left_ms")
-    if owner_remaining_ms is not None:
-        remaining_ms = min(owner_remaining_ms, remaining_ms)
+    client_remaining_ms = read_duration_ms(info, "time_left_ms")
+    if client_remaining_ms is not None:
+        remaining_ms = min(client_remaining_ms, remaining_ms)
     if remaining_ms <= answer_margin_ms:
         raise TaskRequestError(
             "label time_left_ms",
@@ -100,16 +100,16 @@
     default_class: str | None,
     answer_margin_ms: float,
 ) -> TaskRequest:
-    """What a task asks for.
+    """Reads the requirements of a task.
 
     Args:
         info: the task.
-        classes: the task classes that there are, by name.
-        default_class: the class of a task that names none.
-        answer_margin_ms: what is kept back of the owner's time, for the answer's way to it.
+        classes: the task classes, by name.
+        default_class: name of the class of a task without the label `class`.
+        answer_margin_ms: part of the client's time that is reserved for the answer to reach it.
 
     Raises:
-        TaskRequestError: the task can't be read.
+        TaskRequestError: the TaskInfo is invalid.
 
     """
     _check_task_id(info)
--- a/tests/allocator/test_agent_membership.py
+++ b/tests/allocator/test_agent_membership.py
@@ -1,4 +1,4 @@
-"""The membership of agents: subscriptions, heartbeats, absence, the bound on their number."""
+"""Membership of agents: subscriptions, heartbeats, time-outs and the limit on the number of agents."""
 
 import itertools
 
@@ -19,8 +19,8 @@
     return AgentMembership(heartbeat_ms=1_000.0, max_missed_heartbeats=3, reregistration_timeout_ms=5_000.0)
 
 
-def ids(found):
-    return [member.id for member in found]
+def ids(members):
+    return [member.id for member in members]
 
 
 def test_an_agent_goes_from_subscribed_to_away_to_lost_and_comes_back(members):
@@ -37,10 +37,10 @@
     assert members.mark_lost(9_000.0) == []
     assert ids(members.mark_lost(9_001.0)) == ["h"]
     assert members.mark_lost(9_999.0) == []
-    joined = members.subscribe("h", "r1", second, 10_000.0)
-    assert joined.is_same_incarnation
-    assert joined.replaced_session is None
-    assert joined.member.state is AgentState.SUBSCRIBED
+    subscription = members.subscribe("h", "r1", second, 10_000.0)
+    assert subscription.is_same_incarnation
+    assert subscription.replaced_session is None
+    assert subscription.member.state is AgentState.SUBSCRIBED
 
 
 def test_a_newer_session_replaces_the_open_one(members):
@@ -51,7 +51,9 @@
     assert replaced.replaced_session is second
     assert not replaced.is_same_incarnation
     assert replaced.member.incarnation_count == 2
-    assert not members.close_session("h", second, 10_002.0)  # the old session's end is not the new one's
+    assert not members.close_session(
+        "h", second, 10_002.0
+    )  # the end of the replaced session does not close the new one
 
 
 def test_an_executor_id_is_split_at_its_last_dot():
@@ -64,17 +66,17 @@
     assert not members.subscribe("h", "", object(), 1.0).is_same_incarnation
 
 
-def test_members_are_bounded_and_the_lost_go_first():
+def test_a_full_membership_evicts_only_lost_agents():
     members = AgentMembership(
         heartbeat_ms=1_000.0, max_missed_heartbeats=3, reregistration_timeout_ms=100.0, max_agents=2
     )
-    gone = object()
-    members.subscribe("a", "r", gone, 0.0)
+    session = object()
+    members.subscribe("a", "r", session, 0.0)
     members.subscribe("b", "r", object(), 0.0)
     with pytest.raises(AgentLimitError, match="2 agents are known") as raised:
         members.subscribe("c", "r", object(), 0.0)
     assert raised.value.max_agents == 2
-    members.close_session("a", gone, 0.0)
+    members.close_session("a", session, 0.0)
     members.mark_lost(200.0)
     members.subscribe("c", "r", object(), 200.0)
     assert set(members.members_by_agent) == {"b", "c"}
--- a/tests/allocator/test_delivery_status.py
+++ b/tests/allocator/test_delivery_status.py
@@ -1,4 +1,4 @@
-"""Decisions about attempts whose execution is uncertain: the tables are complete, and on the safe side."""
+"""Decisions about uncertain attempts: complete tables, and none treats a possible run as no run."""
 
 import itertools
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("step", AttemptStep)
 @pytest.mark.parametrize("delivery", DeliveryStatus)
-def test_a_timeout_closes_the_session_of_what_is_not_sent(step, delivery):
+def test_a_timeout_closes_the_session_of_an_attempt_not_sent_in_full(step, delivery):
     decision = delivery_status.decide_on_timeout(step, delivery)
     assert (decision.action is DeliveryAction.IGNORE) == (step is not AttemptStep.DISPATCHED)
     if step is AttemptStep.DISPATCHED:
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("step", [AttemptStep.DISPATCHED, AttemptStep.ACCEPTED, AttemptStep.RUNNING])
 @pytest.mark.parametrize("is_same", [True, False], ids=["same incarnation", "new incarnation"])
-def test_only_the_same_incarnation_can_say_that_it_never_had_a_task(step, is_same):
+def test_only_the_same_incarnation_proves_that_it_never_had_a_task(step, is_same):
     not_listed = delivery_status.decide_on_resubscribe(step, is_listed=False, is_same_incarnation=is_same)
     assert not_listed.may_have_run == (not (step is AttemptStep.DISPATCHED and is_same))
     listed = delivery_status.decide_on_resubscribe(step, is_listed=True, is_same_incarnation=is_same)
@@ -75,22 +75,22 @@
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.FAILED, was_placed=False),
             LateAcceptance.ADOPT,
-            id="owner was answered failed",
+            id="client was answered failed",
         ),
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.PLACED, was_placed=True),
             LateAcceptance.ADOPT,
-            id="placed task of an agent that is back",
+            id="placed task of an agent that subscribed again",
         ),
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.PLACED, was_placed=False),
             LateAcceptance.KILL,
-            id="copy of what ended elsewhere",
+            id="duplicate of a task that ended elsewhere",
         ),
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.REJECTED, was_placed=False),
             LateAcceptance.KILL,
-            id="owner was answered refused",
+            id="client was answered rejected",
         ),
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.FAILED, was_placed=True, has_other_dispatched=True),
@@ -105,16 +105,16 @@
         pytest.param(
             LateAcceptanceCase(answer=FinalAnswer.FAILED, was_placed=True, is_framework_gone=True),
             LateAcceptance.KILL,
-            id="owner gone",
+            id="client gone",
         ),
     ],
 )
-def test_late_acceptance_adopts_only_what_the_owner_follows(case, expected):
+def test_late_acceptance_adopts_only_a_task_that_its_client_still_tracks(case, expected):
     assert delivery_status.decide_late_acceptance(case) is expected
 
 
 @pytest.mark.parametrize(
     ("is_live_elsewhere", "expected"), [(False, LateAcceptance.ADOPT), (True, LateAcceptance.KILL)]
 )
-def test_an_unknown_task_is_adopted_unless_it_lives_elsewhere(is_live_elsewhere, expected):
+def test_an_unknown_task_is_adopted_unless_another_attempt_is_live(is_live_elsewhere, expected):
     assert delivery_status.decide_unknown_task(is_live_elsewhere=is_live_elsewhere) is expected
--- a/tests/allocator/test_endpoint_list.py
+++ b/tests/allocator/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Agents of the Operator API as machines, and the list that removals are reported from."""
+"""Conversion of Operator API agents to machines, and the machine list that removals take their data from."""
 
 import pytest
 
@@ -7,49 +7,51 @@
 from glencleat.mesos import messages as m
 
 NS_PER_MS = 1_000_000
-READY_AT_MS = 990.0  # of an agent that came up at 50 ms of the wall's clock, heard at 60 ms, at 1_000 ms
+READY_AT_MS = (
+    990.0  # started at 50 ms wall time; the wall clock reads 60 ms when the monotonic one reads 1_000 ms
+)
 
 
-def make_agent(name="h", up_ms=0, *, is_draining=False, **more):
+def make_agent(name="h", registered_at_ms=0, *, is_draining=False, **fields):
     info = m.AgentInfo(name, m.Value(name), [], [m.Attribute("kind", text=m.Text("std"))])
     return m.Agent(
         info,
-        registered_time=m.TimeInfo(up_ms * NS_PER_MS),
+        registered_time=m.TimeInfo(registered_at_ms * NS_PER_MS),
         drain_info=m.DrainInfo("DRAINING") if is_draining else None,
         total_resources=m.make_resources(16.0, 100.0),
         allocated_resources=m.make_resources(18.0, 40.0),
-        **more,
+        **fields,
     )
 
 
 @pytest.fixture
 def listing():
-    """A list with one agent."""
+    """Returns a list with one agent."""
     listing = MachineListing()
-    listing.replace_all([make_agent(up_ms=50)], 1_000.0, 60.0)
+    listing.replace_all([make_agent(registered_at_ms=50)], 1_000.0, 60.0)
     return listing
 
 
-def test_an_agent_becomes_a_machine():
-    (machine,) = MachineListing().replace_all([make_agent(up_ms=50)], 1_000.0, 60.0).machines
+def test_an_agent_is_converted_to_a_machine():
+    (machine,) = MachineListing().replace_all([make_agent(registered_at_ms=50)], 1_000.0, 60.0).machines
     assert (machine.name, machine.kind, machine.phase) == ("h", "std", api.MachinePhase.SERVING)
     assert machine.free_cores == -2.0
     assert machine.free_memory == 60.0
     assert machine.ready_at_ms == READY_AT_MS
 
 
-def test_a_drift_of_the_clocks_is_no_restart(listing):
-    (machine,) = listing.record_change(make_agent(up_ms=50), 2_000.0, 1_061.0).machines
+def test_clock_drift_is_not_a_restart(listing):
+    (machine,) = listing.record_change(make_agent(registered_at_ms=50), 2_000.0, 1_061.0).machines
     assert machine.ready_at_ms == READY_AT_MS  # the clocks drifted by a millisecond
 
 
 def test_a_later_start_is_a_restart(listing):
-    (machine,) = listing.record_change(make_agent(up_ms=1_000), 2_000.0, 1_060.0).machines
+    (machine,) = listing.record_change(make_agent(registered_at_ms=1_000), 2_000.0, 1_060.0).machines
     assert machine.ready_at_ms == 1_940.0
 
 
-def test_an_agent_whose_clock_is_ahead_came_up_now():
-    (machine,) = MachineListing().replace_all([make_agent(up_ms=9_000_000_000)], 5.0, 6.0).machines
+def test_a_start_time_in_the_future_counts_as_now():
+    (machine,) = MachineListing().replace_all([make_agent(registered_at_ms=9_000_000_000)], 5.0, 6.0).machines
     assert machine.ready_at_ms == 5.0
 
 
--- a/tests/allocator/test_frameworks.py
+++ b/tests/allocator/test_frameworks.py
@@ -1,4 +1,4 @@
-"""Frameworks: updates until they are acknowledged, the bound on their number, fail-over."""
+"""Frameworks: unacknowledged updates, the limit on the number of frameworks, failover."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from glencleat.mesos import messages as m
 
 
-def framework_info(name="f", failover=0.0):
-    return m.FrameworkInfo("u", name, m.Value(name), failover_timeout=failover)
+def framework_info(name="f", failover_timeout_s=0.0):
+    return m.FrameworkInfo("u", name, m.Value(name), failover_timeout=failover_timeout_s)
 
 
 def subscribe(frameworks, info, session=None):
@@ -37,7 +37,7 @@
 def test_frameworks_are_bounded_and_expire_after_their_failover_timeout():
     frameworks = Frameworks(max_frameworks=1, max_failover_timeout_s=10.0)
     session = object()
-    framework = subscribe(frameworks, framework_info(failover=1e9), session)
+    framework = subscribe(frameworks, framework_info(failover_timeout_s=1e9), session)
     with pytest.raises(FrameworkLimitError, match="1 frameworks") as raised:
         subscribe(frameworks, framework_info("g"))
     assert raised.value.max_frameworks == 1
--- a/tests/allocator/test_status_mapping.py
+++ b/tests/allocator/test_status_mapping.py
@@ -1,4 +1,4 @@
-"""The tables between Mesos task states and outcomes: no status promises more than is known."""
+"""Mapping between Mesos task states and outcomes: no status promises more than is known."""
 
 import pytest
 from hypothesis import given
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("state", TaskState)
-def test_only_two_states_say_that_nothing_ran(state):
+def test_only_dropped_and_error_mean_that_nothing_ran(state):
     meaning = status_mapping.read_status(state.value, None, None)
     if meaning is not None and meaning.step is AttemptStep.ENDED:
         assert meaning.may_have_run == (state.value not in ("TASK_DROPPED", "TASK_ERROR"))
@@ -66,7 +66,7 @@
     assert status_mapping.rejection_answer(may_have_run=True).state == "TASK_LOST"
 
 
-def test_a_failure_sends_its_owner_to_reconcile():
+def test_a_failure_advises_its_client_to_reconcile():
     assert status_mapping.failure_answer().retry_advice is RetryAdvice.RECONCILE
 
 
@@ -79,7 +79,7 @@
     assert harmless == {ExecutionStatus.NEVER_RAN}
 
 
-def test_reconciliation_tells_an_accepted_task_from_a_running_one():
+def test_reconciliation_distinguishes_an_accepted_task_from_a_running_one():
     accepted = status_mapping.reconciliation_answer(ExecutionStatus.RUNNING, is_accepted=True)
     running = status_mapping.reconciliation_answer(ExecutionStatus.RUNNING)
     assert (accepted.state, running.state) == ("TASK_STARTING", "TASK_RUNNING")
--- a/tests/allocator/test_task_requests.py
+++ b/tests/allocator/test_task_requests.py
@@ -1,4 +1,4 @@
-"""Reading of what a TaskInfo asks for: defaults, bounds, and errors that name the field."""
+"""Reading of a TaskInfo's requirements: defaults, limits, and errors that name the invalid field."""
 
 import pytest
 
@@ -19,21 +19,23 @@
     return read_task_request(info, CLASSES, default_class=default_class, answer_margin_ms=50.0)
 
 
-def test_what_is_absent_has_its_default():
+def test_absent_fields_get_their_defaults():
     request = read(default_class="batch")
     assert (request.task_class, request.service, request.idempotency_key) == ("batch", "name", "t")
-    assert request.remaining_ms == 7_950.0  # the deadline of the class, less the margin
+    assert request.remaining_ms == 7_950.0  # the deadline of the class minus the margin
     assert request.expected_run_ms is None
 
 
-@pytest.mark.parametrize(("told", "left"), [("100", 50.0), ("9000", 7_950.0)], ids=["less", "more"])
-def test_the_owners_time_is_bounded_by_the_class(told, left):
-    labels = {"class": "batch", "time_left_ms": told}
-    assert read(**labels).remaining_ms == left
+@pytest.mark.parametrize(
+    ("label_ms", "expected_ms"), [("100", 50.0), ("9000", 7_950.0)], ids=["less", "more"]
+)
+def test_the_clients_time_is_limited_by_the_class(label_ms, expected_ms):
+    labels = {"class": "batch", "time_left_ms": label_ms}
+    assert read(**labels).remaining_ms == expected_ms
 
 
 @pytest.mark.parametrize(
-    ("wrong", "field"),
+    ("changes", "field"),
     [
         ({"task_id": ""}, "task_id"),
         ({"task_id": "t" * 257}, "task_id"),
@@ -48,7 +50,7 @@
         ({"memory": float("nan")}, "resource mem"),
     ],
 )
-def test_an_error_names_the_field_that_is_wrong(wrong, field):
+def test_an_error_names_the_invalid_field(changes, field):
     with pytest.raises(TaskRequestError, match=f"^{field} ") as raised:
-        read(**({"class": "batch"} | wrong))
+        read(**({"class": "batch"} | changes))
     assert raised.value.field == field
