--- a/glencleat/event_loop/__init__.py
+++ b/glencleat/event_loop/__init__.py
@@ -1,6 +1,7 @@
-"""A small kernel: an epoll loop that runs generators as coroutines, timers and bounded streams.
+"""A small event loop: epoll, generators as coroutines, timers and streams with bounded buffers.
 
-It imports nothing of glencleat. Clock and sockets come in from outside (`Loop(clock, poller)`)."""
+It imports nothing from the rest of glencleat. Clock and poller are injected (`Loop(clock, poller)`).
+"""
 
 from glencleat.event_loop.loop import CancelledError, Clock, Loop, LoopTask, Pause, Poller, SystemClock
 from glencleat.event_loop.signals import Signals
--- a/glencleat/event_loop/loop.py
+++ b/glencleat/event_loop/loop.py
@@ -1,7 +1,9 @@
-"""The loop: generators as coroutines over epoll, one thread. A task waits by yielding an arming function.
+"""A single-threaded event loop that runs generators as coroutines over epoll.
 
-Imports the timers only. Whoever starts the program makes one Loop and calls `run`. Clock and poller are
-arguments, so that the same tasks can run on a virtual clock."""
+A task waits by yielding an arm function: the loop calls it with the task, and it registers what will wake the
+task. The program's entry point creates one Loop and calls `run`. Clock and poller are arguments, so that the
+same tasks can run on a virtual clock. Imports the timers only.
+"""
 
 from __future__ import annotations
 
@@ -13,48 +15,64 @@
 
 from glencleat.event_loop.timers import Timer, Timers, TimerWheel
 
-Arm = Callable[["LoopTask"], Callable[[], None]]  # starts a wait, returns what ends it early
+Arm = Callable[["LoopTask"], Callable[[], None]]  # starts a wait and returns the function that aborts it
 Coroutine = Generator[Arm, Any, Any]
-MAX_EVENTS = 4_096  # of one poll; more than there are descriptors, so that it tells of all that has come
+# Higher than the number of open descriptors, so that one poll reports every ready descriptor.
+MAX_EVENTS_PER_POLL = 4_096
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 
 
 class CancelledError(BaseException):
-    """Thrown into a task that is cancelled; a task may clean up but not go on waiting."""
+    """Thrown into a cancelled task, which may clean up but must not wait again."""
 
 
 class Clock(Protocol):
+    """The time source of a loop."""
+
     def now(self) -> float:
         """Monotonic milliseconds."""
 
     def wall(self) -> float:
-        """Milliseconds since the epoch, for what leaves the process."""
+        """Milliseconds since the Unix epoch, for timestamps that leave the process."""
 
 
 class SystemClock:
+    """The clocks of the operating system."""
+
     def now(self) -> float:
+        """Monotonic milliseconds."""
         return time.monotonic() * 1000.0
 
     def wall(self) -> float:
+        """Milliseconds since the Unix epoch."""
         return time.time() * 1000.0
 
 
 class Poller(Protocol):
-    idle_ms: float  # spent waiting, in all
+    """Waits for events on file descriptors and dispatches them to callbacks."""
 
-    def watch(
-        self, fd: int, interest: int, call: Callable[[int], None], is_deferred: bool = False
-    ) -> None: ...
-    def change(self, fd: int, interest: int) -> None: ...
-    def forget(self, fd: int) -> None: ...
-    def poll(self, timeout_ms: float | None) -> int: ...
+    idle_ms: float  # total time spent waiting
+
+    def watch(self, fd: int, interest: int, call: Callable[[int], None], is_deferred: bool = False) -> None:
+        """Registers a descriptor; `call` gets the event mask."""
+
+    def change(self, fd: int, interest: int) -> None:
+        """Replaces the event mask that a registered descriptor waits for."""
+
+    def forget(self, fd: int) -> None:
+        """Unregisters a descriptor, if it is registered."""
+
+    def poll(self, timeout_ms: float | None) -> int:
+        """Waits for events, runs their callbacks, returns the number of events; None: no timeout."""
+        ...
 
 
 class EpollPoller:
     """Level-triggered epoll with a callback for each descriptor.
 
-    `is_deferred`: called once all others of the poll were, for what has to know what they were told: who
-    comes in may put out one on whom something has come."""
+    A descriptor watched with `is_deferred` is called back after all others of the same poll. Listeners need
+    this: accepting a connection may evict another one, and must see first which ones have received data.
+    """
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
@@ -63,35 +81,39 @@
         self.idle_ms = 0.0
 
     def watch(self, fd: int, interest: int, call: Callable[[int], None], is_deferred: bool = False) -> None:
+        """Registers a descriptor; `call` gets the event mask."""
         self.epoll.register(fd, interest)
         self.callbacks_by_fd[fd] = call
         if is_deferred:
             self.deferred_fds.add(fd)
 
     def change(self, fd: int, interest: int) -> None:
+        """Replaces the event mask that a registered descriptor waits for."""
         self.epoll.modify(fd, interest)
 
     def forget(self, fd: int) -> None:
+        """Unregisters a descriptor, if it is registered."""
         if self.callbacks_by_fd.pop(fd, None) is not None:
             self.epoll.unregister(fd)
             self.deferred_fds.discard(fd)
 
     def poll(self, timeout_ms: float | None) -> int:
-        wait = None if timeout_ms is None else max(0.0, timeout_ms) / 1000.0
-        began = time.monotonic()
-        events = self.epoll.poll(wait, MAX_EVENTS)
-        self.idle_ms += 1_000.0 * (time.monotonic() - began)
+        """Waits for events, runs their callbacks, returns the number of events; None: no timeout."""
+        timeout_s = None if timeout_ms is None else max(0.0, timeout_ms) / 1000.0
+        started_s = time.monotonic()
+        events = self.epoll.poll(timeout_s, MAX_EVENTS_PER_POLL)
+        self.idle_ms += 1_000.0 * (time.monotonic() - started_s)
         if self.deferred_fds:
             events.sort(key=lambda event: event[0] in self.deferred_fds)
         for fd, mask in events:
-            call = self.callbacks_by_fd.get(fd)  # an earlier callback of this round may have closed it
-            if call is not None:
-                call(mask)
+            callback = self.callbacks_by_fd.get(fd)  # a callback before it may have unregistered it
+            if callback is not None:
+                callback(mask)
         return len(events)
 
 
 class LoopTask:
-    """A running generator. Its children are cancelled when it ends."""
+    """A generator run by the loop. Its child tasks are cancelled when it ends."""
 
     __slots__ = (
         "generator", "name", "parent", "is_urgent", "children", "done", "result", "error", "disarm", "joiners"
@@ -107,7 +129,7 @@
 
 
 class Loop:
-    """Runs tasks, timers and descriptors until stopped.
+    """Runs tasks, timers and descriptor callbacks until stopped.
 
     >>> loop = Loop()
     >>> def work():
@@ -124,12 +146,9 @@
         self.poller = poller or EpollPoller()
         self.timers: Timers = timers or TimerWheel(self.clock.now())
         self.ready: deque[tuple[LoopTask, Any, BaseException | None]] = deque()
-        self.urgent_ready: deque[tuple[LoopTask, Any, BaseException | None]] = (
-            deque()
-        )  # the urgent ones of these
-        self.due_timers: deque[Timer] = (
-            deque()
-        )  # of this round; an error in one leaves the others to the next
+        self.urgent_ready: deque[tuple[LoopTask, Any, BaseException | None]] = deque()
+        # Due in this iteration; when a callback raises, the next iteration runs the remaining ones.
+        self.due_timers: deque[Timer] = deque()
         self.is_running = False
         self.current_task: LoopTask | None = None
         self.on_error: Callable[[LoopTask, BaseException], None] = self._raise
@@ -139,18 +158,22 @@
         raise error
 
     def now(self) -> float:
+        """Monotonic milliseconds of the loop's clock."""
         return self.clock.now()
 
     def call_in(self, in_ms: float, call: Callable[[], None]) -> Timer:
+        """Calls `call` once in `in_ms` milliseconds, unless the returned timer is cancelled before."""
         return self.timers.add(self.clock.now() + in_ms, call)
 
     def spawn(
         self, gen: Coroutine, name: str, parent: LoopTask | None = None, is_urgent: bool = False
     ) -> LoopTask:
-        """`is_urgent`: what the poller wakes it for is handled before all timers and other tasks of that
-        round.
+        """Schedules a generator as a task and returns the task.
 
-        For what all the others have to know: after a standstill they would act on what is no longer so."""
+        A task with `is_urgent` runs before all timers and other tasks of the iteration in which the poller
+        wakes it. It is meant for input that the others depend on: after a stall of the process they would
+        otherwise act on outdated state.
+        """
         task = LoopTask(gen, name, parent, is_urgent)
         if parent is not None:
             parent.children.add(task)
@@ -158,11 +181,12 @@
         return task
 
     def wake(self, task: LoopTask, value: Any = None) -> None:
-        """Ends the task's present wait; it goes on in this round of the loop."""
+        """Ends the task's current wait with `value`; it resumes in this iteration of the loop."""
         task.disarm = None
         (self.urgent_ready if task.is_urgent else self.ready).append((task, value, None))
 
     def cancel(self, task: LoopTask) -> None:
+        """Aborts the task's current wait and throws CancelledError into it; no effect on a finished task."""
         if task.done:
             return
         if task.disarm is not None:
@@ -171,13 +195,15 @@
         self.ready.append((task, None, CancelledError()))
 
     def sleep(self, ms: float) -> Coroutine:
+        """Suspends the calling task for `ms` milliseconds."""
+
         def arm(task: LoopTask) -> Callable[[], None]:
             return self.call_in(ms, lambda: self.wake(task)).cancel
 
         yield arm
 
     def join(self, other: LoopTask) -> Coroutine:
-        """Waits for the end of another task; gives its result or raises its error."""
+        """Waits for another task to finish; returns its result or raises its error."""
         if not other.done:
 
             def arm(task: LoopTask) -> Callable[[], None]:
@@ -193,7 +219,7 @@
         if task.done:
             return
         if error is not None and task.disarm is not None:
-            task.disarm()  # it was woken and has begun another wait since it was cancelled
+            task.disarm()  # woken and waiting again since `cancel` was called
         task.disarm = None
         self.current_task = task
         try:
@@ -202,8 +228,8 @@
             self._end(task, stop.value, None)
         except CancelledError:
             self._end(task, None, None)
-        except Exception as fault:
-            self._end(task, None, fault)
+        except Exception as exc:
+            self._end(task, None, exc)
         else:
             task.disarm = arm(task)
         finally:
@@ -222,32 +248,34 @@
         task.joiners = []
 
     def run_once(self, may_wait: bool = True) -> None:
-        """One turn: what the poller tells, urgent tasks, what is due, then the tasks that are ready.
+        """One iteration: polls, then runs urgent tasks, due timers and ready tasks, in this order.
 
-        Tasks come last, so that a loop that one of them has ended is not left waiting in the poller."""
+        Tasks run last, so that a loop stopped by one of them doesn't block in the poller once more.
+        """
         if self.ready or self.urgent_ready or self.due_timers or not may_wait:
             timeout: float | None = 0.0
         else:
-            due = self.timers.next_due()
-            timeout = None if due is None else due - self.clock.now()
+            next_due = self.timers.next_due()
+            timeout = None if next_due is None else next_due - self.clock.now()
         self.poller.poll(timeout)
         for _ in range(len(self.urgent_ready)):
             self._step(*self.urgent_ready.popleft())
         self.due_timers.extend(self.timers.pop_due(self.clock.now()))
         while self.due_timers:
             timer = self.due_timers.popleft()
-            if timer.callback is not None:  # an earlier one of this round may have cancelled it
+            if timer.callback is not None:  # a callback before it may have cancelled it
                 timer.callback()
         for _ in range(len(self.ready)):
             self._step(*self.ready.popleft())
 
     def run(self) -> None:
+        """Runs iterations until `stop` is called."""
         self.is_running = True
         while self.is_running:
             self.run_once()
 
     def run_until(self, task: LoopTask) -> Any:
-        """Runs until the task has ended; gives its result or raises its error."""
+        """Runs until the task has finished; returns its result or raises its error."""
         while not task.done:
             self.run_once()
         if task.error is not None:
@@ -255,11 +283,12 @@
         return task.result
 
     def stop(self) -> None:
+        """Makes `run` return after the current iteration."""
         self.is_running = False
 
 
 class Pause:
-    """A sleep of one task that others can end early.
+    """A sleep of one task that other code can end early.
 
     >>> loop = Loop()
     >>> pause = Pause(loop)
@@ -274,28 +303,29 @@
 
     @property
     def is_sleeping(self) -> bool:
+        """Whether a task is in `sleep`."""
         return self._wake is not None
 
     def sleep(self, ms: float) -> Coroutine:
-        """Whether it lasted as long as it should."""
+        """Suspends the calling task; returns True after the full time, False if `wake` ended it early."""
 
         def arm(task: LoopTask) -> Callable[[], None]:
             def disarm() -> None:
                 timer.cancel()
                 self._wake = None
 
-            def wake(whole: bool) -> None:
+            def wake(completed: bool) -> None:
                 disarm()
-                self.loop.wake(task, whole)
+                self.loop.wake(task, completed)
 
             timer = self.loop.call_in(ms, lambda: wake(True))
             self._wake = wake
             return disarm
 
-        whole = yield arm
-        return whole
+        completed = yield arm
+        return completed
 
     def wake(self) -> None:
-        """Nobody may be asleep."""
+        """Ends the current sleep early, if there is one."""
         if self._wake is not None:
             self._wake(False)
--- a/glencleat/event_loop/signals.py
+++ b/glencleat/event_loop/signals.py
@@ -1,6 +1,8 @@
-"""Signals as bytes in a pipe, so that they are handled between two events and none is missed.
+"""Delivers signals through a pipe, so that the loop handles them between callbacks and none is lost.
 
-Imports the loop. Made at a process's start, whatever comes before `attach` waits in the pipe."""
+Signals that arrive between creation, at the start of the process, and `attach` wait in the pipe. Imports the
+loop.
+"""
 
 from __future__ import annotations
 
@@ -12,26 +14,26 @@
 
 
 class Signals:
-    """Takes SIGHUP, SIGTERM and SIGINT from the moment it is made."""
+    """Catches SIGHUP, SIGTERM and SIGINT from its creation on."""
 
     def __init__(self) -> None:
-        # A pipe and not a pair of sockets: that would be a Unix socket, which not every platform lets be.
+        # A pipe rather than a socket pair, which is of Unix sockets: not every platform permits them.
         self.read_fd, self.write_fd = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         signal.set_wakeup_fd(self.write_fd, warn_on_full_buffer=False)
-        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: None)
+        for signum in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
+            signal.signal(signum, lambda *_: None)
 
     def attach(self, loop: Loop, stop: Callable[[], None], reload: Callable[[], None]) -> None:
-        """From now on the loop calls `stop` for SIGTERM and SIGINT, `reload` for SIGHUP."""
-        calls: dict[int, Callable[[], None]] = {
+        """Makes the loop call `stop` on SIGTERM and SIGINT, and `reload` on SIGHUP."""
+        handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: stop,
             signal.SIGINT: stop,
             signal.SIGHUP: reload,
         }
 
-        def told(_: int) -> None:
-            for number in dict.fromkeys(os.read(self.read_fd, 256)):  # once each, in the order they came
-                if number in calls:
-                    calls[number]()
+        def on_readable(_: int) -> None:
+            for signum in dict.fromkeys(os.read(self.read_fd, 256)):  # each signal once, in order of arrival
+                if signum in handlers:
+                    handlers[signum]()
 
-        loop.poller.watch(self.read_fd, READ, told)
+        loop.poller.watch(self.read_fd, READ, on_readable)
--- a/glencleat/event_loop/streams.py
+++ b/glencleat/event_loop/streams.py
@@ -1,7 +1,8 @@
-"""Bounded streams over non-blocking sockets, and a listener that survives running out of descriptors.
+"""Streams over non-blocking sockets, and a listener that survives running out of file descriptors.
 
-Imports the loop. A peer that stops reading is cut off when its unsent bytes pass the stream's limit: a slow
-reader may never hold up a decision or fill memory."""
+A peer that stops reading is disconnected when its unsent bytes exceed the stream's limit: a slow reader must
+never delay a decision or exhaust memory. Imports the loop.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +18,19 @@
 from glencleat.event_loop.loop import READ, WRITE, Coroutine, Loop, LoopTask
 
 CHUNK_SIZE = 65_536
-READS_PER_TURN = 4  # reads of one stream that need no wait before others have their turn
-ACCEPT_RETRY_MS = 50.0  # before a listener without any descriptor looks again
-SO_TIMESTAMPNS = (
-    35  # Linux's SO_TIMESTAMPNS, which Python does not name: seconds, nanoseconds beside the bytes
-)
-TIMESPEC = struct.Struct("qq")
+READS_PER_TURN = 4  # consecutive reads of one stream without a wait before it yields to other tasks
+ACCEPT_RETRY_MS = 50.0  # pause of a listener that has no file descriptor left
+# Linux's socket option for receive timestamps in ancillary data; Python's socket module lacks the constant.
+SO_TIMESTAMPNS = 35
+TIMESPEC = struct.Struct("qq")  # seconds, nanoseconds
 
 
 class StreamClosedError(Exception):
-    """The peer or we closed the stream; the text says which and why."""
+    """The stream was closed by the peer or by this process; the message gives the reason."""
 
 
 class ConnectError(StreamClosedError):
-    """No connection came up; `code` is the errno: ECONNREFUSED is the peer's machine speaking."""
+    """No connection was established; `code` is the errno (ECONNREFUSED: the peer's machine answers)."""
 
     def __init__(self, address: tuple[str, int], code: int) -> None:
         super().__init__(f"can't connect to {address[0]}:{address[1]}: {os.strerror(code)}")
@@ -38,12 +38,15 @@
 
 
 class StreamOverflowError(StreamClosedError):
-    """The peer reads too slowly: more than the limit waits unsent."""
+    """The peer reads too slowly: the unsent bytes exceed the limit."""
 
 
 class Stream:
-    """One connection. `queued_bytes` and `written_bytes` count bytes since its start, so that what left is
-    known."""
+    """A connection with a bounded send buffer.
+
+    `queued_bytes` and `written_bytes` are counted since the start, so that the caller of `send` can tell
+    which of its data has been handed to the socket.
+    """
 
     def __init__(self, loop: Loop, sock: Any, max_unsent_bytes: int = 1 << 20) -> None:
         sock.setblocking(False)
@@ -56,32 +59,31 @@
         self.flusher: LoopTask | None = None
         self.interest = 0
         self.is_readable = False
-        self.consecutive_reads = 0  # reads in a row that needed no wait
+        self.consecutive_reads = 0  # without a wait in between
         self.is_timestamping = False
-        self.received_at_unix_ms: float | None = (
-            None  # when the system took the last bytes read, Unix milliseconds
-        )
-        loop.poller.watch(self.fd, 0, self._told)
+        self.received_at_unix_ms: float | None = None  # when the kernel received the last bytes read
+        loop.poller.watch(self.fd, 0, self._on_event)
 
-    def _want(self, interest: int) -> None:
+    def _set_interest(self, interest: int) -> None:
         if interest != self.interest and self.close_reason is None:
             self.interest = interest
             self.loop.poller.change(self.fd, interest)
 
-    def _told(self, mask: int) -> None:
+    def _on_event(self, mask: int) -> None:
         if mask & WRITE and self.send_buffer:
-            self._write()
+            self._write_buffer()
         if self.close_reason is None and mask & ~WRITE:
             self.is_readable = True
             if self.reader is not None:
                 self.wake_reader()
-            elif mask & ~(READ | WRITE):  # hang-up or error, and nobody reads
+            elif mask & ~(READ | WRITE):  # hang-up or error while no task reads
                 self.close("connection lost")
             else:
-                self._want(self.interest & ~READ)  # or a level-triggered loop spins until somebody reads
+                # Otherwise level-triggered epoll would spin until a task reads.
+                self._set_interest(self.interest & ~READ)
 
     def read(self, size: int = CHUNK_SIZE) -> Coroutine:
-        """The next bytes, b"" at the peer's end; raises StreamClosed once it is closed."""
+        """Returns the next bytes, b"" at end of stream; raises StreamClosedError once it is closed."""
         while True:
             yield from self.wait_readable()
             data = self.read_nowait(size)
@@ -89,9 +91,12 @@
                 return data
 
     def wait_readable(self) -> Coroutine:
-        """Until there may be something to read, or `wake_reader`; raises StreamClosed once it is closed.
+        """Waits until data may be readable or `wake_reader` is called.
 
-        One who sends faster than we read is read in turns, or its reader would keep the loop to itself."""
+        After READS_PER_TURN reads without a wait it yields to other tasks: otherwise the reader of a peer
+        that sends faster than it is read would monopolize the loop. Raises StreamClosedError once the stream
+        is closed.
+        """
         if self.close_reason is None and not self.is_readable:
             self.consecutive_reads = 0
             yield self._arm_read
@@ -103,32 +108,34 @@
             raise StreamClosedError(self.close_reason)
 
     def read_nowait(self, size: int = CHUNK_SIZE) -> bytes | None:
-        """What has come by this instant, whether the poller told of it or not.
+        """Reads what the socket has, whether or not the poller has reported it.
 
-        b"" at the peer's end, None if there is nothing; raises StreamClosed once it is closed."""
+        Returns b"" at end of stream and None if nothing is available; raises StreamClosedError once the
+        stream is closed.
+        """
         if self.close_reason is not None:
             raise StreamClosedError(self.close_reason)
         try:
-            data: bytes = self._recv_stamped(size) if self.is_timestamping else self.sock.recv(size)
+            data: bytes = self._recv_with_timestamp(size) if self.is_timestamping else self.sock.recv(size)
         except (BlockingIOError, InterruptedError):
-            self._emptied()
+            self._await_more()
             return None
         except OSError as error:
             self.close(f"connection lost: {error.strerror}")
             raise StreamClosedError(self.close_reason or "") from None
         if len(data) < size:
-            self._emptied()
+            self._await_more()
         else:
             self.is_readable = True
         return data
 
-    def _emptied(self) -> None:
-        """The poller tells of more, also while the reader has its turn: until then there is nothing."""
+    def _await_more(self) -> None:
+        """Marks the socket as empty; the poller reports new data even while no task waits for it."""
         self.is_readable = False
-        self._want(self.interest | READ)
+        self._set_interest(self.interest | READ)
 
     def has_peer_closed(self) -> bool:
-        """Whether the peer has closed by this instant, also where what it sent before lies unread."""
+        """Whether the peer has closed the connection, even if data that it sent before is still unread."""
         if self.close_reason is not None:
             return True
         try:
@@ -138,26 +145,28 @@
             return False
         except OSError:
             return True
-        poll = select.poll()  # the dearer question, for what lies behind bytes
+        poll = select.poll()  # costs more than the peek, but detects a close behind unread data
         poll.register(self.fd, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def wake_reader(self) -> None:
-        """Wakes who waits to read: what it waits for was taken in another way."""
+        """Wakes the task in `wait_readable`, for example because the data was read by other code."""
         if self.reader is not None:
             reader, self.reader = self.reader, None
             self.loop.wake(reader)
 
     def enable_timestamps(self) -> None:
-        """From now on `received_at_unix_ms` tells how long bytes waited for us; it stays None where the
-        system can't."""
+        """Makes reads set `received_at_unix_ms`, which shows how long bytes waited to be read.
+
+        It stays None where the system doesn't support the socket option.
+        """
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
             self.is_timestamping = True
 
-    def _recv_stamped(self, size: int) -> bytes:
-        data, told, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
-        for level, kind, raw in told:
+    def _recv_with_timestamp(self, size: int) -> bytes:
+        data, ancillary, _, _ = self.sock.recvmsg(size, socket.CMSG_SPACE(TIMESPEC.size))
+        for level, kind, raw in ancillary:
             if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) == TIMESPEC.size:
                 seconds, nanoseconds = TIMESPEC.unpack(raw)
                 self.received_at_unix_ms = seconds * 1e3 + nanoseconds / 1e6
@@ -165,7 +174,7 @@
 
     def _arm_read(self, task: LoopTask) -> Callable[[], None]:
         self.reader = task
-        self._want(self.interest | READ)
+        self._set_interest(self.interest | READ)
 
         def disarm() -> None:
             self.reader = None
@@ -173,30 +182,32 @@
         return disarm
 
     def send(self, data: bytes) -> int:
-        """Queues bytes and writes what the socket takes; gives the position of their end.
+        """Queues bytes and writes what the socket accepts; returns the stream position of their end.
 
-        Raises StreamClosed, or Overflow when the peer reads too slowly (the stream is then closed)."""
+        Raises StreamClosedError on a closed stream. When the peer reads too slowly, closes the stream and
+        raises StreamOverflowError.
+        """
         if self.close_reason is not None:
             raise StreamClosedError(self.close_reason)
         self.queued_bytes += len(data)
-        waiting = bool(self.send_buffer)
+        had_unsent = bool(self.send_buffer)
         self.send_buffer += data
-        if not waiting:
-            self._write()
+        if not had_unsent:
+            self._write_buffer()
         if len(self.send_buffer) > self.max_unsent_bytes:
             self.close(f"slow reader: {len(self.send_buffer)} bytes unsent")
             raise StreamOverflowError(self.close_reason or "")
         return self.queued_bytes
 
     def try_send(self, data: bytes) -> bool:
-        """`send` for who need not know why: False if the stream is closed, or was by this."""
+        """Like `send`, but returns False if the stream is closed or this call closed it."""
         try:
             self.send(data)
         except StreamClosedError:
             return False
         return self.close_reason is None
 
-    def _write(self) -> None:
+    def _write_buffer(self) -> None:
         try:
             sent = self.sock.send(self.send_buffer)
         except (BlockingIOError, InterruptedError):
@@ -206,13 +217,13 @@
             return
         self.written_bytes += sent
         del self.send_buffer[:sent]
-        self._want(self.interest | WRITE if self.send_buffer else self.interest & ~WRITE)
+        self._set_interest(self.interest | WRITE if self.send_buffer else self.interest & ~WRITE)
         if not self.send_buffer and self.flusher is not None:
             flusher, self.flusher = self.flusher, None
             self.loop.wake(flusher)
 
     def flush(self) -> Coroutine:
-        """Waits until all that is queued has been handed to the socket, or the stream is closed."""
+        """Waits until all queued bytes have been handed to the socket, or the stream is closed."""
         while self.send_buffer and self.close_reason is None:
 
             def arm(task: LoopTask) -> Callable[[], None]:
@@ -226,11 +237,12 @@
             yield arm
 
     def shutdown_write(self) -> None:
-        """No more is written; what was written arrives, and the peer's bytes can still be read."""
+        """Shuts down the sending side: bytes already written are delivered, and reading still works."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, reason: str = "closed") -> None:
+        """Closes the socket, wakes waiting tasks, runs the close callbacks; later calls have no effect."""
         if self.close_reason is not None:
             return
         self.close_reason = reason
@@ -241,21 +253,19 @@
             if task is not None:
                 self.loop.wake(task)
         self.reader = self.flusher = None
-        calls, self.close_callbacks = (
-            self.close_callbacks,
-            [],
-        )  # they hold what holds the stream: a cycle for each peer
-        for call in calls:
-            call(reason)
+        # Released because callbacks refer to objects that refer to the stream: one reference cycle per peer.
+        callbacks, self.close_callbacks = self.close_callbacks, []
+        for callback in callbacks:
+            callback(reason)
 
 
 def connect(
     loop: Loop, address: tuple[str, int], timeout_ms: float, max_unsent_bytes: int = 1 << 20
 ) -> Coroutine:
-    """A Stream to the address; raises ConnectFailed when it can't be made in time."""
+    """Connects to the address and returns a Stream; raises ConnectError on failure or timeout."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as error:  # out of descriptors: ours, not the peer's
+    except OSError as error:  # out of file descriptors: a local fault, not the peer's
         raise ConnectError(address, error.errno or errno.EMFILE) from None
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -265,9 +275,9 @@
         raise ConnectError(address, code)
 
     def arm(task: LoopTask) -> Callable[[], None]:
-        timer = loop.call_in(timeout_ms, lambda: told(-1))
+        timer = loop.call_in(timeout_ms, lambda: on_result(-1))
 
-        def told(mask: int) -> None:
+        def on_result(mask: int) -> None:
             disarm()
             loop.wake(task, mask)
 
@@ -275,7 +285,7 @@
             timer.cancel()
             loop.poller.forget(sock.fileno())
 
-        loop.poller.watch(sock.fileno(), WRITE, told)
+        loop.poller.watch(sock.fileno(), WRITE, on_result)
         return disarm
 
     try:
@@ -291,10 +301,12 @@
 
 
 class Listener:
-    """Accepts connections, never more than `max_connections` at once.
+    """Accepts connections, at most `max_connections` at the same time.
 
-    When descriptors run out it gives up its spare one to take and drop the newcomer: otherwise the queue
-    stays full and a level-triggered loop spins."""
+    Beyond that a new connection is kept only if `ensure_capacity`, which may close another connection,
+    returns True. When file descriptors run out, the listener closes its spare one to accept and drop the next
+    connection: otherwise the accept queue stays full and a level-triggered loop spins.
+    """
 
     def __init__(
         self,
@@ -303,7 +315,7 @@
         on_accept: Callable[[Stream], None],
         max_connections: int = 10_000,
         max_unsent_bytes: int = 1 << 20,
-        on_drop: Callable[[str], None] = lambda why: None,
+        on_drop: Callable[[str], None] = lambda reason: None,
         ensure_capacity: Callable[[], bool] = lambda: False,
         backlog: int = 1_024,
     ) -> None:
@@ -314,9 +326,7 @@
             max_unsent_bytes,
             on_drop,
         )
-        self.ensure_capacity = (
-            ensure_capacity  # asked from `max_connections` on: may a newcomer come in? Closes another for it
-        )
+        self.ensure_capacity = ensure_capacity
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -329,14 +339,14 @@
         self.address: tuple[str, int] = self.sock.getsockname()
         self.open_streams: set[Stream] = set()
         self.spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
-        loop.poller.watch(self.sock.fileno(), READ, self._told, is_deferred=True)
+        loop.poller.watch(self.sock.fileno(), READ, self._on_readable, is_deferred=True)
 
-    def _told(self, _: int) -> None:
+    def _on_readable(self, _: int) -> None:
         self.accept_pending()
 
-    def accept_pending(self, most: int = 64) -> int:
-        """Accepts what waits, a bounded share of one round; gives how many were there."""
-        for count in range(most):
+    def accept_pending(self, limit: int = 64) -> int:
+        """Accepts waiting connections, at most `limit` in one loop iteration; returns how many there were."""
+        for count in range(limit):
             try:
                 sock, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -346,14 +356,14 @@
             except OSError as error:
                 if error.errno not in (errno.EMFILE, errno.ENFILE):
                     raise
-                if not self._shed():
-                    self._pause()
+                if not self._drop_pending():
+                    self._pause_accepting()
                     return count
                 continue
-            self._accepted(sock)
-        return most
+            self._handle_accepted(sock)
+        return limit
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _handle_accepted(self, sock: socket.socket) -> None:
         if len(self.open_streams) >= self.max_connections and not self.ensure_capacity():
             sock.close()
             self.on_drop(f"{self.max_connections} connections are open")
@@ -364,7 +374,8 @@
         stream.close_callbacks.append(lambda _: self.open_streams.discard(stream))
         self.on_accept(stream)
 
-    def _shed(self) -> bool:
+    def _drop_pending(self) -> bool:
+        """Accepts and drops one connection with the spare descriptor; False if no new spare can be opened."""
         self.on_drop("out of file descriptors")
         if self.spare_fd is not None:
             os.close(self.spare_fd)
@@ -375,17 +386,21 @@
             self.spare_fd = os.open(os.devnull, os.O_RDONLY)
         return self.spare_fd is not None
 
-    def _pause(self) -> None:
-        """Nothing can be taken or shed: the queue stays full, and would wake the loop without end."""
+    def _pause_accepting(self) -> None:
+        """Ignores the accept queue for ACCEPT_RETRY_MS.
+
+        No connection can be accepted or dropped, so the full queue would wake the loop again and again.
+        """
         fd = self.sock.fileno()
         self.loop.poller.change(fd, 0)
-        self.loop.call_in(ACCEPT_RETRY_MS, lambda: self._resume(fd))
+        self.loop.call_in(ACCEPT_RETRY_MS, lambda: self._resume_accepting(fd))
 
-    def _resume(self, fd: int) -> None:
+    def _resume_accepting(self, fd: int) -> None:
         if self.sock.fileno() == fd:
             self.loop.poller.change(fd, READ)
 
     def close(self) -> None:
+        """Stops listening; accepted streams stay open."""
         if self.sock.fileno() >= 0:
             self.loop.poller.forget(self.sock.fileno())
             self.sock.close()
--- a/tests/event_loop/test_event_loop.py
+++ b/tests/event_loop/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The kernel: timers against the plain ones, tasks, streams that bound what a peer can pile up."""
+"""The event loop: the timer wheel against the heap, tasks, and streams with bounded buffers."""
 
 import contextlib
 import socket
@@ -23,7 +23,7 @@
 
 # ---- timers ----
 
-OPS = st.lists(
+OPERATIONS = st.lists(
     st.one_of(
         st.tuples(st.just("add"), st.floats(0.0, 5_000.0) | st.floats(0.0, 1e8) | st.floats(1e9, 1e13)),
         st.tuples(st.just("cancel"), st.integers(0, 30)),
@@ -34,38 +34,37 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(OPS, st.floats(0.0, 1e7))
-def test_the_wheel_fires_what_the_heap_fires(ops, start):
-    """Each once, never early, at most a tick late, whatever is cancelled in between."""
+@given(OPERATIONS, st.floats(0.0, 1e7))
+def test_timer_wheel_fires_the_same_timers_as_the_heap(operations, start):
+    """Each timer fires once, never early and at most one tick late, also with cancellations in between."""
     heap, wheel, now = TimerHeap(), TimerWheel(start), start
-    both, fired = [], {0: set(), 1: set()}
-    for op, value in ops:
-        if op == "add":
-            number = len(both)
-            both.append([each.add(now + value, lambda: None) for each in (heap, wheel)])
-            both[-1].append(number)
-        elif op == "cancel" and both:
-            for timer in both[value % len(both)][:2]:
+    added, fired = [], {0: set(), 1: set()}
+    for operation, value in operations:
+        if operation == "add":
+            number = len(added)
+            added.append([container.add(now + value, lambda: None) for container in (heap, wheel)])
+            added[-1].append(number)
+        elif operation == "cancel" and added:
+            for timer in added[value % len(added)][:2]:
                 timer.cancel()
-        elif op == "to":
+        elif operation == "to":
             now += value
-            for which, timers in enumerate((heap, wheel)):
+            for index, timers in enumerate((heap, wheel)):
                 for timer in timers.pop_due(now):
-                    number = next(n for *pair, n in both if timer is pair[which])
-                    assert number not in fired[which] and timer.due_ms <= now
-                    fired[which].add(number)
+                    number = next(n for *pair, n in added if timer is pair[index])
+                    assert number not in fired[index] and timer.due_ms <= now
+                    fired[index].add(number)
             late = {
                 n
                 for n in fired[0] - fired[1]
-                if both[n][0].due_ms <= now - 1.0 and both[n][1].callback is not None
+                if added[n][0].due_ms <= now - 1.0 and added[n][1].callback is not None
             }
             assert not late and fired[1] <= fired[0]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=20))
-def test_the_wheel_tells_when_to_look_again(delays):
-    """Looking only when it says so misses nothing, and fires everything."""
+def test_polling_timer_wheel_at_next_due_fires_every_timer(delays):
     wheel, now, fired = TimerWheel(), 0.0, 0
     for delay in delays:
         wheel.add(delay, lambda: None)
@@ -79,14 +78,14 @@
 # ---- tasks ----
 
 
-def test_a_cancelled_task_cleans_up_and_takes_its_children_along():
-    loop, seen = Loop(), []
+def test_cancelled_task_runs_cleanup_and_cancels_its_children():
+    loop, cleaned_up = Loop(), []
 
     def child():
         try:
             yield from loop.sleep(10_000.0)
         except CancelledError:
-            seen.append("child")
+            cleaned_up.append("child")
             raise
 
     def parent():
@@ -94,16 +93,16 @@
         try:
             yield from loop.sleep(10_000.0)
         finally:
-            seen.append("parent")
+            cleaned_up.append("parent")
 
     task = loop.spawn(parent(), "parent")
     loop.call_in(5.0, lambda: loop.cancel(task))
     loop.run_until(task)
-    loop.run_until(loop.spawn(loop.sleep(1.0), "a round"))
-    assert seen == ["parent", "child"]
+    loop.run_until(loop.spawn(loop.sleep(1.0), "another iteration"))
+    assert cleaned_up == ["parent", "child"]
 
 
-def test_a_cancel_that_comes_just_after_the_wake_leaves_no_wait_behind():
+def test_cancel_right_after_wake_leaves_no_wait_behind():
     loop = Loop()
 
     def twice():
@@ -115,116 +114,117 @@
     loop.wake(task)
     loop.cancel(task)
     loop.run_until(task)
-    loop.run_until(loop.spawn(loop.sleep(80.0), "later"))  # the second wait's timer must not wake a dead task
+    # The timer of the second wait must not wake the finished task.
+    loop.run_until(loop.spawn(loop.sleep(80.0), "later"))
     assert task.done and not loop.ready
 
 
-def test_join_gives_the_result_or_the_error():
+def test_join_returns_the_result_or_raises_the_error():
     loop = Loop()
 
-    def works():
+    def succeed():
         yield from loop.sleep(1.0)
         return 5
 
-    def fails():
+    def fail():
         yield from loop.sleep(1.0)
         raise KeyError("x")
 
-    def joins(gen):
+    def join(gen):
         result = yield from loop.join(loop.spawn(gen, "other"))
         return result
 
-    assert loop.run_until(loop.spawn(joins(works()), "j")) == 5
+    assert loop.run_until(loop.spawn(join(succeed()), "j")) == 5
     with pytest.raises(KeyError):
-        loop.run_until(loop.spawn(joins(fails()), "j"))
+        loop.run_until(loop.spawn(join(fail()), "j"))
 
 
 # ---- streams ----
 
 
-def pair(loop, limit=1 << 16):
-    ours, theirs = socket.socketpair()
-    theirs.setblocking(False)
-    return Stream(loop, ours, limit), theirs
+def make_stream(loop, max_unsent_bytes=1 << 16):
+    local, peer = socket.socketpair()
+    peer.setblocking(False)
+    return Stream(loop, local, max_unsent_bytes), peer
 
 
-def test_a_peer_that_stops_reading_is_cut_off():
+def test_peer_that_stops_reading_is_disconnected():
     loop = Loop()
-    stream, _theirs = pair(loop)
-    why = []
-    stream.close_callbacks.append(why.append)
+    stream, _peer = make_stream(loop)
+    close_reasons = []
+    stream.close_callbacks.append(close_reasons.append)
     with pytest.raises(StreamOverflowError):
         for _ in range(1_000):
             stream.send(b"x" * 10_000)
-    assert why[0].startswith("slow reader") and stream.written_bytes < stream.queued_bytes
+    assert close_reasons[0].startswith("slow reader") and stream.written_bytes < stream.queued_bytes
     with pytest.raises(StreamClosedError):
         stream.send(b"more")
 
 
-def test_written_counts_what_was_handed_over_and_the_rest_follows():
+def test_written_bytes_counts_bytes_handed_to_the_socket_and_flush_writes_the_rest():
     loop = Loop()
-    stream, theirs = pair(loop, 1 << 22)
+    stream, peer = make_stream(loop, 1 << 22)
     end = stream.send(b"x" * 1_000_000)
     assert 0 < stream.written_bytes < end
-    got = 0
+    received_bytes = 0
     flush = loop.spawn(stream.flush(), "flush")
     while not flush.done:
         loop.run_once(may_wait=False)
         try:
-            got += len(theirs.recv(1 << 20))
+            received_bytes += len(peer.recv(1 << 20))
         except BlockingIOError:
             continue
     assert stream.written_bytes == end
 
 
-def test_read_gives_bytes_the_end_and_the_loss():
+def test_read_returns_data_then_end_of_stream_then_raises_once_closed():
     loop = Loop()
-    stream, theirs = pair(loop)
-    theirs.send(b"abc")
+    stream, peer = make_stream(loop)
+    peer.send(b"abc")
     assert loop.run_until(loop.spawn(stream.read(), "r")) == b"abc"
-    loop.call_in(5.0, theirs.close)
+    loop.call_in(5.0, peer.close)
     assert loop.run_until(loop.spawn(stream.read(), "r")) == b""
     stream.close("done")
     with pytest.raises(StreamClosedError, match="done"):
         loop.run_until(loop.spawn(stream.read(), "r"))
 
 
-def test_connecting_to_nobody_says_so():
+def test_failed_connect_names_the_address():
     loop = Loop()
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        address = taken.getsockname()
+    with socket.socket() as not_listening:
+        not_listening.bind(("127.0.0.1", 0))
+        address = not_listening.getsockname()
         with pytest.raises(StreamClosedError, match="can't connect to 127.0.0.1"):
             loop.run_until(loop.spawn(connect(loop, address, 500.0), "c"))
 
 
-def test_the_listener_sheds_newcomers_when_descriptors_run_out(monkeypatch):
-    """The queue is emptied by the spare one: otherwise a level-triggered loop spins at full speed."""
+def test_listener_drops_new_connections_when_descriptors_run_out(monkeypatch):
+    """Without the spare descriptor the accept queue stays full, and a level-triggered loop spins at full speed."""
     loop, accepted, dropped = Loop(), [], []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append, on_drop=dropped.append)
-    real, tries = listener.sock, []
+    real_socket, accept_calls = listener.sock, []
 
-    class Full:
-        """Refuses as the system does, until the spare descriptor has been given up."""
+    class SocketOutOfDescriptors:
+        """Fails with EMFILE, as the system does, until the spare descriptor has been closed."""
 
         def accept(self):
-            tries.append(listener.spare_fd)
+            accept_calls.append(listener.spare_fd)
             if listener.spare_fd is not None:
                 raise OSError(24, "Too many open files")
-            return real.accept()
+            return real_socket.accept()
 
         def __getattr__(self, name):
-            return getattr(real, name)
+            return getattr(real_socket, name)
 
     clients = [socket.create_connection(listener.address) for _ in range(3)]
-    listener.sock = Full()
+    listener.sock = SocketOutOfDescriptors()
     for _ in range(5):
         loop.run_once(may_wait=False)
     assert not accepted and dropped[0] == "out of file descriptors"
     for client in clients:
         client.settimeout(2.0)
-        assert client.recv(1) == b""  # told at once, not left to hang
-    listener.sock = real
+        assert client.recv(1) == b""  # closed at once rather than left waiting
+    listener.sock = real_socket
     with socket.create_connection(listener.address):
         loop.run_once(may_wait=False)
         loop.run_once(may_wait=False)
@@ -232,7 +232,7 @@
     listener.close()
 
 
-def test_the_listener_keeps_to_its_most():
+def test_listener_keeps_to_its_connection_limit():
     loop, accepted, dropped = Loop(), [], []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append, max_connections=2, on_drop=dropped.append)
     clients = [socket.create_connection(listener.address) for _ in range(3)]
@@ -246,103 +246,103 @@
     listener.close()
 
 
-def test_a_listener_that_can_shed_nobody_rests(monkeypatch):
-    """Without even the spare descriptor the queue stays full: the loop was told of it at once, without end."""
+def test_listener_that_can_drop_no_connection_pauses(monkeypatch):
+    """Guards against a busy loop: with no spare descriptor left the accept queue stays full and wakes each poll."""
     loop, accepted = Loop(), []
     listener = Listener(loop, ("127.0.0.1", 0), accepted.append)
-    real, tries = listener.sock, []
+    real_socket, accept_calls = listener.sock, []
 
-    class Full:
+    class SocketOutOfDescriptors:
         def accept(self):
-            tries.append(loop.now())
+            accept_calls.append(loop.now())
             raise OSError(24, "Too many open files")
 
         def __getattr__(self, name):
-            return getattr(real, name)
+            return getattr(real_socket, name)
 
-    def none_left(*_):
+    def fail_to_open(*_):
         raise OSError(24, "Too many open files")
 
     client = socket.create_connection(listener.address)
-    listener.sock = Full()
+    listener.sock = SocketOutOfDescriptors()
     with monkeypatch.context() as patch:
-        patch.setattr(streams.os, "open", none_left)
+        patch.setattr(streams.os, "open", fail_to_open)
         end = loop.now() + 4.0 * streams.ACCEPT_RETRY_MS
         loop.call_in(4.0 * streams.ACCEPT_RETRY_MS, lambda: None)
         while loop.now() < end:
             loop.run_once()
-    assert 2 <= len(tries) <= 12  # twice at each look: the queue, and the one to shed
-    listener.sock = real
+    assert 2 <= len(accept_calls) <= 12  # two calls per attempt: a regular one and one to drop a connection
+    listener.sock = real_socket
     while not accepted:
         loop.run_once()
     client.close()
     listener.close()
 
 
-def test_an_error_in_one_timer_leaves_the_others():
-    loop, rang = Loop(), []
+def test_error_in_one_timer_callback_does_not_lose_the_others():
+    loop, fired = Loop(), []
     loop.call_in(0.0, lambda: 1 // 0)
     for n in range(3):
-        loop.call_in(0.0, lambda n=n: rang.append(n))
-    loop.call_in(30.0, lambda: rang.append("later"))
-    faults = 0
-    while "later" not in rang:
+        loop.call_in(0.0, lambda n=n: fired.append(n))
+    loop.call_in(30.0, lambda: fired.append("later"))
+    errors = 0
+    while "later" not in fired:
         try:
             loop.run_once()
         except ZeroDivisionError:
-            faults += 1
-    assert (faults, rang) == (1, [0, 1, 2, "later"])
+            errors += 1
+    assert (errors, fired) == (1, [0, 1, 2, "later"])
 
 
-def test_one_that_sends_faster_than_it_is_read_takes_turns():
-    """Its reader never waits: before, one round went on for as long as bytes came."""
-    loop, got = Loop(), []
-    ours, theirs = socket.socketpair()
-    stream = Stream(loop, ours)
-    theirs.setblocking(False)
+def test_reader_of_a_fast_sender_yields_to_other_tasks():
+    """Such a reader never waits for data: without a yield one iteration lasted as long as bytes arrived."""
+    loop, read_sizes = Loop(), []
+    local, peer = socket.socketpair()
+    stream = Stream(loop, local)
+    peer.setblocking(False)
 
     def fill():
         with contextlib.suppress(BlockingIOError):
             while True:
-                theirs.send(b"x" * 65_536)
+                peer.send(b"x" * 65_536)
 
     def read():
         while True:
-            got.append(len((yield from stream.read(4_096))))
-            fill()  # never empty
+            read_sizes.append(len((yield from stream.read(4_096))))
+            fill()  # the socket is never empty
 
     fill()
     loop.spawn(read(), "reader")
-    for rounds in range(1, 6):
+    for iterations in range(1, 6):
         loop.call_in(0.0, lambda: None)
         loop.run_once()
-        assert len(got) <= rounds * streams.READS_PER_TURN
-    assert got
+        assert len(read_sizes) <= iterations * streams.READS_PER_TURN
+    assert read_sizes
     stream.close()
-    theirs.close()
+    peer.close()
 
 
 @pytest.mark.parametrize("early", [True, False])
-def test_a_pause_ends_early_or_in_time_and_once(early):
+def test_pause_ends_exactly_once_early_or_on_time(early):
     loop = Loop()
-    pause, slept = Pause(loop), []
+    pause, results = Pause(loop), []
 
     def sleeper():
-        slept.append((yield from pause.sleep(60_000.0 if early else 1.0)))
-        slept.append((yield from pause.sleep(1.0)))
+        results.append((yield from pause.sleep(60_000.0 if early else 1.0)))
+        results.append((yield from pause.sleep(1.0)))
 
     task = loop.spawn(sleeper(), "sleeper")
-    pause.wake()  # nobody is asleep yet
+    pause.wake()  # no effect: no task is asleep yet
     if early:
         loop.run_once(may_wait=False)
         assert pause.is_sleeping
         pause.wake()
         pause.wake()
     loop.run_until(task)
-    assert slept == [not early, True] and not pause.is_sleeping
+    assert results == [not early, True] and not pause.is_sleeping
 
 
-def test_a_pause_that_is_cancelled_wakes_nobody():
+def test_cancelled_pause_wakes_no_task():
     loop = Loop()
     pause = Pause(loop)
     task = loop.spawn(pause.sleep(60_000.0), "sleeper")
