--- a/glencleat/index/__init__.py
+++ b/glencleat/index/__init__.py
@@ -1,4 +1,5 @@
-"""Indexes: what answers "which of many" without looking at all. No decision, no tuned value, no clock.
+"""Indexes: data structures that find members of a large set without a full scan.
 
-Imports nothing of glencleat. Each has a check mode that recomputes its answers from scratch; tests turn it
-on."""
+They make no decisions, hold no tuned values, read no clock and import nothing from the rest of glencleat.
+Each has a self-check mode that recomputes its answers from scratch; the tests enable it.
+"""
--- a/glencleat/index/dirty_set.py
+++ b/glencleat/index/dirty_set.py
@@ -1,9 +1,9 @@
-"""Whose turn it is in a tick: those on which something has happened and those that are due, in an order.
+"""A dirty set combined with a due queue: iterates in order over the keys that changed or are due.
 
-Imports `index.due` alone; `platform_server/connection_pool.py` keeps its hosts in one. A dirty set
-beside an index by due time.
-What is marked while the turns are taken has its own among them if its place in the order is yet to come, else
-in the next tick: as if all were gone through in that order each time."""
+A key marked during an iteration is visited in the same iteration if its position in the order is still ahead,
+otherwise in the next one: the result is that of a full scan in that order each time.
+`platform_server/host_maintenance.py` keeps its hosts in one. Imports `index.due_queue` alone.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +17,15 @@
 
 
 class DirtySet(Generic[K]):
-    """`sort_key` gives a key's place: no two have the same, and none changes while turns are taken.
+    """Keys that are marked dirty or due, visited in the order of `sort_key`.
 
-    >>> turns = DirtySet[str](sort_key=len)
-    >>> turns.mark_dirty("ccc"); turns.put("a", 5.0); turns.put("bb", 9.0)
-    >>> for key in turns.iterate_ready(5.0):
+    `sort_key` must differ for any two keys and must not change during an iteration.
+
+    >>> pending = DirtySet[str](sort_key=len)
+    >>> pending.mark_dirty("ccc"); pending.put("a", 5.0); pending.put("bb", 9.0)
+    >>> for key in pending.iterate_ready(5.0):
     ...     print(key)
-    ...     if key == "a": turns.mark_dirty("a"); turns.mark_dirty("bb")
+    ...     if key == "a": pending.mark_dirty("a"); pending.mark_dirty("bb")
     a
     bb
     ccc
@@ -33,12 +35,12 @@
         self.sort_key = sort_key
         self.dirty_keys: set[K] = set()
         self.due_queue: DueQueue[K] = DueQueue()
-        self.remaining_heap: list[tuple[Any, K]] = []  # of the turns that are being taken
-        self.current_position: Any = None  # where they have come to
-        self.taken_count = 0  # turns, in all
+        self.remaining_heap: list[tuple[Any, K]] = []  # not visited yet in this iteration
+        self.current_position: Any = None  # sort key of the key being visited; None between iterations
+        self.taken_count = 0  # keys visited in total
 
     def mark_dirty(self, key: K) -> None:
-        """Something has happened on it."""
+        """Makes the key ready now."""
         if key in self.dirty_keys:
             return
         self.dirty_keys.add(key)
@@ -46,19 +48,22 @@
             heapq.heappush(self.remaining_heap, (self.sort_key(key), key))
 
     def put(self, key: K, due: float) -> None:
-        """It has its turn then, unless something happens on it before. `inf`: not by itself."""
+        """Makes the key ready at `due`, replacing its previous due time; `inf` removes the due time."""
         if due < float("inf"):
             self.due_queue.put(key, due)
         else:
             self.due_queue.discard(key)
 
     def collect_ready(self, now: float) -> set[K]:
-        """All that have a turn now."""
+        """Returns all keys that are ready at `now`."""
         self.dirty_keys.update(self.due_queue.pop_due(now))
         return self.dirty_keys
 
     def iterate_ready(self, now: float) -> Iterator[K]:
-        """Each that has a turn now; of what happens on one within its own turn its taker knows."""
+        """Visits each key that is ready at `now`.
+
+        A key marked during its own visit is not visited again: the visiting code knows of that change.
+        """
         self.remaining_heap = [(self.sort_key(key), key) for key in self.collect_ready(now)]
         heapq.heapify(self.remaining_heap)
         try:
@@ -68,6 +73,5 @@
                 yield key
                 self.dirty_keys.discard(key)
         finally:
-            self.current_position = (
-                None  # also where a turn raised: it and those after it come again in the next tick
-            )
+            # Also after an exception: the key that failed and those after it are visited next time.
+            self.current_position = None
--- a/glencleat/index/due_queue.py
+++ b/glencleat/index/due_queue.py
@@ -1,10 +1,10 @@
-"""Which of many are due: a priority queue by due time with lazy deletion.
+"""A priority queue of keys by due time with lazy deletion.
 
-Imports nothing of glencleat; `platform_server/connection_pool.py` keeps its hosts in one. Times
-are the caller's, of any unit, and
-nothing here reads a clock. A time that is put off leaves its old entry in the heap until that comes up, or
-until the heap holds more of such entries than of others: then it is built anew. So each verb costs
-O(log n) amortized, and what is not due costs nothing. `docs/design-scale.md` sets it against others."""
+Times come from the caller, in any unit; nothing here reads a clock. Changing a due time leaves a stale entry
+in the heap until it reaches the top, or until stale entries outnumber the others and the heap is rebuilt.
+Each operation therefore costs O(log n) amortized, and keys that are not due cost nothing.
+`docs/design-scale.md` compares it with alternatives. Imports nothing from glencleat.
+"""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from typing import ClassVar, Generic, TypeVar
 
 K = TypeVar("K", bound=Hashable)
-MIN_STALE_ENTRIES = 64  # stale entries that are let be
+MIN_STALE_ENTRIES = 64  # never rebuilt for fewer stale entries than this
 
 
 class DueQueue(Generic[K]):
-    """
+    """The due times of keys; each key has at most one.
+
     >>> index = DueQueue[str]()
     >>> index.put("a", 5.0); index.put("b", 3.0); index.put("a", 9.0)
     >>> index.pop_due(5.0), index.pop_due(5.0), len(index), index.next_due()
     (['b'], [], 1, 9.0)
     """
 
-    is_self_checking: ClassVar[bool] = False  # every answer is also worked out from scratch, which costs O(n)
+    is_self_checking: ClassVar[bool] = False  # also recomputes every answer from scratch, in O(n)
 
     def __init__(self) -> None:
         self.due_by_key: dict[K, float] = {}
         self.heap: list[tuple[float, int, K]] = []
-        self.sequence_numbers = count()  # equal times come out in the order in which they were put
+        self.sequence_numbers = count()  # keys with equal times come out in insertion order
 
     def __len__(self) -> int:
         return len(self.due_by_key)
 
     def put(self, key: K, due: float) -> None:
-        """`key` is due then, and no longer at the time that it had before."""
+        """Sets the due time of `key`, replacing an earlier one."""
         if self.due_by_key.get(key) == due:
             return
         self.due_by_key[key] = due
@@ -45,6 +46,7 @@
             self._rebuild()
 
     def discard(self, key: K) -> None:
+        """Removes `key` if it is present."""
         if (
             self.due_by_key.pop(key, None) is not None
             and len(self.heap) > 2 * len(self.due_by_key) + MIN_STALE_ENTRIES
@@ -56,25 +58,25 @@
         heapify(self.heap)
 
     def next_due(self) -> float | None:
-        """The least time of all; None where there is none."""
+        """The earliest due time; None if the queue is empty."""
         while self.heap and self.due_by_key.get(self.heap[0][2]) != self.heap[0][0]:
             heappop(self.heap)
-        found = self.heap[0][0] if self.heap else None
+        earliest = self.heap[0][0] if self.heap else None
         if self.is_self_checking:
-            assert found == min(self.due_by_key.values(), default=None)
-        return found
+            assert earliest == min(self.due_by_key.values(), default=None)
+        return earliest
 
     def pop_due(self, now: float) -> list[K]:
-        """Takes out all that are due at `now`, the earliest first."""
+        """Removes and returns the keys that are due at `now`, in order of due time."""
         expected = (
             {key for key, due in self.due_by_key.items() if due <= now} if self.is_self_checking else set[K]()
         )
-        found = []
+        due_keys = []
         while self.heap and self.heap[0][0] <= now:
             due, _, key = heappop(self.heap)
             if self.due_by_key.get(key) == due:
                 del self.due_by_key[key]
-                found.append(key)
+                due_keys.append(key)
         if self.is_self_checking:
-            assert set(found) == expected and len(found) == len(expected)
-        return found
+            assert set(due_keys) == expected and len(due_keys) == len(expected)
+        return due_keys
--- a/glencleat/index/rendezvous.py
+++ b/glencleat/index/rendezvous.py
@@ -1,11 +1,12 @@
-"""Rendezvous-hash orders of a changing set of members, one for each key, kept by what changed.
+"""Rendezvous-hash orders of a changing set of members, one for each key, updated incrementally.
 
 An order (highest random weight: Thaler and Ravishankar, 1998) is the members sorted by a hash of key and
-member: any two processes that know the same members agree on it. Members have numbers, and an order is an
-array of these, 2 bytes each, so that each of a thousand keys may have one. A member that comes or goes is
-inserted or removed by bisection in the orders that are looked at; one not looked at for long is filtered, or
-sorted anew where that takes less. An order gives what a sort of all members gives: no choice is made here.
-Imports nothing of the project; the decision module calls it."""
+member: any two processes that know the same members agree on it. Members are numbered, and an order is an
+array of member numbers, 2 bytes each, so that a thousand keys can have one each. An order is updated when it
+is requested: members that were added or removed since are inserted or deleted by bisection. After many
+changes it is filtered, or sorted from scratch where that costs less. An order always equals a sort of all
+members; no decision is made here. Imports nothing from the project; the policy calls it.
+"""
 
 from __future__ import annotations
 
@@ -17,59 +18,57 @@
 from itertools import compress, islice
 from typing import ClassVar, Generic, Protocol, TypeVar, overload
 
-MAX_CHANGES = 512  # changes remembered
-# Measured by benchmarks/order_index.py:
-SCANS_PER_INSERT, SORTS_PER_INSERT = (
-    64,
-    10,
-)  # members asked whether they stay, members sorted, in the time of one put in or out
-MAX_SHORT_SLOTS = 1 << 16  # slots that 2 bytes can tell
-MAX_STALE_SLOTS = 64  # slots of members that went, beyond as many as there are, before all are numbered anew
+MAX_CHANGES = 512  # length of the change log
+# Members filtered, and members sorted, in the time of one insertion or deletion (benchmarks/order_index.py).
+SCANS_PER_INSERT, SORTS_PER_INSERT = 64, 10
+MAX_SHORT_SLOTS = 1 << 16  # slots that a 2-byte number can address
+# Slots of removed members allowed beyond the number of present members before all members are renumbered.
+MAX_STALE_SLOTS = 64
 
 
 class RendezvousMember(Protocol):
-    """What is ordered: told apart by identity, its name unique in the set."""
+    """A member of the set, compared by identity; its name is unique in the set."""
 
     name: str
-    hash: int  # of its name, 64 bits
+    hash: int  # 64-bit hash of the name
 
 
 T = TypeVar("T", bound=RendezvousMember)
 
 
 def hash_text(text: str) -> int:
-    """A hash of 64 bits that is the same in every process."""
+    """A 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def mix_bits(value: int) -> int:
-    """Spreads the bits of two hashes joined by exclusive or; cheaper than hashing each pair of names."""
+    """Mixes the bits of two XORed hashes; cheaper than hashing each pair of names."""
     value = (value ^ value >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     return (value ^ value >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
 
 
 class Slots(Generic[T]):
-    """Members by number, and their hashes. A name that is away keeps its number, as its place is the same."""
+    """Members by number, with their hashes; a removed name keeps its number, as its position is the same."""
 
     def __init__(self) -> None:
-        self.numbers_by_name: dict[str, int] = {}  # by name
+        self.numbers_by_name: dict[str, int] = {}
         self.items: list[T] = []
         self.hashes = array("Q")
         self.presence = bytearray()
 
     def assign_number(self, item: T) -> int:
-        """Its number, a new one where its name has none."""
-        found = self.numbers_by_name.setdefault(item.name, len(self.items))
-        if found == len(self.items):
+        """Returns the member's number, a new one if its name has none yet."""
+        number = self.numbers_by_name.setdefault(item.name, len(self.items))
+        if number == len(self.items):
             self.items.append(item)
             self.hashes.append(item.hash)
             self.presence.append(False)
-        self.items[found] = item
-        return found
+        self.items[number] = item
+        return number
 
 
 class RendezvousOrder(Generic[T]):
-    """The members in one key's order, as of the version at which it was last asked for."""
+    """The members in one key's order, as of the index version at which it was last requested."""
 
     __slots__ = ("numbers", "seed", "slots", "version")
 
@@ -93,44 +92,49 @@
         return self.slots.items[self.numbers[at]]
 
     def number_sort_key(self, number: int) -> tuple[int, str]:
+        """The sort key of the member with this number."""
         return mix_bits(self.seed ^ self.slots.hashes[number]), self.slots.items[number].name
 
     def item_sort_key(self, item: T) -> tuple[int, str]:
+        """The sort key of a member, which need not be numbered."""
         return mix_bits(self.seed ^ item.hash), item.name
 
     def insert(self, number: int) -> None:
-        """To its place, by O(log members) hashes; nothing else is touched but what lies behind it."""
+        """Inserts a member at its position, which takes O(log members) hashes."""
         self.numbers.insert(
             bisect_left(self.numbers, self.number_sort_key(number), key=self.number_sort_key), number
         )
 
-    def remove(self, gone: Collection[int]) -> None:
-        for number in gone:
+    def remove(self, removed: Collection[int]) -> None:
+        """Removes members, each with O(log members) hashes."""
+        for number in removed:
             del self.numbers[
                 bisect_left(self.numbers, self.number_sort_key(number), key=self.number_sort_key)
             ]
 
     def drop_absent(self) -> None:
-        """Only those who are there stay."""
-        stay = map(self.slots.presence.__getitem__, self.numbers)
-        self.numbers = array(self.numbers.typecode, compress(self.numbers, stay))
+        """Removes all members that are absent from the set, without hashing."""
+        is_present = map(self.slots.presence.__getitem__, self.numbers)
+        self.numbers = array(self.numbers.typecode, compress(self.numbers, is_present))
 
     def sort(self) -> None:
+        """Rebuilds the order from the members that are present."""
         numbers = list(compress(range(len(self.slots.presence)), self.slots.presence))
         seed, hashes = self.seed, self.slots.hashes
         by_weight = {mix_bits(seed ^ hashes[number]): number for number in numbers}
         if len(by_weight) == len(numbers):
             numbers = [by_weight[weight] for weight in sorted(by_weight)]
-        else:  # two names of one hash
+        else:  # hash collision: names decide
             numbers.sort(key=self.number_sort_key)
         self.numbers = array(self.numbers.typecode, numbers)
 
     def without(self, skipped: Iterable[T]) -> OrderWithout[T]:
+        """A view of this order that leaves out some members, each given once."""
         return OrderWithout(self, skipped)
 
 
 class OrderWithout(Generic[T]):
-    """An order with some of its members (each named once) left out, by position: nothing is copied."""
+    """A view of an order that leaves out some members, each given once; nothing is copied."""
 
     __slots__ = ("skipped_keys", "order", "skipped")
 
@@ -138,27 +142,29 @@
         self.order, self.skipped, self.skipped_keys = order, skipped, list[tuple[int, str]]()
 
     def __getitem__(self, at: int) -> T:
-        """The least x with x = at + (those left out up to x), by steps from below."""
-        order, place = self.order, at
+        """The member at the least position p with p = at + (skipped members up to p), iterated from below."""
+        order, position = self.order, at
         if not self.skipped_keys:
             self.skipped_keys = sorted(map(order.item_sort_key, self.skipped))
         if self.skipped_keys:
             while (
-                further := at + bisect_right(self.skipped_keys, order.number_sort_key(order.numbers[place]))
-            ) != place:
-                place = further
-        return order[place]
+                next_position := at
+                + bisect_right(self.skipped_keys, order.number_sort_key(order.numbers[position]))
+            ) != position:
+                position = next_position
+        return order[position]
 
 
 class RendezvousIndex(Generic[T]):
-    """The set, its latest changes, and the orders asked for: the longest unused go when `max_references` is
-    passed."""
+    """The set of members, its recent changes, and a cache of the orders requested.
 
-    is_self_checking: ClassVar[bool] = False  # each answer is compared with a sort of all members (in tests)
+    The least recently used orders are evicted when `max_orders` or `max_references` is exceeded; the latter
+    counts the members in all orders together (2 bytes each, 4 beyond 65,536 names).
+    """
+
+    is_self_checking: ClassVar[bool] = False  # compares each answer with a sort of all members; for tests
 
     def __init__(self, max_references: int, max_orders: int) -> None:
-        """`max_references`: members in all orders together (2 bytes each, 4 beyond 65,536 names);
-        `max_orders`: orders."""
         self.max_references, self.max_orders = max_references, max_orders
         self.items: dict[T, None] = {}
         self.slots = Slots[T]()
@@ -172,26 +178,26 @@
     def __len__(self) -> int:
         return len(self.items)
 
-    def set_present(self, item: T, there: bool) -> None:
-        """Takes it in or out; O(1), also where that is how it stands already."""
-        if there is (item in self.items):
+    def set_present(self, item: T, present: bool) -> None:
+        """Adds or removes a member in O(1); no effect if nothing changes."""
+        if present is (item in self.items):
             return
-        if there:
+        if present:
             self.items[item] = None
         else:
             del self.items[item]
-        if there and item.name not in self.slots.numbers_by_name:
-            self._number_anew_if_due()
+        if present and item.name not in self.slots.numbers_by_name:
+            self._renumber_if_needed()
         number = self.slots.assign_number(item)
-        if self.slots.presence[number] != there:
-            self.slots.presence[number] = there
-            self.changes.append((number, there))
+        if self.slots.presence[number] != present:
+            self.slots.presence[number] = present
+            self.changes.append((number, present))
             self.version += 1
 
-    def _number_anew_if_due(self) -> None:
-        """Numbers of names that went for good are many, or the next takes more bytes: orders begin anew."""
-        slots = len(self.slots.items)
-        if slots <= 2 * len(self.items) + MAX_STALE_SLOTS and slots != MAX_SHORT_SLOTS:
+    def _renumber_if_needed(self) -> None:
+        """Renumbers all members and drops all orders, if many slots are stale or 2-byte numbers run out."""
+        slot_count = len(self.slots.items)
+        if slot_count <= 2 * len(self.items) + MAX_STALE_SLOTS and slot_count != MAX_SHORT_SLOTS:
             return
         self.slots, self.orders_by_key, self.reference_count = Slots[T](), {}, 0
         self.changes.clear()
@@ -199,13 +205,13 @@
             self.slots.presence[self.slots.assign_number(item)] = True
 
     def get_order(self, key: str) -> RendezvousOrder[T]:
-        """The members in this key's order, up to date until the next `set_present`; not to be changed."""
+        """The members in this key's order, valid until the next `set_present`; callers must not modify it."""
         order = self.orders_by_key.pop(key, None) or RendezvousOrder[T](hash_text(key), self.slots)
-        self.orders_by_key[key] = order  # the last one used stands last
+        self.orders_by_key[key] = order  # moved to the end: the most recently used order
         if order.version != self.version:
-            before = len(order)
+            previous_length = len(order)
             self._catch_up(order)
-            self.reference_count += len(order) - before
+            self.reference_count += len(order) - previous_length
             while len(self.orders_by_key) > 1 and (
                 self.reference_count > self.max_references or len(self.orders_by_key) > self.max_orders
             ):
@@ -215,44 +221,45 @@
         return order
 
     def _catch_up(self, order: RendezvousOrder[T]) -> None:
-        behind, came = self.version - order.version, set[int]()
+        missed, added = self.version - order.version, set[int]()
         if (
             order.version >= 0
-            and behind <= len(self.changes)
-            and behind * SCANS_PER_INSERT <= len(self.items)
+            and missed <= len(self.changes)
+            and missed * SCANS_PER_INSERT <= len(self.items)
         ):
-            net = dict[int, bool]()
-            for number, there in islice(self.changes, len(self.changes) - behind, None):
-                if net.pop(number, None) is None:  # else it went and is back, or came and went
-                    net[number] = there
-            came.update(number for number, there in net.items() if there)
-            order.remove(net.keys() - came)
+            net_changes = dict[int, bool]()
+            for number, present in islice(self.changes, len(self.changes) - missed, None):
+                if net_changes.pop(number, None) is None:  # otherwise it cancels the previous change
+                    net_changes[number] = present
+            added.update(number for number, present in net_changes.items() if present)
+            order.remove(net_changes.keys() - added)
         else:
             order.drop_absent()
             if len(order) < len(self.items):
-                came.update(compress(range(len(self.slots.presence)), self.slots.presence))
-                came.difference_update(order.numbers)
-        if len(came) * SORTS_PER_INSERT > len(self.items):
+                added.update(compress(range(len(self.slots.presence)), self.slots.presence))
+                added.difference_update(order.numbers)
+        if len(added) * SORTS_PER_INSERT > len(self.items):
             order.sort()
         else:
-            for number in came:  # in whatever order: each goes to its place
+            for number in added:  # the sequence does not matter: each has its own position
                 order.insert(number)
         order.version = self.version
 
     def verify_order(self, order: RendezvousOrder[T]) -> None:
-        """Compares an order, and the count of references, with what a sort of all members gives."""
-        plain = sorted(self.items, key=order.item_sort_key)
-        if list(map(id, plain)) != list(map(id, order)):
-            raise AssertionError(f"order {order.seed:x} is not that of its {len(plain)} members")
+        """Raises AssertionError unless the order equals a sort of all members and the count is right."""
+        expected = sorted(self.items, key=order.item_sort_key)
+        if list(map(id, expected)) != list(map(id, order)):
+            raise AssertionError(f"order {order.seed:x} differs from a sort of its {len(expected)} members")
         if self.reference_count != sum(map(len, self.orders_by_key.values())):
-            raise AssertionError(f"{self.reference_count} references counted")
+            raise AssertionError(f"reference count {self.reference_count} is not the sum over all orders")
 
 
 class ColumnSums:
-    """Rows of numbers by arrival, summed from the first on: to the bit what a loop over all rows gives.
+    """Rows of numbers in order of arrival; column sums are bit-identical to a loop over all rows.
 
-    Sums of floats depend on the order of additions, so that no running sum or tree gives the same. The
-    columns lie side by side instead, and a sum reads them at memory's speed."""
+    Floating-point sums depend on the order of additions, so a running sum or a tree would give other results.
+    Each column is a contiguous array instead, which is summed at memory speed.
+    """
 
     def __init__(self, width: int) -> None:
         self.keys, self.columns = array("Q"), tuple(array("d") for _ in range(width))
@@ -261,16 +268,17 @@
         return len(self.keys)
 
     def put_row(self, key: int, row: tuple[float, ...] | None) -> None:
-        """Sets the row that arrived as number `key`, or takes it out; nothing where there is none."""
-        at = bisect_left(self.keys, key)
-        if at < len(self.keys) and self.keys[at] == key:
-            del self.keys[at]
+        """Sets the row with arrival number `key`; None removes it, if it is there."""
+        position = bisect_left(self.keys, key)
+        if position < len(self.keys) and self.keys[position] == key:
+            del self.keys[position]
             for column in self.columns:
-                del column[at]
+                del column[position]
         if row is not None:
-            self.keys.insert(at, key)
+            self.keys.insert(position, key)
             for column, value in zip(self.columns, row, strict=True):
-                column.insert(at, value)
+                column.insert(position, value)
 
     def sum_columns(self) -> tuple[float, ...]:
+        """The sum of each column, in order of arrival."""
         return tuple(map(sum, self.columns))
--- a/tests/index/test_due_queue.py
+++ b/tests/index/test_due_queue.py
@@ -1,4 +1,4 @@
-"""Indexes against the plain way, over drawn histories; each also checks itself (conftest turns that on)."""
+"""Indexes against naive models over generated histories; conftest also enables their self-checks."""
 
 import pytest
 from hypothesis import given
@@ -9,7 +9,7 @@
 
 NAMES = st.integers(0, 12)
 TIMES = st.integers(0, 40).map(float)
-VERBS = st.one_of(
+OPERATIONS = st.one_of(
     st.tuples(st.just("put"), NAMES, TIMES),
     st.tuples(st.just("discard"), NAMES, st.none()),
     st.tuples(st.just("mark"), NAMES, st.none()),
@@ -17,26 +17,26 @@
 )
 
 
-@given(st.lists(VERBS, max_size=150))
-def test_what_is_due_comes_out_once_the_earliest_first(verbs):
-    index, plain, now = DueQueue(), {}, 0.0
-    for verb, key, value in verbs:
-        if verb == "put":
+@given(st.lists(OPERATIONS, max_size=150))
+def test_due_keys_come_out_once_in_order_of_due_time(operations):
+    index, model, now = DueQueue(), {}, 0.0
+    for operation, key, value in operations:
+        if operation == "put":
             index.put(key, value)
-            plain[key] = value
-        elif verb == "discard":
+            model[key] = value
+        elif operation == "discard":
             index.discard(key)
-            plain.pop(key, None)
-        elif verb == "take":
+            model.pop(key, None)
+        elif operation == "take":
             now = max(now, value)
-            found = index.pop_due(now)
-            assert [plain[key] for key in found] == sorted(due for due in plain.values() if due <= now)
-            for key in found:
-                del plain[key]
-        assert len(index) == len(plain) and index.next_due() == min(plain.values(), default=None)
+            due_keys = index.pop_due(now)
+            assert [model[key] for key in due_keys] == sorted(due for due in model.values() if due <= now)
+            for key in due_keys:
+                del model[key]
+        assert len(index) == len(model) and index.next_due() == min(model.values(), default=None)
 
 
-def test_times_put_off_again_and_again_take_no_room():
+def test_postponing_due_times_repeatedly_does_not_grow_the_heap():
     index = DueQueue()
     for i in range(20_000):
         index.put(i % 10, float(i))
@@ -46,7 +46,7 @@
     assert len(index.heap) <= MIN_STALE_ENTRIES and index.next_due() is None
 
 
-def test_a_check_finds_an_entry_that_was_lost():
+def test_self_check_detects_a_lost_entry():
     index = DueQueue()
     index.put("a", 1.0)
     index.heap.clear()
@@ -54,45 +54,45 @@
         index.pop_due(2.0)
 
 
-@given(st.lists(VERBS, max_size=80), st.dictionaries(NAMES, st.lists(NAMES, max_size=3), max_size=8))
-def test_turns_are_those_of_one_who_goes_through_all(verbs, marks):
-    """`marks`: on whom something happens as one has its turn, the first time in a tick."""
-    turns, dirty, due, now = DirtySet(sort_key=lambda key: -key), set(), {}, 0.0
-    for verb, key, value in verbs:
-        if verb == "put":
-            turns.put(key, value)
+@given(st.lists(OPERATIONS, max_size=80), st.dictionaries(NAMES, st.lists(NAMES, max_size=3), max_size=8))
+def test_dirty_set_visits_the_same_keys_as_a_full_scan(operations, marks):
+    """`marks`: the keys that are marked dirty while a key is visited."""
+    dirty_set, dirty, due, now = DirtySet(sort_key=lambda key: -key), set(), {}, 0.0
+    for operation, key, value in operations:
+        if operation == "put":
+            dirty_set.put(key, value)
             due[key] = value
-        elif verb == "discard":
-            turns.put(key, float("inf"))
+        elif operation == "discard":
+            dirty_set.put(key, float("inf"))
             due.pop(key, None)
-        elif verb == "mark":
-            turns.mark_dirty(key)
+        elif operation == "mark":
+            dirty_set.mark_dirty(key)
             dirty.add(key)
-        elif verb == "take":
-            now, expected, found = max(now, value), [], []
-            for one in range(12, -1, -1):
-                if one in dirty or due.get(one, now + 1.0) <= now:
-                    expected.append(one)
-                    due = {other: at for other, at in due.items() if other != one or at > now}
-                    dirty |= set(marks.get(one, ()))
-                    dirty.discard(one)
-            for one in turns.iterate_ready(now):
-                found.append(one)
-                for other in marks.get(one, ()):
-                    turns.mark_dirty(other)
-            assert found == expected
+        elif operation == "take":
+            now, expected, visited = max(now, value), [], []
+            for current in range(12, -1, -1):
+                if current in dirty or due.get(current, now + 1.0) <= now:
+                    expected.append(current)
+                    due = {other: at for other, at in due.items() if other != current or at > now}
+                    dirty |= set(marks.get(current, ()))
+                    dirty.discard(current)
+            for current in dirty_set.iterate_ready(now):
+                visited.append(current)
+                for other in marks.get(current, ()):
+                    dirty_set.mark_dirty(other)
+            assert visited == expected
 
 
-def test_a_turn_that_raises_comes_again_with_those_after_it():
-    turns = DirtySet(sort_key=lambda key: key)
+def test_key_whose_visit_raises_is_visited_again_with_those_after_it():
+    dirty_set = DirtySet(sort_key=lambda key: key)
     for key in (1, 2, 3):
-        turns.mark_dirty(key)
+        dirty_set.mark_dirty(key)
 
-    def goes_wrong():
-        for key in turns.iterate_ready(0.0):
+    def fail_at_second_key():
+        for key in dirty_set.iterate_ready(0.0):
             if key == 2:
                 raise ValueError(key)
 
     with pytest.raises(ValueError):
-        goes_wrong()
-    assert list(turns.iterate_ready(0.0)) == [2, 3] and not list(turns.iterate_ready(0.0))
+        fail_at_second_key()
+    assert list(dirty_set.iterate_ready(0.0)) == [2, 3] and not list(dirty_set.iterate_ready(0.0))
