--- a/glencleat/log.py
+++ b/glencleat/log.py
@@ -1,4 +1,4 @@
-"""Structured logging by structlog: one event a line, for people or as JSON. Standard error only."""
+"""Structured logging with structlog to standard error: one event a line, as text or as JSON."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def configure_logging(form: str = "console", level: str = "info", **always: Any) -> Any:
-    """Sets the process's logging up and gives a logger; `form` is "console" or "json"."""
+def configure_logging(form: str = "console", level: str = "info", **context: Any) -> Any:
+    """Configures the process's logging and returns a logger that adds `context` to each event.
+
+    `form` is "console" or "json".
+    """
     renderer: Any = (
         structlog.processors.JSONRenderer()
         if form == "json"
@@ -29,4 +32,4 @@
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=False,
     )
-    return structlog.get_logger(**always)
+    return structlog.get_logger(**context)
--- a/glencleat/mesos/__init__.py
+++ b/glencleat/mesos/__init__.py
@@ -1,4 +1,5 @@
 """The agent protocol: the Apache Mesos v1 HTTP API, without sockets.
 
-`recordio` frames records, `messages` holds the published schemas, `http` wraps h11 for both ends. Nothing
-here reads a clock, opens a socket or imports glencleat beyond this package."""
+`recordio` frames records, `messages` holds the published schemas, `http` wraps h11 for clients and servers.
+Nothing here reads a clock, opens a socket or imports glencleat beyond this package.
+"""
--- a/glencleat/mesos/messages.py
+++ b/glencleat/mesos/messages.py
@@ -1,7 +1,9 @@
-"""Schemas of the v1 API that both ends check against, names as published (mesos/v1/*.proto, JSON mapping).
+"""Message schemas of the v1 API, used by both ends, with the published names (mesos/v1/*.proto as JSON).
 
-Only the fields in use are here; unknown ones are ignored, as protobuf readers do. What the specification has
-no field for travels in labels of TaskInfo or in payloads of MESSAGE and TaskStatus.data: see `Payload`."""
+Only the fields in use are defined; unknown fields are ignored, as in protobuf parsers. Data without a field
+in the specification is sent in the labels of TaskInfo and in the payloads of MESSAGE and TaskStatus.data: see
+`Payload`.
+"""
 
 from __future__ import annotations
 
@@ -12,28 +14,34 @@
 
 
 class MessageError(Exception):
-    """The peer's fault: what was wrong in the message and what was expected."""
+    """An invalid message from the peer; the text says what was wrong and what was expected."""
 
 
 class Struct(msgspec.Struct, omit_defaults=True):
-    """Base of all messages: fields that are not set don't travel."""
+    """The base of all messages: fields with their default value are not encoded."""
 
 
 class Value(Struct):
-    """FrameworkID, AgentID, TaskID, ExecutorID, OfferID: each is an object with one `value`."""
+    """A FrameworkID, AgentID, TaskID, ExecutorID or OfferID: an object with one field, `value`."""
 
     value: str
 
 
 class Scalar(Struct):
+    """A scalar amount, for example of a resource."""
+
     value: float
 
 
 class Text(Struct):
+    """A text, for example of an attribute."""
+
     value: str
 
 
 class Resource(Struct):
+    """A resource of an agent, an offer or a task."""
+
     name: str
     type: str = "SCALAR"
     scalar: Scalar | None = None
@@ -41,6 +49,8 @@
 
 
 class Attribute(Struct):
+    """An attribute of an agent."""
+
     name: str
     type: str = "TEXT"
     text: Text | None = None
@@ -48,32 +58,46 @@
 
 
 class Label(Struct):
+    """A key with an optional value."""
+
     key: str
     value: str | None = None
 
 
 class Labels(Struct):
+    """A list of labels."""
+
     labels: list[Label] = []
 
 
 class NamedPart(Struct):
+    """The name of a region or a zone."""
+
     name: str
 
 
 class FaultDomain(Struct):
+    """The region and zone of an agent."""
+
     region: NamedPart
     zone: NamedPart
 
 
 class DomainInfo(Struct):
+    """The domain of an agent."""
+
     fault_domain: FaultDomain | None = None
 
 
 class Capability(Struct):
+    """A capability of a framework."""
+
     type: str
 
 
 class FrameworkInfo(Struct):
+    """The description of a framework."""
+
     user: str = ""
     name: str = ""
     id: Value | None = None
@@ -86,6 +110,8 @@
 
 
 class AgentInfo(Struct):
+    """The description of an agent."""
+
     hostname: str = ""
     id: Value | None = None
     resources: list[Resource] = []
@@ -94,11 +120,15 @@
 
 
 class ExecutorInfo(Struct):
+    """The description of an executor."""
+
     executor_id: Value
     framework_id: Value | None = None
 
 
 class TaskInfo(Struct):
+    """The description of a task to launch."""
+
     name: str
     task_id: Value
     agent_id: Value | None = None
@@ -108,6 +138,8 @@
 
 
 class TaskStatus(Struct):
+    """A task's state, with its source and reason."""
+
     task_id: Value
     state: str
     source: str | None = None
@@ -125,54 +157,76 @@
 
 
 class Launch(Struct):
+    """The tasks of a LAUNCH operation."""
+
     task_infos: list[TaskInfo]
 
 
 class Operation(Struct):
+    """An operation on accepted offers."""
+
     type: str
     launch: Launch | None = None
 
 
 class Filters(Struct):
+    """How long declined or unused resources are not offered again."""
+
     refuse_seconds: float = 5.0
 
 
 class Accept(Struct):
+    """ACCEPT: the offers to use and the operations on them."""
+
     offer_ids: list[Value]
     operations: list[Operation] = []
     filters: Filters | None = None
 
 
 class Decline(Struct):
+    """DECLINE: the offers not to use."""
+
     offer_ids: list[Value]
     filters: Filters | None = None
 
 
 class Kill(Struct):
+    """KILL: the task to stop."""
+
     task_id: Value
     agent_id: Value | None = None
 
 
 class Acknowledge(Struct):
+    """ACKNOWLEDGE: the receipt of a status update."""
+
     agent_id: Value
     task_id: Value
     uuid: str
 
 
 class ReconcileTask(Struct):
+    """A task whose status is requested."""
+
     task_id: Value
     agent_id: Value | None = None
 
 
 class Reconcile(Struct):
+    """RECONCILE: the tasks whose status is requested."""
+
     tasks: list[ReconcileTask] = []
 
 
 class SubscribeFramework(Struct):
+    """SUBSCRIBE of a framework."""
+
     framework_info: FrameworkInfo
 
 
 class SchedulerCall(Struct):
+    """A call of a framework; `type` names the field that is set."""
+
     type: str
     framework_id: Value | None = None
     subscribe: SubscribeFramework | None = None
@@ -184,6 +238,8 @@
 
 
 class MasterInfo(Struct):
+    """The address and version of the master."""
+
     id: str
     ip: int
     port: int
@@ -192,12 +248,16 @@
 
 
 class SubscribedFramework(Struct):
+    """SUBSCRIBED: the first event of a framework's stream."""
+
     framework_id: Value
     heartbeat_interval_seconds: float | None = None
     master_info: MasterInfo | None = None
 
 
 class Offer(Struct):
+    """Resources of one agent offered to a framework."""
+
     id: Value
     framework_id: Value
     agent_id: Value
@@ -207,26 +267,38 @@
 
 
 class Offers(Struct):
+    """OFFERS: new offers."""
+
     offers: list[Offer]
 
 
 class UpdateEvent(Struct):
+    """UPDATE: a status update for a framework."""
+
     status: TaskStatus
 
 
 class Rescind(Struct):
+    """RESCIND: an offer that is no longer valid."""
+
     offer_id: Value
 
 
 class Failure(Struct):
+    """FAILURE: an agent that failed or was removed."""
+
     agent_id: Value | None = None
 
 
 class ErrorEvent(Struct):
+    """ERROR: what was wrong, as text."""
+
     message: str
 
 
 class SchedulerEvent(Struct):
+    """An event to a framework; `type` names the field that is set."""
+
     type: str
     subscribed: SubscribedFramework | None = None
     offers: Offers | None = None
@@ -240,19 +312,27 @@
 
 
 class UpdateCall(Struct):
+    """UPDATE: a status update from an executor."""
+
     status: TaskStatus
 
 
 class SubscribeExecutor(Struct):
+    """SUBSCRIBE of an executor, with its unacknowledged tasks and status updates."""
+
     unacknowledged_tasks: list[TaskInfo] = []
     unacknowledged_updates: list[UpdateCall] = []
 
 
 class Message(Struct):
+    """MESSAGE: a payload in either direction."""
+
     data: str  # base64
 
 
 class ExecutorCall(Struct):
+    """A call of an executor; `type` names the field that is set."""
+
     type: str
     executor_id: Value
     framework_id: Value
@@ -262,25 +342,35 @@
 
 
 class SubscribedExecutor(Struct):
+    """SUBSCRIBED: the first event of an executor's stream."""
+
     executor_info: ExecutorInfo
     framework_info: FrameworkInfo
     agent_info: AgentInfo
 
 
 class LaunchEvent(Struct):
+    """LAUNCH: a task to start."""
+
     task: TaskInfo
 
 
 class KillEvent(Struct):
+    """KILL: a task to stop."""
+
     task_id: Value
 
 
 class Acknowledged(Struct):
+    """ACKNOWLEDGED: the receipt of an executor's status update."""
+
     task_id: Value
     uuid: str
 
 
 class ExecutorEvent(Struct):
+    """An event to an executor; `type` names the field that is set."""
+
     type: str
     subscribed: SubscribedExecutor | None = None
     launch: LaunchEvent | None = None
@@ -294,14 +384,20 @@
 
 
 class DrainInfo(Struct):
+    """The progress of draining an agent."""
+
     state: str  # DRAINING or DRAINED
 
 
 class TimeInfo(Struct):
+    """A time since the Unix epoch."""
+
     nanoseconds: int
 
 
 class Agent(Struct):
+    """An agent with its resources and state."""
+
     agent_info: AgentInfo
     active: bool = True
     version: str = ""
@@ -314,32 +410,44 @@
 
 
 class GetAgents(Struct):
+    """The list of all agents."""
+
     agents: list[Agent] = []
 
 
 class GetState(Struct):
+    """The state of the cluster at subscription."""
+
     get_agents: GetAgents | None = None
 
 
 class SubscribedOperator(Struct):
+    """SUBSCRIBED: the first event of an operator's stream."""
+
     get_state: GetState | None = None
     heartbeat_interval_seconds: float | None = None
 
 
 class AgentAdded(Struct):
+    """AGENT_ADDED: an agent and its present state."""
+
     agent: Agent
 
 
 class AgentRemoved(Struct):
+    """AGENT_REMOVED: an agent that has left."""
+
     agent_id: Value
 
 
 class OperatorCall(Struct):
+    """A call of an operator."""
+
     type: str
 
 
 class OperatorEvent(Struct):
-    """Events of SUBSCRIBE, and the response of GET_AGENTS (`type` GET_AGENTS)."""
+    """An event of an operator's stream, or the response to GET_AGENTS (`type` GET_AGENTS)."""
 
     type: str
     subscribed: SubscribedOperator | None = None
@@ -348,21 +456,25 @@
     get_agents: GetAgents | None = None
 
 
-# ---- what the specification has no field for ----
+# ---- Extensions: data without a field in the specification ----
 
 
 class TaskUse(Struct):
+    """The resource use of one task, as its agent reports it."""
+
     task_id: str
     cores: float | None = None
     memory: float | None = None  # MB
-    served: float | None = None  # share of full service, 0 to 1
+    served: float | None = None  # fraction of full service, 0 to 1
 
 
 class Payload(Struct):
-    """Of MESSAGE and TaskStatus.data, as base64 of this JSON.
+    """The payload of MESSAGE and TaskStatus.data, sent as base64 of its JSON.
 
-    `kind` is "probe" (allocator to agent, `probe` numbers it) or "report" (agent to allocator; `probe` where
-    it answers one). Free amounts are in cores and MB, the others are shares from 0 to 1, `queue` a count."""
+    `kind` is "probe" (allocator to agent, with the probe's number in `probe`) or "report" (agent to
+    allocator, with that number if it answers a probe). Free amounts are in cores and MB, `queue` is a count,
+    and the other figures are fractions from 0 to 1.
+    """
 
     kind: str
     probe: int | None = None
@@ -370,7 +482,7 @@
     memory_free: float | None = None
     busy: float | None = None
     queue: float | None = None
-    memory_used: float | None = None  # share of the machine's memory in use
+    memory_used: float | None = None  # fraction of the machine's memory in use
     tasks: list[TaskUse] = []
 
 
@@ -392,11 +504,12 @@
 
 
 def encode(message: Struct) -> bytes:
+    """Encodes a message as JSON."""
     return ENCODER.encode(message)
 
 
 def decode(kind: type[T], data: bytes) -> T:
-    """The message; raises BadMessage naming the field and what was expected."""
+    """Decodes a message; raises MessageError that names the field and what was expected."""
     try:
         message: T = DECODERS[kind].decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -405,11 +518,12 @@
 
 
 def encode_payload(payload: Payload) -> str:
+    """Encodes a payload as base64 of its JSON."""
     return base64.b64encode(ENCODER.encode(payload)).decode()
 
 
 def decode_payload(data: str) -> Payload:
-    """The payload of a MESSAGE or a status; raises BadMessage."""
+    """Decodes the payload of a MESSAGE or a TaskStatus; raises MessageError."""
     try:
         raw = base64.b64decode(data, validate=True)
     except ValueError as error:
@@ -418,12 +532,13 @@
 
 
 def sum_scalar(resources: list[Resource], name: str) -> float | None:
-    """Sum of the scalar resources of that name; None where there is none."""
+    """Returns the sum of the scalar resources with that name; None if there are none."""
     values = [r.scalar.value for r in resources if r.name == name and r.scalar is not None]
     return sum(values) if values else None
 
 
 def find_label(labels: Labels | None, key: str) -> str | None:
+    """Returns the value of the first label with that key; None if there is none."""
     for item in labels.labels if labels is not None else ():
         if item.key == key:
             return item.value
@@ -431,4 +546,5 @@
 
 
 def make_resources(cores: float, memory: float) -> list[Resource]:
+    """Returns cores and memory (MB) as the resources `cpus` and `mem`."""
     return [Resource("cpus", scalar=Scalar(cores)), Resource("mem", scalar=Scalar(memory))]
--- a/tests/mesos/test_mesos.py
+++ b/tests/mesos/test_mesos.py
@@ -1,4 +1,4 @@
-"""The protocol without sockets, by bytes: framing, messages, HTTP limits and shapes."""
+"""The agent protocol on bytes, without sockets: framing, messages, HTTP limits and malformed requests."""
 
 import json
 
@@ -22,33 +22,33 @@
 
 
 @given(st.lists(st.binary(max_size=60), max_size=8), st.lists(st.integers(1, 20), min_size=1, max_size=20))
-def test_records_come_out_whole_however_their_bytes_are_cut(records, cuts):
+def test_decoder_returns_complete_records_for_any_split_of_the_bytes(records, piece_sizes):
     data = b"".join(map(recordio.encode, records))
-    decoder, found, at = recordio.RecordDecoder(), [], 0
-    for cut in [*cuts, len(data) + 1]:
-        found += decoder.feed(data[at : at + cut])
-        at += cut
-    assert found == records and not decoder.has_partial_record()
+    decoder, decoded, position = recordio.RecordDecoder(), [], 0
+    for size in [*piece_sizes, len(data) + 1]:
+        decoded += decoder.feed(data[position : position + size])
+        position += size
+    assert decoded == records and not decoder.has_partial_record()
 
 
 @pytest.mark.parametrize(
     ("data", "named"),
     [
-        (b"104857600\n", "a record of 104857600 bytes; expected at most"),
-        (b"-1\nx", "no record length"),
-        (b"0x10\n", "no record length"),
-        (b"{}\n", "no record length"),
+        (b"104857600\n", "record of 104857600 bytes; expected at most"),
+        (b"-1\nx", "is not a record length"),
+        (b"0x10\n", "is not a record length"),
+        (b"{}\n", "is not a record length"),
         (b"9" * 21, "no newline within 20 digits"),
-        (b"\xb2\n", "no record length"),
+        (b"\xb2\n", "is not a record length"),
     ],
 )
-def test_what_is_no_record_is_refused_before_it_is_kept(data, named):
+def test_invalid_record_is_rejected_before_it_is_buffered(data, named):
     decoder = recordio.RecordDecoder()
     with pytest.raises(recordio.RecordError, match=named):
         decoder.feed(data)
 
 
-def test_a_torn_record_is_known():
+def test_partial_record_is_reported():
     decoder = recordio.RecordDecoder()
     assert decoder.feed(b"5\nab") == [] and decoder.has_partial_record()
 
@@ -56,7 +56,7 @@
 # ---- messages ----
 
 
-def test_names_are_those_of_the_specification():
+def test_field_names_are_those_of_the_specification():
     event = m.SchedulerEvent("SUBSCRIBED", subscribed=m.SubscribedFramework(m.Value("f"), 15.0))
     assert json.loads(m.encode(event)) == {
         "type": "SUBSCRIBED",
@@ -86,8 +86,8 @@
             ],
         },
     }
-    read = m.decode(m.SchedulerCall, json.dumps(call).encode())
-    (task,) = read.accept.operations[0].launch.task_infos
+    decoded = m.decode(m.SchedulerCall, json.dumps(call).encode())
+    (task,) = decoded.accept.operations[0].launch.task_infos
     assert task.task_id.value == "t" and m.sum_scalar(task.resources, "cpus") == 0.5
 
 
@@ -104,13 +104,13 @@
         (b"[" * 100_000, "Expected `object`|recursion|SchedulerCall"),
     ],
 )
-def test_a_bad_message_says_where_and_what_was_expected(data, named):
+def test_error_of_an_invalid_message_names_the_field_and_what_was_expected(data, named):
     with pytest.raises(m.MessageError, match=named):
         m.decode(m.SchedulerCall, data)
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_bad_message(data):
+def test_any_bytes_decode_or_raise_message_error(data):
     for kind in m.DECODERS:
         try:
             m.decode(kind, data)
@@ -118,18 +118,18 @@
             continue
 
 
-def test_payloads_go_there_and_back():
+def test_payload_round_trip_and_invalid_payloads():
     payload = m.Payload("report", cores_free=2.5, tasks=[m.TaskUse("t", 1.0)])
     assert m.decode_payload(m.encode_payload(payload)) == payload
-    for wrong in ("%%%", "bm8=", "eyJraW5kIjogM30="):
+    for invalid in ("%%%", "bm8=", "eyJraW5kIjogM30="):
         with pytest.raises(m.MessageError):
-            m.decode_payload(wrong)
+            m.decode_payload(invalid)
 
 
 # ---- HTTP ----
 
 
-def post(body=b"{}", target="/x", extra=b""):
+def make_post(body=b"{}", target="/x", extra=b""):
     head = b"POST %b HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n%b\r\n" % (
         target.encode(),
         len(body),
@@ -138,9 +138,9 @@
     return head + body
 
 
-def test_pipelined_requests_are_answered_in_turn():
+def test_pipelined_requests_are_returned_one_after_the_other():
     server = ServerConnection()
-    (first,) = server.feed(post(b"1") + post(b"2") + post(b"3"))
+    (first,) = server.feed(make_post(b"1") + make_post(b"2") + make_post(b"3"))
     bodies = [first.body]
     for _ in range(2):
         server.encode_response(Response(202))
@@ -152,20 +152,20 @@
 
 
 @given(st.lists(st.integers(1, 30), min_size=1, max_size=30))
-def test_a_request_may_come_in_any_pieces(cuts):
-    server, data, found, at = ServerConnection(), post(b'{"a": 1}', extra=b"X-Y: z\r\n"), [], 0
-    for cut in [*cuts, len(data)]:
-        found += server.feed(data[at : at + cut]) if data[at : at + cut] else []
-        at += cut
-    (request,) = found
+def test_request_is_parsed_for_any_split_of_the_bytes(piece_sizes):
+    server, data, requests, position = ServerConnection(), make_post(b'{"a": 1}', extra=b"X-Y: z\r\n"), [], 0
+    for size in [*piece_sizes, len(data)]:
+        requests += server.feed(data[position : position + size]) if data[position : position + size] else []
+        position += size
+    (request,) = requests
     assert request.body == b'{"a": 1}' and request.headers["x-y"] == "z"
 
 
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (post(b"x", extra=b"Content-Length: 7\r\n"), 400),
-        (post(b"", extra=b"Transfer-Encoding: gzip\r\n"), 501),
+        (make_post(b"x", extra=b"Content-Length: 7\r\n"), 400),
+        (make_post(b"", extra=b"Transfer-Encoding: gzip\r\n"), 501),
         (b"POST /x HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\x00: c\r\n\r\n", 400),
         (b"POST /x HTTP/1.1\r\nHost: a\nX\rY: 1\r\n\r\n", 400),
         (b"POST /x HTTP/1.1\r\n\r\n", 400),
@@ -175,7 +175,7 @@
         (b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
-def test_wrong_shapes_get_their_status(data, status):
+def test_malformed_request_gets_its_status(data, status):
     server = ServerConnection()
     with pytest.raises(HttpError) as error:
         server.feed(data)
@@ -183,7 +183,7 @@
     assert server.refuse(error.value).startswith(b"HTTP/1.1 %d" % status)
 
 
-def test_a_chunked_body_is_bounded_as_it_comes():
+def test_chunked_body_is_limited_while_it_arrives():
     server = ServerConnection(max_body_bytes=1_000)
     server.feed(b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n")
     with pytest.raises(HttpError) as error:
@@ -193,7 +193,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_requests_or_an_http_error(data):
+def test_any_bytes_parse_or_raise_http_error(data):
     server = ServerConnection()
     try:
         server.feed(data)
@@ -218,48 +218,47 @@
     st.sampled_from([Response(202), Response(404, b"no\n"), Response(200, b"x" * 500)]), st.booleans(),
 )  # fmt: skip
 def test_any_request_can_be_answered(requests, response, stream):
-    """Whatever was asked for, a response or a stream goes out or the peer is refused: h11 never complains of
-    us."""
+    """Any request gets a response, a stream or a refusal, and h11 never reports a protocol error of this side."""
     server = ServerConnection()
     data = b"".join(
         b"%b %b HTTP/%b\r\n%b\r\n%b" % (method, target, version, b"".join(h + b"\r\n" for h in headers), body)
         for method, target, version, headers, body in requests
     )
     try:
-        found = server.feed(data)
-        while found:
+        pending = server.feed(data)
+        while pending:
             if stream:
                 server.open_stream({})
                 server.end_stream()
                 return
             server.encode_response(response)
-            found = server.parse_pipelined()
+            pending = server.parse_pipelined()
     except HttpError as error:
         assert error.status != 500, error
         server.refuse(error)
 
 
-def test_a_links_place_ends_with_the_records_last_byte():
-    """An agent can act as soon as it has that byte; the chunk's own line end does not matter."""
+def test_end_position_of_a_sent_record_is_that_of_its_last_byte():
+    """An agent can act on a record as soon as it has that byte; the line end of the chunk is not needed."""
 
-    class Wire:
+    class FakeStream:
         close_reason, queued_bytes, data = None, 0, b""
 
         def send(self, data):
             self.data += data
             self.queued_bytes += len(data)
 
-    server, wire = ServerConnection(), Wire()
-    server.feed(post())
-    wire.send(server.open_stream({}))
-    link = RecordLink(server, wire)
+    server, stream = ServerConnection(), FakeStream()
+    server.feed(make_post())
+    stream.send(server.open_stream({}))
+    link = RecordLink(server, stream)
     for record in (b'{"type":"A"}', b'{"type":"LAUNCH"}'):
         begin, end = link.send(record)
-        assert wire.data[:end].endswith(record) and wire.data[end:] == b"\r\n"
-        assert wire.data[:begin].endswith(b"\r\n")
+        assert stream.data[:end].endswith(record) and stream.data[end:] == b"\r\n"
+        assert stream.data[:begin].endswith(b"\r\n")
 
 
-def test_a_stream_of_records_through_both_ends():
+def test_stream_of_records_from_server_to_client():
     server, client, decoder = ServerConnection(), ClientConnection(), recordio.RecordDecoder()
     (request,) = server.feed(
         client.encode_request("POST", "/api", "h", {"accept": "application/json"}, b"{}")
