--- a/glencleat/rest/__init__.py
+++ b/glencleat/rest/__init__.py
@@ -1,3 +1,5 @@
-"""The REST front's state and decisions, without sockets: resources and their versions, watches, jobs,
-overload, and why work waits. It imports the core's seam and the message schemas; `fronts.rest_api` calls
-it."""
+"""State and decisions of the REST API, without sockets.
+
+Holds the resources and their versions, watches, jobs, overload control and the reasons why tasks wait.
+Imports the core's ports and the message schemas; called by `servers.rest_api`.
+"""
--- a/glencleat/rest/jobs.py
+++ b/glencleat/rest/jobs.py
@@ -1,9 +1,12 @@
-"""Decides the life of a job's tasks: whose is told to the core next, what follows each answer, what is over.
+"""Job tasks: which one gets the next call to the core, what follows each answer, and when a job has ended.
 
-Pure: no I/O, no clock; the plane asks and does as told. A task of a job waits for as long as its job said,
-over several rounds: each round is one call to the core, of at most the class's deadline, and ends with the
-core's final answer. A refused round is followed by another while there is time, as the answer says that
-asking again is harmless; a failed one by none. Only one round of a task is ever out."""
+Pure: no I/O and no clock; `RestService` makes the calls and carries out the transitions.
+
+A task of a job waits for the time given in its job's spec, over several rounds. Each round is one call to
+the core with at most the class's deadline, and ends with the core's final answer. A rejected round is
+followed by another while time is left, if the answer says that a retry is harmless; a failed round is never
+repeated. A task has at most one round in progress.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +22,17 @@
 from glencleat.allocator.status_mapping import RetryAdvice, StatusAnswer, TaskState
 from glencleat.rest.schema import JobSpec, JobStatus
 
-RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS = 250.0, 4_000.0  # after the first refused round; doubled up to
-MIN_ROUND_MS = 500.0  # a round is worth asking for when so much time is left
+# The pause after the first rejected round; doubled after each further one, up to the maximum.
+RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS = 250.0, 4_000.0
+MIN_ROUND_MS = 500.0  # a shorter round is not worth starting
 
 
 class JobStep(Enum):
-    QUEUED = "queued"  # waits for its turn
-    IN_ROUND = "asked"  # a call of it is open
-    PAUSED = "paused"  # refused, asked again after a pause
+    """Where a task of a job is in its life."""
+
+    QUEUED = "queued"  # waits in the queue
+    IN_ROUND = "asked"  # has a call in progress at the core
+    PAUSED = "paused"  # was rejected, is retried after a pause
     PLACED = "placed"
     TERMINAL = "over"
 
@@ -37,22 +43,25 @@
 
     job: JobState
     number: int
-    wait_until_ms: float  # its owner waits till then
+    wait_until_ms: float  # when the client stops waiting
     step: JobStep = JobStep.QUEUED
     round_count: int = 0
     call: Call | None = None
-    pending_reasons: PendingReasons = field(default_factory=PendingReasons)  # of all its rounds
+    pending_reasons: PendingReasons = field(default_factory=PendingReasons)  # collected over all its rounds
     is_cancelled: bool = False
     is_finished: bool = False
-    final_answer: FinalAnswer | None = None  # its final answer to its owner, and not a round's
+    final_answer: FinalAnswer | None = None  # the final answer given to the client, as opposed to a round's
     was_placed: bool = False
 
     def name(self) -> str:
+        """The task's name: the job's name and the task's number."""
         return f"{self.job.name}.{self.number}"
 
 
 @dataclass(slots=True, eq=False)
 class JobState:
+    """A job, its spec and its tasks."""
+
     tenant: str
     name: str
     uid: str
@@ -63,19 +72,21 @@
     is_cancelled: bool = False
     tasks: list[JobTask] = field(default_factory=list)
     terminal_at_ms: float | None = None
-    is_removed: bool = False  # no longer shown
+    is_removed: bool = False  # removed from the API
 
     def wait_ms(self) -> float:
+        """How long each task may wait: the spec's `waitMs`, or the class's deadline."""
         return self.spec.wait_ms if self.spec.wait_ms is not None else self.task_class.deadline_ms
 
     def is_terminal(self) -> bool:
-        return all(slot.step is JobStep.TERMINAL for slot in self.tasks)
+        """Whether all tasks have ended."""
+        return all(job_task.step is JobStep.TERMINAL for job_task in self.tasks)
 
     def status(self) -> JobStatus:
-        """Sums of its tasks, each counted once."""
+        """Counts the job's tasks by phase, each task once."""
         counts = {"waiting": 0, "placed": 0, "finished": 0, "ended": 0, "refused": 0, "failed": 0}
-        for slot in self.tasks:
-            counts[task_phase(slot)] += 1
+        for job_task in self.tasks:
+            counts[task_phase(job_task)] += 1
         if self.is_cancelled:
             phase = "cancelled"
         elif counts["waiting"]:
@@ -85,104 +96,116 @@
         return JobStatus(phase=phase, **counts)  # type: ignore[arg-type]
 
 
-def task_phase(slot: JobTask) -> str:
-    if slot.step is JobStep.PLACED:
+def task_phase(job_task: JobTask) -> str:
+    """The field of `JobStatus` that counts the task."""
+    if job_task.step is JobStep.PLACED:
         return "placed"
-    if slot.step is not JobStep.TERMINAL:
+    if job_task.step is not JobStep.TERMINAL:
         return "waiting"
-    if slot.was_placed:
-        return "finished" if slot.is_finished else "ended"
-    return "failed" if slot.final_answer is FinalAnswer.FAILED else "refused"
+    if job_task.was_placed:
+        return "finished" if job_task.is_finished else "ended"
+    return "failed" if job_task.final_answer is FinalAnswer.FAILED else "refused"
 
 
-# ---- what follows ----
+# ---- transitions ----
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """What becomes of a task: its step, and for a pause how long it is."""
+    """The next step of a task, and for a pause its length."""
 
     step: JobStep
     pause_ms: float = 0.0
 
 
 def may_retry(answer: StatusAnswer, effect: api.Idempotency) -> bool:
-    """After a refused round. A task that must not start twice goes again only if nothing of it ran, which
-    only TASK_DROPPED promises."""
+    """Whether another round may follow a rejected one.
+
+    A non-idempotent task is retried only if nothing of it ran, which only TASK_DROPPED guarantees.
+    """
     return answer.retry_advice is RetryAdvice.HARMLESS and (
         effect is not api.Idempotency.NON_IDEMPOTENT or answer.state == TaskState.DROPPED
     )
 
 
 def after_round(
-    slot: JobTask, final_answer: FinalAnswer, answer: StatusAnswer, now: float, random: Random
+    job_task: JobTask, final_answer: FinalAnswer, answer: StatusAnswer, now: float, random: Random
 ) -> Transition:
-    """What follows the final answer of a round."""
+    """The transition that follows the final answer of a round."""
     if final_answer is FinalAnswer.PLACED:
         return Transition(JobStep.PLACED)
     if (
         final_answer is FinalAnswer.FAILED
-        or slot.is_cancelled
-        or not may_retry(answer, slot.job.task_class.idempotency)
+        or job_task.is_cancelled
+        or not may_retry(answer, job_task.job.task_class.idempotency)
     ):
         return Transition(JobStep.TERMINAL)
-    left = slot.wait_until_ms - now
-    if left < 2.0 * MIN_ROUND_MS:
+    remaining_ms = job_task.wait_until_ms - now
+    if remaining_ms < 2.0 * MIN_ROUND_MS:
         return Transition(JobStep.TERMINAL)
-    pause = min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2.0 ** min(8, slot.round_count - 1)) * random.uniform(
-        0.75, 1.25
-    )
-    return Transition(JobStep.PAUSED, min(pause, left - MIN_ROUND_MS))
+    pause_ms = min(
+        MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2.0 ** min(8, job_task.round_count - 1)
+    ) * random.uniform(0.75, 1.25)
+    return Transition(JobStep.PAUSED, min(pause_ms, remaining_ms - MIN_ROUND_MS))
+
 
+def after_end(job_task: JobTask, answer: StatusAnswer) -> Transition:
+    """The transition that follows the end of a placed task.
 
-def after_end(slot: JobTask, answer: StatusAnswer) -> Transition:
-    """What follows the end of a placed task. One that may run on out of sight is not over, unless a second
-    does no harm and is wanted: should the first come back, the core stops it."""
-    again = (
-        slot.job.spec.when_lost == "again"
+    A task on an unreachable host may still be running, so it doesn't count as ended. The exception is a
+    task whose job asks for a new placement and that may safely run twice: it is placed again, and if the
+    first copy reappears, the core stops it.
+    """
+    may_place_again = (
+        job_task.job.spec.when_lost == "again"
         and answer.state != TaskState.FINISHED
         and answer.retry_advice is RetryAdvice.HARMLESS
-        and slot.job.task_class.idempotency is not api.Idempotency.NON_IDEMPOTENT
-        and not slot.is_cancelled
+        and job_task.job.task_class.idempotency is not api.Idempotency.NON_IDEMPOTENT
+        and not job_task.is_cancelled
     )
-    if again:
+    if may_place_again:
         return Transition(JobStep.PAUSED, RETRY_PAUSE_MS * 2.0)
     return Transition(JobStep.PLACED if answer.state == TaskState.UNREACHABLE else JobStep.TERMINAL)
 
 
-def round_ms(slot: JobTask, now: float, margin_ms: float) -> float:
-    """How long the next round may take; 0 where there is no time left."""
-    left = slot.wait_until_ms - now - margin_ms
-    return max(0.0, min(slot.job.task_class.deadline_ms, left))
+def round_ms(job_task: JobTask, now: float, margin_ms: float) -> float:
+    """The time limit of the next round; 0 if no time is left."""
+    remaining_ms = job_task.wait_until_ms - now - margin_ms
+    return max(0.0, min(job_task.job.task_class.deadline_ms, remaining_ms))
 
 
-# ---- whose turn it is ----
+# ---- order of rounds ----
 
 
 class TokenBucket:
-    """Tokens that come back at a rate, up to a burst; the rate a second, times in milliseconds."""
+    """A token bucket: refilled at a rate per second, up to a burst. Times are milliseconds."""
 
     __slots__ = ("rate_per_s", "burst", "tokens", "refilled_at_ms")
 
-    def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate_per_s, self.burst, self.tokens, self.refilled_at_ms = rate, burst, burst, now
+    def __init__(self, rate_per_s: float, burst: float, now: float) -> None:
+        self.rate_per_s, self.burst, self.tokens, self.refilled_at_ms = rate_per_s, burst, burst, now
 
     def wait_ms(self, cost: float, now: float) -> float:
-        """How long until the cost can be paid; 0 now. More than the burst is paid off a full bucket."""
+        """Time until the cost can be paid; 0 if it can be paid now.
+
+        A cost above the burst can be paid from a full bucket.
+        """
         self.tokens = min(self.burst, self.tokens + (now - self.refilled_at_ms) * self.rate_per_s / 1_000.0)
         self.refilled_at_ms = now
-        lacks = min(cost, self.burst) - self.tokens
-        return max(0.0, lacks / self.rate_per_s * 1_000.0)
+        missing = min(cost, self.burst) - self.tokens
+        return max(0.0, missing / self.rate_per_s * 1_000.0)
 
     def consume(self, cost: float) -> None:
+        """Takes the cost out of the bucket, which may leave it negative."""
         self.tokens -= cost
 
 
 class RoundRobin:
-    """The tasks that wait for a round: first ones and returns, tenant by tenant in turn.
+    """The tasks that wait for a round, first rounds and retries, served tenant by tenant.
 
-    A tenant that asks for thousands delays its own tasks and not others'. Returns of a tenant are bounded by
-    a budget of their own, so that a cluster that is full is not asked ever more often."""
+    A tenant that submits thousands of tasks delays only its own. Each tenant's retries have a separate
+    budget, so that the rate of retries stays bounded while the cluster is full.
+    """
 
     def __init__(self, retries_rate: float = 200.0, retries_burst: float = 400.0) -> None:
         self.retry_limits = retries_rate, retries_burst
@@ -192,78 +215,86 @@
         self.retry_buckets_by_tenant: dict[str, TokenBucket] = {}
         self.queued_count = 0
 
-    def enqueue(self, slot: JobTask) -> None:
-        slot.step = JobStep.QUEUED
-        self.queues_by_tenant.setdefault(slot.job.tenant, deque()).append(slot)
+    def enqueue(self, job_task: JobTask) -> None:
+        """Appends a task to its tenant's queue."""
+        job_task.step = JobStep.QUEUED
+        self.queues_by_tenant.setdefault(job_task.job.tenant, deque()).append(job_task)
         self.queued_count += 1
 
-    def pause(self, slot: JobTask, until: float) -> None:
-        slot.step = JobStep.PAUSED
+    def pause(self, job_task: JobTask, until_ms: float) -> None:
+        """Holds a task back until the given time."""
+        job_task.step = JobStep.PAUSED
         self.last_sequence += 1
-        heapq.heappush(self.paused, (until, self.last_sequence, slot))
+        heapq.heappush(self.paused, (until_ms, self.last_sequence, job_task))
 
     def next_due_ms(self) -> float | None:
-        """When the next pause ends."""
+        """When the next pause ends; None if no task is paused."""
         while self.paused and self.paused[0][2].step is not JobStep.PAUSED:
             heapq.heappop(self.paused)
         return self.paused[0][0] if self.paused else None
 
     def enqueue_due(self, now: float) -> None:
-        """Queues what has paused long enough, as far as the tenants' budgets go."""
+        """Queues the tasks whose pause has ended, within the tenants' retry budgets."""
         while (due := self.next_due_ms()) is not None and due <= now:
-            _, _, slot = heapq.heappop(self.paused)
-            budget = self.retry_buckets_by_tenant.get(slot.job.tenant)
-            if budget is None:
-                budget = self.retry_buckets_by_tenant[slot.job.tenant] = TokenBucket(*self.retry_limits, now)
-            wait = budget.wait_ms(1.0, now)
-            if wait > 0.0:
-                self.pause(slot, now + wait)
+            _, _, job_task = heapq.heappop(self.paused)
+            bucket = self.retry_buckets_by_tenant.get(job_task.job.tenant)
+            if bucket is None:
+                bucket = self.retry_buckets_by_tenant[job_task.job.tenant] = TokenBucket(
+                    *self.retry_limits, now
+                )
+            wait_ms = bucket.wait_ms(1.0, now)
+            if wait_ms > 0.0:
+                self.pause(job_task, now + wait_ms)
             else:
-                budget.consume(1.0)
-                self.enqueue(slot)
+                bucket.consume(1.0)
+                self.enqueue(job_task)
 
     def pop(self) -> JobTask | None:
-        """The next task; one that was cancelled or ran out of time meanwhile is passed over."""
+        """The next task; skips those that were cancelled or whose time ran out in the queue."""
         while self.queues_by_tenant:
             tenant, queue = next(iter(self.queues_by_tenant.items()))
             self.queues_by_tenant.move_to_end(tenant)
-            slot = queue.popleft()
+            job_task = queue.popleft()
             self.queued_count -= 1
             if not queue:
                 del self.queues_by_tenant[tenant]
-            if slot.step is JobStep.QUEUED:
-                return slot
+            if job_task.step is JobStep.QUEUED:
+                return job_task
         return None
 
     def forget_tenant(self, tenant: str) -> None:
-        """The tenant has no jobs any more."""
+        """Drops the retry budget of a tenant without jobs, unless tasks of it are still queued."""
         if tenant not in self.queues_by_tenant:
             self.retry_buckets_by_tenant.pop(tenant, None)
 
 
 class IdempotencyKeys:
-    """Idempotency keys of creations: a repeated POST is the job that the first one made.
+    """Idempotency keys of job creations: a repeated POST returns the job that the first one created.
 
-    A key is kept for `retention_ms`, and for as long as its job is. When all places are taken by keys that
-    still count, new creations with a key are turned away: a forgotten key would make a second job."""
+    A key is kept for `retention_ms`, and at least until its job ends. When the table is full of keys that
+    can't be dropped, creations with a new key are rejected: dropping a key too early would allow a
+    duplicate job.
+    """
 
     def __init__(self, max_keys: int = 50_000, retention_ms: float = 600_000.0) -> None:
         self.max_keys, self.retention_ms = max_keys, retention_ms
         self.entries_by_key: OrderedDict[tuple[str, str], tuple[int, JobState, float]] = OrderedDict()
 
     def find(self, tenant: str, key: str) -> tuple[int, JobState] | None:
-        """Fingerprint of the first body and the job that it made."""
-        found = self.entries_by_key.get((tenant, key))
-        return None if found is None else found[:2]
+        """The fingerprint of the first request's body and the job that it created."""
+        entry = self.entries_by_key.get((tenant, key))
+        return None if entry is None else entry[:2]
 
     def ensure_capacity(self, now: float) -> bool:
+        """Drops expired keys if the table is full; returns whether there is room for one more."""
         if len(self.entries_by_key) >= self.max_keys:
-            for name, (_, job, at) in list(self.entries_by_key.items())[:64]:
-                if now - at > self.retention_ms and job.is_terminal():
-                    del self.entries_by_key[name]
+            for entry_key, (_, job, recorded_at_ms) in list(self.entries_by_key.items())[:64]:
+                if now - recorded_at_ms > self.retention_ms and job.is_terminal():
+                    del self.entries_by_key[entry_key]
                 else:
-                    self.entries_by_key.move_to_end(name)
+                    self.entries_by_key.move_to_end(entry_key)
         return len(self.entries_by_key) < self.max_keys
 
     def record_key(self, tenant: str, key: str, fingerprint: int, job: JobState, now: float) -> None:
+        """Stores the key of a created job."""
         self.entries_by_key[tenant, key] = fingerprint, job, now
--- a/glencleat/rest/resource_mirror.py
+++ b/glencleat/rest/resource_mirror.py
@@ -1,8 +1,9 @@
-"""The resources as clients see them, made from what the core tells of itself (seam.py).
+"""The resources as clients see them, derived from the core's domain events (domain_events.py).
 
-Hearing marks what changed; `flush` then makes each changed resource once from the ledger's state of that
-moment, puts it among the versions and publishes the event. So a burst costs what changed and not how often,
-and a decision never waits for a watcher. No I/O."""
+Events only mark what has changed. `flush` then builds each changed resource once, from the current state of
+the call table, stores it as a new version and publishes the event. So the cost of a burst depends on how
+many resources changed and not on how often, and placements never wait for a watcher. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -34,12 +35,12 @@
 from glencleat.rest.watches import WatchChannels
 
 LIVE = (TaskState.STAGING, TaskState.STARTING, TaskState.RUNNING, TaskState.UNREACHABLE)
-NO_TENANT = "*"  # Mesos' default role
+NO_TENANT = "*"  # the default role of Mesos
 
 
 @dataclass(slots=True, eq=False)
 class TaskView:
-    """What is known of one task, of either front."""
+    """What is known of one task, of a job or of a framework."""
 
     key: Key  # tenant, framework, task id
     labels: dict[str, str]
@@ -52,195 +53,207 @@
     reason: str | None = None
     message: str | None = None
     machine: str | None = None
-    counted_as: tuple[str, str, str] | None = None  # service, "waiting" or the hall, machine
-    shape: reasons.Shape | None = None  # while it waits
+    counted_as: tuple[str, str, str] | None = None  # service, "waiting" or the zone, machine
+    shape: reasons.Shape | None = None  # set while the task waits
 
     def apply_status(self, answer: StatusAnswer, text: str | None, machine: str | None) -> None:
+        """Takes over a status reported by the core."""
         self.state, self.retry_advice, self.reason = answer.state, answer.retry_advice.value, answer.reason
         self.message, self.machine = text, machine
 
     def mark_waiting(self) -> None:
-        """It waits for a place, for the first time or again."""
+        """The task waits to be placed, for the first time or again."""
         self.state, self.answer, self.retry_advice = TaskState.STAGING, None, None
         self.reason = self.message = self.machine = None
 
 
 @dataclass(slots=True)
 class ServiceCounts:
-    """The tasks of one service of a tenant."""
+    """Counts of the tasks of one service of a tenant."""
 
     waiting_count: int = 0
     placed_by_zone: Counter[str] = field(default_factory=Counter)
 
 
 class ResourceMirror:
+    """The published resources, and which of them have changed since the last flush."""
+
     def __init__(
         self,
         core: CorePort,
-        opening: Callable[[], StartupGate],
+        get_startup_gate: Callable[[], StartupGate],
         versions: VersionStore,
         channels: WatchChannels,
-        wall: Callable[[], float],
-        ended_most: int = 10_000,
+        wall_ms: Callable[[], float],
+        max_ended_tasks: int = 10_000,
     ) -> None:
-        self.core, self.get_startup_gate, self.wall_ms = core, opening, wall
-        self.versions, self.channels, self.max_ended_tasks = versions, channels, ended_most
+        self.core, self.get_startup_gate, self.wall_ms = core, get_startup_gate, wall_ms
+        self.versions, self.channels, self.max_ended_tasks = versions, channels, max_ended_tasks
         self.views_by_key: dict[Key, TaskView] = {}
-        self.ended_task_keys: OrderedDict[Key, None] = (
-            OrderedDict()
-        )  # of frameworks; a job's go with their job
+        # Ended tasks of frameworks, oldest first; a job's tasks are removed with the job.
+        self.ended_task_keys: OrderedDict[Key, None] = OrderedDict()
         self.machines_by_name: dict[str, api.Machine] = {}
         self.agent_state_by_machine: dict[str, str] = {}
-        self.placed_by_service: dict[str, Counter[str]] = {}  # service -> machine -> our placed tasks
+        # Service -> machine -> placed tasks of this allocator.
+        self.placed_by_service: dict[str, Counter[str]] = {}
         self.counts_by_service: dict[tuple[str, str], ServiceCounts] = {}
-        self.unanswered_by_machine: dict[
-            str, int
-        ] = {}  # machine -> attempts unanswered since it was last heard
-        self.waiting_by_shape: dict[reasons.Shape, dict[Key, None]] = {}  # waiting tasks
-        self.causes_by_shape: dict[reasons.Shape, list[s.Cause]] = {}  # their causes, as of the last sweep
+        # Attempts without an answer since the machine last reported something.
+        self.unanswered_by_machine: dict[str, int] = {}
+        self.waiting_by_shape: dict[reasons.Shape, dict[Key, None]] = {}  # keys of waiting tasks
+        self.causes_by_shape: dict[reasons.Shape, list[s.Cause]] = {}  # as of the last refresh
         self.dirty_tasks: dict[Key, None] = {}
         self.dirty_jobs: dict[JobState, None] = {}
         self.dirty_services: dict[tuple[str, str], None] = {}
         self.dirty_machines: dict[str, None] = {}
-        self.schedule_flush: Callable[[], None] = lambda: None  # something is dirty: flush soon
-
-    # ---- hearing ----
-
-    def on_domain_event(self, what: DomainEvent) -> None:
-        """What happened to tasks of frameworks, and to machines; a job's tasks are the plane's matter."""
-        if isinstance(what, TaskStatusReported):
-            self.record_status(what.call, what.answer, what.text)
-        elif isinstance(what, AttemptSent):
-            self.mark_call_dirty(what.attempt.call)
-        elif isinstance(what, AttemptConcluded):
-            self._back(what)
-        elif isinstance(what, CallAnswered):
-            seen = self.find_view(what.call)
-            if seen is not None and seen.call is what.call and seen.job_task is None:
-                seen.answer = what.final_answer.value
-        elif isinstance(what, CallAdded):
-            self.record_call(what.call)
-        elif isinstance(what, CallForgotten):
-            seen = self.find_view(what.call)
-            if seen is not None and seen.call is what.call and seen.job_task is None:
-                self.remove_task(seen.key)
-        elif isinstance(what, MachineListChanged):
-            self._machines(what.update)
-        elif isinstance(what, AgentStateChanged):
-            self.agent_state_by_machine[what.agent] = what.state
-            self.unanswered_by_machine.pop(what.agent, None)
-            self.mark_machine_dirty(what.agent)
+        self.schedule_flush: Callable[[], None] = lambda: None  # requests a flush; set by RestService
+
+    # ---- domain events ----
+
+    def on_domain_event(self, event: DomainEvent) -> None:
+        """Applies an event about machines or a framework's task; `RestService` handles those of job tasks."""
+        if isinstance(event, TaskStatusReported):
+            self.record_status(event.call, event.answer, event.text)
+        elif isinstance(event, AttemptSent):
+            self.mark_call_dirty(event.attempt.call)
+        elif isinstance(event, AttemptConcluded):
+            self._record_conclusion(event)
+        elif isinstance(event, CallAnswered):
+            view = self.find_view(event.call)
+            if view is not None and view.call is event.call and view.job_task is None:
+                view.answer = event.final_answer.value
+        elif isinstance(event, CallAdded):
+            self.record_call(event.call)
+        elif isinstance(event, CallForgotten):
+            view = self.find_view(event.call)
+            if view is not None and view.call is event.call and view.job_task is None:
+                self.remove_task(view.key)
+        elif isinstance(event, MachineListChanged):
+            self._apply_machine_list(event.update)
+        elif isinstance(event, AgentStateChanged):
+            self.agent_state_by_machine[event.agent] = event.state
+            self.unanswered_by_machine.pop(event.agent, None)
+            self.mark_machine_dirty(event.agent)
 
     @staticmethod
     def task_key(call: Call) -> Key:
+        """The key of a call's task."""
         return call.tenant or NO_TENANT, call.framework_id, call.task_id
 
     def find_view(self, call: Call) -> TaskView | None:
+        """The view of a call's task; None if there is none."""
         return self.views_by_key.get(self.task_key(call))
 
     def record_call(self, call: Call) -> TaskView:
+        """Links a new call to the view of its task, which is created if absent."""
         key = self.task_key(call)
-        seen = self.views_by_key.get(key)
-        if seen is None:
-            seen = self.views_by_key[key] = TaskView(key, task_labels(call), self.wall_ms())
-        seen.call = call
-        if seen.job_task is None:
-            seen.mark_waiting()
+        view = self.views_by_key.get(key)
+        if view is None:
+            view = self.views_by_key[key] = TaskView(key, task_labels(call), self.wall_ms())
+        view.call = call
+        if view.job_task is None:
+            view.mark_waiting()
             self.ended_task_keys.pop(key, None)
             if call.final_answer is not None:
-                seen.answer = call.final_answer.value
+                view.answer = call.final_answer.value
         self.mark_task_dirty(key)
-        return seen
+        return view
 
     def record_status(self, call: Call, answer: StatusAnswer, text: str | None) -> None:
-        seen = self.find_view(call)
-        if seen is None or seen.call is not call:
+        """Applies a status to the task's view, unless a later call has replaced this one."""
+        view = self.find_view(call)
+        if view is None or view.call is not call:
             return
         last = call.last_attempt()
-        seen.apply_status(answer, text, last.machine if last is not None and answer.state in LIVE else None)
+        view.apply_status(answer, text, last.machine if last is not None and answer.state in LIVE else None)
         if last is not None and answer.state in (TaskState.STARTING, TaskState.RUNNING):
             self.unanswered_by_machine.pop(last.machine, None)
-        if seen.state not in LIVE and seen.job_task is None:
-            self.ended_task_keys[seen.key] = None
+        if view.state not in LIVE and view.job_task is None:
+            self.ended_task_keys[view.key] = None
             while len(self.ended_task_keys) > self.max_ended_tasks:
                 self.remove_task(next(iter(self.ended_task_keys)))
-        self.mark_task_dirty(seen.key)
+        self.mark_task_dirty(view.key)
 
-    def _back(self, what: AttemptConcluded) -> None:
-        machine = what.attempt.machine
-        if what.outcome is api.Outcome.TIMED_OUT:
+    def _record_conclusion(self, event: AttemptConcluded) -> None:
+        machine = event.attempt.machine
+        if event.outcome is api.Outcome.TIMED_OUT:
             self.unanswered_by_machine[machine] = self.unanswered_by_machine.get(machine, 0) + 1
-        elif what.outcome in (api.Outcome.REJECTED, api.Outcome.COMPLETED):
+        elif event.outcome in (api.Outcome.REJECTED, api.Outcome.COMPLETED):
             self.unanswered_by_machine.pop(machine, None)
-        self.mark_call_dirty(what.attempt.call)
+        self.mark_call_dirty(event.attempt.call)
 
-    def _machines(self, news: api.MachineListUpdated) -> None:
-        if news.kind is api.ListUpdateKind.FAILED:
+    def _apply_machine_list(self, update: api.MachineListUpdated) -> None:
+        if update.kind is api.ListUpdateKind.FAILED:
             return
-        told = {machine.name: machine for machine in news.machines}
-        gone = set(self.machines_by_name) - set(told) if news.kind is api.ListUpdateKind.SNAPSHOT else set()
-        gone |= {name for name, machine in told.items() if machine.phase is api.MachinePhase.REMOVED}
-        self.machines_by_name.update(told)
-        for name in gone:
+        updated = {machine.name: machine for machine in update.machines}
+        removed = (
+            set(self.machines_by_name) - set(updated) if update.kind is api.ListUpdateKind.SNAPSHOT else set()
+        )
+        removed |= {name for name, machine in updated.items() if machine.phase is api.MachinePhase.REMOVED}
+        self.machines_by_name.update(updated)
+        for name in removed:
             self.machines_by_name.pop(name, None)
             self.unanswered_by_machine.pop(name, None)
-        for name in (*told, *gone):
+        for name in (*updated, *removed):
             self.mark_machine_dirty(name)
 
-    # ---- what is to be flushed ----
+    # ---- changed resources ----
 
     def mark_task_dirty(self, key: Key) -> None:
+        """Marks a task to be published."""
         self.dirty_tasks[key] = None
         self.schedule_flush()
 
     def mark_call_dirty(self, call: Call) -> None:
-        seen = self.find_view(call)
-        if seen is not None and seen.call is call:
-            self.mark_task_dirty(seen.key)
+        """Marks the call's task to be published."""
+        view = self.find_view(call)
+        if view is not None and view.call is call:
+            self.mark_task_dirty(view.key)
 
     def mark_job_dirty(self, job: JobState) -> None:
+        """Marks a job to be published."""
         self.dirty_jobs[job] = None
         self.schedule_flush()
 
     def mark_machine_dirty(self, name: str) -> None:
+        """Marks a machine to be published."""
         self.dirty_machines[name] = None
         self.schedule_flush()
 
     def remove_task(self, key: Key) -> None:
-        """The task is no longer shown."""
-        seen = self.views_by_key.pop(key, None)
+        """Deletes the task's resource."""
+        view = self.views_by_key.pop(key, None)
         self.ended_task_keys.pop(key, None)
         self.dirty_tasks.pop(key, None)
-        if seen is not None:
-            self._count(seen, None)
-            self._wait(seen, None)
+        if view is not None:
+            self._update_counts(view, None)
+            self._update_waiting_shape(view, None)
             self._publish(self.versions.delete("tasks", key))
 
     # ---- flush ----
 
-    def flush(self, most: int) -> bool:
-        """Publishes up to so many changed resources; gives whether some are left."""
-        left = most
-        while self.dirty_tasks and left:
+    def flush(self, max_count: int) -> bool:
+        """Publishes up to `max_count` changed resources; returns whether the limit was reached."""
+        remaining = max_count
+        while self.dirty_tasks and remaining:
             self.flush_task(next(iter(self.dirty_tasks)))
-            left -= 1
-        while self.dirty_jobs and left:
+            remaining -= 1
+        while self.dirty_jobs and remaining:
             self.flush_job(next(iter(self.dirty_jobs)))
-            left -= 1
-        while self.dirty_services and left:
+            remaining -= 1
+        while self.dirty_services and remaining:
             name = next(iter(self.dirty_services))
             del self.dirty_services[name]
             self._flush_service(name)
-            left -= 1
-        while self.dirty_machines and left:
+            remaining -= 1
+        while self.dirty_machines and remaining:
             machine = next(iter(self.dirty_machines))
             del self.dirty_machines[machine]
             self._flush_machine(machine)
-            left -= 1
-        return not left
+            remaining -= 1
+        return not remaining
 
     def flush_task(self, key: Key) -> None:
-        """Publishes one task now, if it has changed."""
+        """Publishes one task at once, if it has changed."""
         if key in self.dirty_tasks:
             del self.dirty_tasks[key]
             self._flush_task(self.views_by_key[key])
@@ -251,64 +264,67 @@
             if self.channels.ready_watchers:
                 self.schedule_flush()
 
-    def _flush_task(self, seen: TaskView) -> None:
-        call, slot = seen.call, seen.job_task
-        if slot is not None:
-            spec = slot.job.spec
-            shape = (slot.job.task_class.name, spec.service, spec.cores, spec.memory)
-            attempts = sum(reason.count for reason in slot.pending_reasons.reasons_by_kind.values())
+    def _flush_task(self, view: TaskView) -> None:
+        call, job_task = view.call, view.job_task
+        if job_task is not None:
+            spec = job_task.job.spec
+            shape = (job_task.job.task_class.name, spec.service, spec.cores, spec.memory)
+            attempts = sum(reason.count for reason in job_task.pending_reasons.reasons_by_kind.values())
         elif call is not None:
-            ask = call.task_request
-            shape, attempts = (ask.task_class, ask.service, ask.cores, ask.memory), len(call.attempts)
+            request = call.task_request
+            shape, attempts = (
+                (request.task_class, request.service, request.cores, request.memory),
+                len(call.attempts),
+            )
         else:
             return
-        waits = seen.state == TaskState.STAGING
-        self._wait(seen, shape if waits else None)
+        is_waiting = view.state == TaskState.STAGING
+        self._update_waiting_shape(view, shape if is_waiting else None)
         placed = (
             call is not None
-            and seen.state in (TaskState.STARTING, TaskState.RUNNING)
-            and seen.machine is not None
+            and view.state in (TaskState.STARTING, TaskState.RUNNING)
+            and view.machine is not None
         )
-        at = seen.machine if placed else None
-        if waits:
-            self._count(seen, (shape[1], "waiting", ""))
-        elif at is not None:
-            machine = self.machines_by_name.get(at)
-            self._count(seen, (shape[1], machine.zone if machine is not None else "", at))
+        placed_on = view.machine if placed else None
+        if is_waiting:
+            self._update_counts(view, (shape[1], "waiting", ""))
+        elif placed_on is not None:
+            machine = self.machines_by_name.get(placed_on)
+            self._update_counts(view, (shape[1], machine.zone if machine is not None else "", placed_on))
         else:
-            self._count(seen, None)
-        tenant, framework, name = seen.key
+            self._update_counts(view, None)
+        tenant, framework, name = view.key
         task = s.Task(
-            labels=seen.labels,
-            created_at_ms=seen.created_at_ms,
+            labels=view.labels,
+            created_at_ms=view.created_at_ms,
             tenant=tenant,
             framework=framework,
             name=name,
-            job=slot.job.name if slot is not None else None,
+            job=job_task.job.name if job_task is not None else None,
             task_class=shape[0],
             service=shape[1],
             cores=shape[2],
             memory=shape[3],
-            state=seen.state,
-            answer=seen.answer,  # type: ignore[arg-type]
-            retry=seen.retry_advice,  # type: ignore[arg-type]
-            reason=seen.reason,
-            message=seen.message,
-            machine=seen.machine,
+            state=view.state,
+            answer=view.answer,  # type: ignore[arg-type]
+            retry=view.retry_advice,  # type: ignore[arg-type]
+            reason=view.reason,
+            message=view.message,
+            machine=view.machine,
             attempts=attempts,
-            why=self.explain_wait(seen) if waits else None,
+            why=self.explain_wait(view) if is_waiting else None,
         )
-        if slot is not None:
-            self.dirty_jobs[slot.job] = None
-        self._publish(self.versions.put("tasks", seen.key, task, task_fields(task)))
+        if job_task is not None:
+            self.dirty_jobs[job_task.job] = None
+        self._publish(self.versions.put("tasks", view.key, task, task_fields(task)))
 
     def flush_job(self, job: JobState) -> None:
-        """Publishes one job now."""
+        """Publishes one job at once."""
         self.dirty_jobs.pop(job, None)
         if job.is_removed:
             self._publish(self.versions.delete("jobs", (job.tenant, job.name)))
             return
-        told = s.Job(
+        resource = s.Job(
             labels=job.labels,
             created_at_ms=job.created_at_ms,
             tenant=job.tenant,
@@ -317,110 +333,121 @@
             spec=job.spec,
             status=job.status(),
         )
-        fields = {".class": job.spec.task_class, ".service": job.spec.service, ".phase": told.status.phase}
-        self._publish(self.versions.put("jobs", (job.tenant, job.name), told, job.labels | fields))
+        fields = {
+            ".class": job.spec.task_class,
+            ".service": job.spec.service,
+            ".phase": resource.status.phase,
+        }
+        self._publish(self.versions.put("jobs", (job.tenant, job.name), resource, job.labels | fields))
 
     def _flush_service(self, name: tuple[str, str]) -> None:
-        tally = self.counts_by_service.get(name)
-        if tally is None or not (tally.waiting_count or tally.placed_by_zone):
+        counts = self.counts_by_service.get(name)
+        if counts is None or not (counts.waiting_count or counts.placed_by_zone):
             self.counts_by_service.pop(name, None)
             self._publish(self.versions.delete("services", name))
             return
-        placed = sum(tally.placed_by_zone.values())
-        told = s.Service(
+        placed = sum(counts.placed_by_zone.values())
+        resource = s.Service(
             tenant=name[0],
             name=name[1],
-            waiting=tally.waiting_count,
+            waiting=counts.waiting_count,
             placed=placed,
-            zones=dict(tally.placed_by_zone),
+            zones=dict(counts.placed_by_zone),
         )
-        self._publish(self.versions.put("services", name, told, {".service": name[1]}))
+        self._publish(self.versions.put("services", name, resource, {".service": name[1]}))
 
     def _flush_machine(self, name: str) -> None:
         machine = self.machines_by_name.get(name)
         if machine is None:
             self._publish(self.versions.delete("machines", (name,)))
             return
-        view = self.core.settings.list_has_free_capacity
-        told = s.Machine(
+        has_free_capacity = self.core.settings.list_has_free_capacity
+        resource = s.Machine(
             name=name,
             kind=machine.kind,
             zone=machine.zone,
             cell=machine.cell,
             phase=machine.phase.value,
             agent=self.agent_state_by_machine.get(name, "unknown"),  # type: ignore[arg-type]
-            cores_left=round(machine.free_cores, 3) if view else None,
-            memory_left=round(machine.free_memory, 1) if view else None,
+            cores_left=round(machine.free_cores, 3) if has_free_capacity else None,
+            memory_left=round(machine.free_memory, 1) if has_free_capacity else None,
         )
-        fields = {".kind": told.kind, ".zone": told.zone, ".phase": told.phase, ".agent": told.agent}
-        self._publish(self.versions.put("machines", (name,), told, fields))
+        fields = {
+            ".kind": resource.kind,
+            ".zone": resource.zone,
+            ".phase": resource.phase,
+            ".agent": resource.agent,
+        }
+        self._publish(self.versions.put("machines", (name,), resource, fields))
 
     # ---- counts ----
 
-    def _count(self, seen: TaskView, now: tuple[str, str, str] | None) -> None:
-        """The task counts with its service under its hall, or as waiting; None: not any more."""
-        if seen.counted_as == now:
+    def _update_counts(self, view: TaskView, bucket: tuple[str, str, str] | None) -> None:
+        """Moves the task to another count of its service; None: it is no longer counted."""
+        if view.counted_as == bucket:
             return
-        tenant = seen.key[0]
-        for told, change in ((seen.counted_as, -1), (now, 1)):
-            if told is None:
+        tenant = view.key[0]
+        for entry, change in ((view.counted_as, -1), (bucket, 1)):
+            if entry is None:
                 continue
-            service, zone, machine = told
-            tally = self.counts_by_service.setdefault((tenant, service), ServiceCounts())
+            service, zone, machine = entry
+            counts = self.counts_by_service.setdefault((tenant, service), ServiceCounts())
             if not machine:
-                tally.waiting_count += change
+                counts.waiting_count += change
             else:
-                tally.placed_by_zone[zone] += change
-                there = self.placed_by_service.setdefault(service, Counter())
-                there[machine] += change
-                if not tally.placed_by_zone[zone]:
-                    del tally.placed_by_zone[zone]
-                if not there[machine]:
-                    del there[machine]
-                if not there:
+                counts.placed_by_zone[zone] += change
+                placed_by_machine = self.placed_by_service.setdefault(service, Counter())
+                placed_by_machine[machine] += change
+                if not counts.placed_by_zone[zone]:
+                    del counts.placed_by_zone[zone]
+                if not placed_by_machine[machine]:
+                    del placed_by_machine[machine]
+                if not placed_by_machine:
                     del self.placed_by_service[service]
             self.dirty_services[tenant, service] = None
-        seen.counted_as = now
+        view.counted_as = bucket
         self.schedule_flush()
 
-    def _wait(self, seen: TaskView, shape: reasons.Shape | None) -> None:
-        if seen.shape == shape:
+    def _update_waiting_shape(self, view: TaskView, shape: reasons.Shape | None) -> None:
+        if view.shape == shape:
             return
-        if seen.shape is not None:
-            there = self.waiting_by_shape[seen.shape]
-            del there[seen.key]
-            if not there:
-                del self.waiting_by_shape[seen.shape]
-                self.causes_by_shape.pop(seen.shape, None)
+        if view.shape is not None:
+            keys = self.waiting_by_shape[view.shape]
+            del keys[view.key]
+            if not keys:
+                del self.waiting_by_shape[view.shape]
+                self.causes_by_shape.pop(view.shape, None)
         if shape is not None:
-            self.waiting_by_shape.setdefault(shape, {})[seen.key] = None
-        seen.shape = shape
+            self.waiting_by_shape.setdefault(shape, {})[view.key] = None
+        view.shape = shape
 
-    # ---- why ----
+    # ---- reasons for waiting ----
 
-    def to_wall_ms(self, at: float) -> float:
-        return self.wall_ms() - (self.core.now() - at)
+    def to_wall_ms(self, at_ms: float) -> float:
+        """Converts a time of the core's clock to wall-clock time."""
+        return self.wall_ms() - (self.core.now() - at_ms)
 
-    def current_cause(self, seen: TaskView) -> s.Cause | None:
-        """What the task waits for just now, as far as that is ours."""
-        slot, call = seen.job_task, seen.call
+    def current_cause(self, view: TaskView) -> s.Cause | None:
+        """What the task waits for at the moment; None if the policy holds it."""
+        job_task, call = view.job_task, view.call
         if not self.get_startup_gate().is_open:
             return reasons.STARTUP_CAUSE
-        if slot is not None and slot.step is not JobStep.IN_ROUND:
-            return reasons.PAUSE if slot.step is JobStep.PAUSED else reasons.QUEUE
+        if job_task is not None and job_task.step is not JobStep.IN_ROUND:
+            return reasons.PAUSE_CAUSE if job_task.step is JobStep.PAUSED else reasons.QUEUE_CAUSE
         last = call.active_attempt() if call is not None else None
         return reasons.in_flight_cause(last.machine, last.number) if last is not None else None
 
-    def explain_wait(self, seen: TaskView) -> s.Why:
-        if seen.job_task is not None:
-            record = seen.job_task.pending_reasons
+    def explain_wait(self, view: TaskView) -> s.Why:
+        """Why the task waits."""
+        if view.job_task is not None:
+            record = view.job_task.pending_reasons
         else:
-            record = seen.call.pending_reasons if seen.call is not None else PendingReasons()
-        common = self.causes_by_shape.get(seen.shape, []) if seen.shape is not None else []
-        return reasons.explain_wait(self.current_cause(seen), record, common, self.to_wall_ms)
+            record = view.call.pending_reasons if view.call is not None else PendingReasons()
+        common = self.causes_by_shape.get(view.shape, []) if view.shape is not None else []
+        return reasons.explain_wait(self.current_cause(view), record, common, self.to_wall_ms)
 
     def refresh_causes(self) -> None:
-        """Looks at the cluster anew for all that wait; where the causes have changed, they are told anew."""
+        """Recomputes the causes of all waiting tasks and marks the tasks whose causes changed as dirty."""
         if not self.waiting_by_shape:
             return
         facts = reasons.ClusterFacts(
@@ -442,15 +469,19 @@
 
 
 def task_labels(call: Call) -> dict[str, str]:
-    """A framework's labels, as far as they are as short and few as a job's may be."""
-    told = call.info.labels.labels if call.info.labels is not None else []
-    most = s.MAX_LABEL_CHARACTERS
-    short = [x for x in told if x.value is not None and len(x.key) <= most and len(x.value) <= most]
-    return {x.key: x.value or "" for x in short[: s.MAX_LABELS] if not x.key.startswith(".")}
+    """A framework's task labels within the limits that apply to a job's labels."""
+    labels = call.info.labels.labels if call.info.labels is not None else []
+    max_length = s.MAX_LABEL_CHARACTERS
+    kept = [
+        label
+        for label in labels
+        if label.value is not None and len(label.key) <= max_length and len(label.value) <= max_length
+    ]
+    return {label.key: label.value or "" for label in kept[: s.MAX_LABELS] if not label.key.startswith(".")}
 
 
 def task_fields(task: s.Task) -> dict[str, str]:
-    """What selectors see of a task."""
+    """The labels and fields of a task that selectors can match."""
     fields = {
         ".state": task.state,
         ".class": task.task_class,
--- a/glencleat/rest/routes.py
+++ b/glencleat/rest/routes.py
@@ -1,4 +1,4 @@
-"""The routes of the REST front: one table for the dispatcher and for the OpenAPI document. Pure."""
+"""The routes of the REST API: one table for the dispatcher and for the OpenAPI document. Pure."""
 
 from __future__ import annotations
 
@@ -10,8 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """`path` has `{name}` for a part that the client fills in; `key_parameters`: the parts that name the
-    resource."""
+    """One method and path of the API.
+
+    `path` has `{name}` for each path parameter; `key_parameters` are those that make up the resource's key.
+    """
 
     method: str
     path: str
@@ -24,40 +26,48 @@
     error_statuses: tuple[int, ...] = ()
 
     def match(self, path: list[str]) -> dict[str, str] | None:
-        """The filled-in parts, decoded; None: another route."""
+        """The decoded values of the path parameters; None if the path doesn't match."""
         parts = self.path.split("/")[1:]
         if len(parts) != len(path):
             return None
-        found = dict[str, str]()
-        for part, told in zip(parts, path, strict=True):
-            if part.startswith("{") and told:
-                found[part[1:-1]] = told
-            elif part != told:
+        values = dict[str, str]()
+        for part, given in zip(parts, path, strict=True):
+            if part.startswith("{") and given:
+                values[part[1:-1]] = given
+            elif part != given:
                 return None
-        return found
+        return values
 
     def parameters(self) -> list[str]:
+        """The names of the path parameters."""
         return [part[1:-1] for part in self.path.split("/") if part.startswith("{")]
 
 
-LISTS = {"jobs": s.JobList, "tasks": s.TaskList, "machines": s.MachineList, "services": s.ServiceList}
-
-
-def _lists() -> list[Route]:
-    made = []
-    for kind, told in LISTS.items():
-        answers = ((200, told, "A page, or with `watch=1` a stream of WatchEvent lines."),)
-        places = [f"/v1/{kind}"] + ([f"/v1/tenants/{{tenant}}/{kind}"] if kind != "machines" else [])
-        for path in places:
-            of = " of a tenant" if "{" in path else ""
-            made.append(
-                Route("GET", path, "list", f"List or watch {kind}{of}", kind, (), None, answers, (400, 410))
+LIST_TYPES_BY_KIND = {
+    "jobs": s.JobList,
+    "tasks": s.TaskList,
+    "machines": s.MachineList,
+    "services": s.ServiceList,
+}
+
+
+def _list_routes() -> list[Route]:
+    routes = []
+    for kind, list_type in LIST_TYPES_BY_KIND.items():
+        responses = ((200, list_type, "A page, or with `watch=1` a stream of WatchEvent lines."),)
+        paths = [f"/v1/{kind}"] + ([f"/v1/tenants/{{tenant}}/{kind}"] if kind != "machines" else [])
+        for path in paths:
+            scope = " of a tenant" if "{" in path else ""
+            routes.append(
+                Route(
+                    "GET", path, "list", f"List or watch {kind}{scope}", kind, (), None, responses, (400, 410)
+                )
             )
-    return made
+    return routes
 
 
-def _gets() -> list[Route]:
-    made = []
+def _get_routes() -> list[Route]:
+    routes = []
     for kind, path in (
         ("jobs", "/v1/tenants/{tenant}/jobs/{name}"),
         ("tasks", "/v1/tenants/{tenant}/tasks/{framework}/{name}"),
@@ -65,20 +75,28 @@
         ("machines", "/v1/machines/{name}"),
     ):
         route = Route("GET", path, "get", f"Get one of the {kind}", kind)
-        answers = ((200, s.TYPES_BY_KIND[kind], "The resource."), (304, None, "As If-None-Match has it."))
-        made.append(
+        responses = ((200, s.TYPES_BY_KIND[kind], "The resource."), (304, None, "As If-None-Match has it."))
+        routes.append(
             Route(
-                "GET", path, "get", route.summary, kind, tuple(route.parameters()), None, answers, (400, 404)
+                "GET",
+                path,
+                "get",
+                route.summary,
+                kind,
+                tuple(route.parameters()),
+                None,
+                responses,
+                (400, 404),
             )
         )
-    return made
+    return routes
 
 
 JOB_PATH, TASK_PATH = "/v1/tenants/{tenant}/jobs/{name}", "/v1/tenants/{tenant}/tasks/{framework}/{name}"
 ROUTES: tuple[Route, ...] = (
     Route("GET", "/openapi.json", "openapi", "This document", responses=((200, None, "OpenAPI 3.1."),)),
-    *_lists(),
-    *_gets(),
+    *_list_routes(),
+    *_get_routes(),
     Route(
         "POST",
         "/v1/tenants/{tenant}/jobs",
--- a/glencleat/rest/schema.py
+++ b/glencleat/rest/schema.py
@@ -1,7 +1,9 @@
-"""Schemas of the REST front: what it checks its input against and what its OpenAPI document is made from.
+"""Schemas of the REST API: they validate requests, and the OpenAPI document is generated from them.
 
 JSON names are in camelCase. Times are milliseconds, memory is MB, cores are cores; `resourceVersion` is
-opaque and compares for equality only."""
+opaque and may only be compared for equality. The docstrings of schema classes and the `Meta` descriptions
+are published in the OpenAPI document.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,7 @@
 Name = Annotated[
     str, Meta(pattern=NAME_PATTERN, max_length=128, description="Letters, digits, `_`, `.`, `-`.")
 ]
-MAX_LABELS, MAX_LABEL_CHARACTERS = 32, 64  # of one resource, and of a key or value
+MAX_LABELS, MAX_LABEL_CHARACTERS = 32, 64  # labels of a resource; characters of a key or value
 LabelKey = Annotated[str, Meta(pattern=LABEL_KEY, max_length=MAX_LABEL_CHARACTERS)]
 LabelValue = Annotated[str, Meta(pattern=LABEL_VALUE, max_length=MAX_LABEL_CHARACTERS)]
 Labels = Annotated[dict[LabelKey, LabelValue], Meta(max_length=MAX_LABELS)]
@@ -27,26 +29,29 @@
 
 Data = Annotated[str, Meta(max_length=65_536)]
 
-TASKS_MOST = 1_000  # of one job
+MAX_TASKS_PER_JOB = 1_000
 
 
-class Camel(msgspec.Struct, rename="camel", omit_defaults=True, frozen=True, kw_only=True, gc=False):
-    """Base of all: fields that are not set don't travel. None can be part of a cycle, and there are many: the
-    garbage collector does not look at them, or a full collection would hold placements up."""
+class CamelCaseModel(msgspec.Struct, rename="camel", omit_defaults=True, frozen=True, kw_only=True, gc=False):
+    """Base of all schemas; fields at their default are left out.
 
+    No instance can be part of a reference cycle, and there are many of them. They are not tracked by the
+    garbage collector, as a full collection over them would delay placements.
+    """
 
-class Strict(Camel, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Base of what clients send: a field that is not known is a mistake and told as one."""
 
+class StrictModel(CamelCaseModel, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """Base of what clients send; an unknown field is an error."""
 
-class JobSpec(Strict, frozen=True, kw_only=True):
+
+class JobSpec(StrictModel, frozen=True, kw_only=True):
     """What a job asks for."""
 
     task_class: Annotated[Text, Meta(description="A class of the allocator's configuration.")] = (
         msgspec.field(name="class")
     )
     service: Text
-    tasks: Annotated[int, Meta(ge=1, le=TASKS_MOST, description="How many tasks.")] = 1
+    tasks: Annotated[int, Meta(ge=1, le=MAX_TASKS_PER_JOB, description="How many tasks.")] = 1
     cores: Annotated[float, Meta(gt=0, le=100_000)]
     memory: Annotated[float, Meta(gt=0, le=1e9, description="MB.")]
     wait_ms: Annotated[
@@ -69,7 +74,7 @@
     data: Annotated[Data | None, Meta(description="Handed to the agent as it is.")] = None
 
 
-class NewJob(Strict, frozen=True, kw_only=True):
+class NewJob(StrictModel, frozen=True, kw_only=True):
     """The body of a creation."""
 
     name: Annotated[Name | None, Meta(description="Unique within the tenant; made if absent.")] = None
@@ -77,13 +82,13 @@
     spec: JobSpec
 
 
-class LabelPatch(Strict, frozen=True, kw_only=True):
+class LabelPatch(StrictModel, frozen=True, kw_only=True):
     """A merge patch (RFC 7396) of a job's labels; null takes one away."""
 
     labels: Annotated[dict[LabelKey, LabelValue | None], Meta(max_length=MAX_LABELS)]
 
 
-class Cause(Camel, frozen=True, kw_only=True):
+class Cause(CamelCaseModel, frozen=True, kw_only=True):
     """One reason why a task waits, or was not placed."""
 
     kind: str
@@ -93,34 +98,34 @@
     at_ms: Annotated[float | None, Meta(description="When it was said last; since the epoch.")] = None
 
 
-class Why(Camel, frozen=True, kw_only=True):
+class Why(CamelCaseModel, frozen=True, kw_only=True):
     """Why a task waits, the weightiest cause first. What machines said is told as they said it."""
 
     summary: str
     causes: list[Cause] = []
 
 
-class JobStatus(Camel, frozen=True, kw_only=True):
+class JobStatus(CamelCaseModel, frozen=True, kw_only=True):
     """Tasks by how they stand."""
 
     phase: Literal["waiting", "placed", "over", "cancelled"]
     waiting: int = 0
     placed: int = 0
     finished: int = 0
-    ended: int = 0  # placed once, and over otherwise
+    ended: int = 0  # was placed, and ended without finishing
     refused: int = 0
     failed: int = 0
 
 
-class Common(Camel, frozen=True, kw_only=True):
-    """What all resources carry."""
+class ResourceModel(CamelCaseModel, frozen=True, kw_only=True):
+    """Fields that all resources have."""
 
     resource_version: str = ""
     labels: dict[str, str] = {}
     created_at_ms: float | None = None
 
 
-class Job(Common, frozen=True, kw_only=True):
+class Job(ResourceModel, frozen=True, kw_only=True):
     tenant: str
     name: str
     uid: str
@@ -128,7 +133,7 @@
     status: JobStatus
 
 
-class Task(Common, frozen=True, kw_only=True):
+class Task(ResourceModel, frozen=True, kw_only=True):
     """A task of either front. States are those of the Mesos v1 API; TASK_STAGING is one that waits."""
 
     tenant: str
@@ -153,7 +158,7 @@
     why: Why | None = None
 
 
-class Machine(Common, frozen=True, kw_only=True):
+class Machine(ResourceModel, frozen=True, kw_only=True):
     name: str
     kind: str
     zone: str
@@ -164,7 +169,7 @@
     memory_left: float | None = None
 
 
-class Service(Common, frozen=True, kw_only=True):
+class Service(ResourceModel, frozen=True, kw_only=True):
     tenant: str
     name: str
     waiting: int = 0
@@ -176,7 +181,7 @@
 TYPES_BY_KIND: dict[str, type[Any]] = {"jobs": Job, "tasks": Task, "machines": Machine, "services": Service}
 
 
-class Listing(Camel, frozen=True, kw_only=True):
+class Listing(CamelCaseModel, frozen=True, kw_only=True):
     """A page. All pages of one list show the state at `resourceVersion`; a watch goes on from there."""
 
     resource_version: str
@@ -202,14 +207,14 @@
     items: list[Service]
 
 
-class WatchEvent(Camel, frozen=True, kw_only=True):
+class WatchEvent(CamelCaseModel, frozen=True, kw_only=True):
     """A line of a watch. BOOKMARK has only `resourceVersion`; ERROR has a problem and is the last line."""
 
     type: Literal["ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR"]
     object: Any
 
 
-class Problem(Camel, frozen=True, kw_only=True):
+class Problem(CamelCaseModel, frozen=True, kw_only=True):
     """An error (RFC 9457)."""
 
     type: str = "about:blank"
@@ -219,7 +224,7 @@
     retry_after_ms: float | None = None
 
 
-class Query(Strict, frozen=True, kw_only=True):
+class Query(StrictModel, frozen=True, kw_only=True):
     """Of a list, and with `watch=1` of a watch."""
 
     label_selector: Annotated[
@@ -248,9 +253,13 @@
 
 
 def encode(value: Any) -> bytes:
+    """The value as JSON."""
     return ENCODER.encode(value)
 
 
 def encode_at_version(value: Any, version: str) -> bytes:
-    """A resource's JSON at a version; it is kept without one, so that equal states compare equal."""
+    """A resource's JSON with the given version.
+
+    Resources are stored without a version, so that equal states compare equal.
+    """
     return b'{"resourceVersion":"%b",%b' % (version.encode(), encode(value)[1:])
--- a/glencleat/rest/service.py
+++ b/glencleat/rest/service.py
@@ -1,9 +1,10 @@
-"""The REST front's subsystem put together: jobs on the core, what became of them, versions, watches.
+"""Joins the parts of the REST API's state: jobs, resources with their versions, watches and overload control.
 
-An Insider of the core: its tasks pass the same ledger, figures, deciders and module as a framework's. What
-is decided stands in `jobs`, `overload`, `reasons` and `channels`; this joins them, with timers and clock
-from the core's loop. No sockets: `fronts.rest_api` calls `create_job`, `cancel_job`, `cancel_task` and
-`patch_job`."""
+Registers with the core as an in-process client: its tasks pass the same call table, metrics, admission
+chain and policy as a framework's. The decisions are made in `jobs`, `overload`, `reasons` and `watches`;
+this module connects them, with timers and the clock of the core's loop. No sockets: `servers.rest_api`
+calls `create_job`, `cancel_job`, `cancel_task` and `patch_job`.
+"""
 
 from __future__ import annotations
 
@@ -52,26 +53,28 @@
 from glencleat.rest.watches import WatchLimits as WatchLimits
 
 PREFIX = "rest"
-FLUSH_MS = 2.0  # after the first change, all that changed meanwhile is published
-MAX_FLUSHED = 100  # resources in one turn
-MAX_TASKS_AT_CREATION = 20  # tasks of a new job that are shown before its creation is answered
-ROUND_INTERVAL_MS = 2.0  # between two turns in which creations get their rounds
-WAKE_INTERVAL_MS = 1.0  # between two turns in which watchers are woken
+FLUSH_DELAY_MS = 2.0  # from the first change to the publication of all changes
+MAX_FLUSHED_PER_TURN = 100  # resources published per turn of the loop
+MAX_TASKS_AT_CREATION = 20  # tasks of a new job published before the response
+ROUND_INTERVAL_MS = 2.0  # between two turns that start rounds
+WAKE_INTERVAL_MS = 1.0  # between two turns that wake watchers
 
 
 @dataclass(frozen=True, slots=True)
 class RestLimits:
+    """Limits of the REST API."""
+
     gate: overload.OverloadLimits = overload.OverloadLimits()
     watch: WatchLimits = WatchLimits()
-    max_events_per_kind: int = 20_000  # of each kind, kept to resume watches and finish lists
-    max_ended_tasks: int = 10_000  # tasks of frameworks shown after their end
-    job_retention_ms: float = 600_000.0  # a job is shown so long after its end
+    max_events_per_kind: int = 20_000  # kept to resume watches and to continue lists
+    max_ended_tasks: int = 10_000  # frameworks' tasks kept after their end
+    job_retention_ms: float = 600_000.0  # how long a job is kept after its end
     max_idempotency_keys: int = 50_000
     sweep_interval_ms: float = 500.0
 
 
 class ConflictError(Exception):
-    """The request does not fit the state; `status` is HTTP's word for it."""
+    """The request doesn't fit the current state; `status` is the HTTP status."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -79,12 +82,16 @@
 
 
 class OverloadError(Exception):
-    def __init__(self, turned: overload.OverloadRejection) -> None:
-        super().__init__(turned.text)
-        self.rejection = turned
+    """The request was rejected; `rejection` says why and when to retry."""
+
+    def __init__(self, rejection: overload.OverloadRejection) -> None:
+        super().__init__(rejection.text)
+        self.rejection = rejection
 
 
 class RestService:
+    """The REST API's jobs and resources on one core."""
+
     prefix = PREFIX
 
     def __init__(self, core: Core, limits: RestLimits, seed: int) -> None:
@@ -100,29 +107,30 @@
             core.timing.clock.wall,
             limits.max_ended_tasks,
         )
-        self.mirror.schedule_flush = self._stir
+        self.mirror.schedule_flush = self._schedule_flush
         self.pace = overload.AdmissionPace()
         self.wake_budget, self.intake = overload.WakeBudget(), overload.OverloadIntake()
         self.gate = overload.RequestGate(limits.gate, self.pace)
         self.round_queue = RoundRobin()
         self.idempotency_keys = IdempotencyKeys(limits.max_idempotency_keys, limits.job_retention_ms)
         self.jobs_by_name: dict[tuple[str, str], JobState] = {}
-        self.waiting_by_tenant: Counter[str] = Counter()  # slots that wait, by tenant
+        self.waiting_by_tenant: Counter[str] = Counter()  # waiting tasks
         self.job_counts_by_tenant: Counter[str] = Counter()
-        self.terminal_jobs: dict[JobState, None] = {}  # in the order in which they ended
-        self.sent_at_by_attempt: dict[
-            str, float
-        ] = {}  # attempts of jobs' tasks without an answer -> when they were sent
-        self.is_flush_scheduled = self.is_pump_scheduled = False
-        self.pump_due = 0.0
+        self.terminal_jobs: dict[JobState, None] = {}  # oldest end first
+        self.sent_at_by_attempt: dict[str, float] = {}  # attempts of job tasks in flight
+        self.is_flush_scheduled = self.is_round_turn_scheduled = False
+        self.rounds_due_ms = 0.0
         self.is_wake_scheduled = False
-        self.close_watcher: Callable[[Any], None] = lambda watcher: None  # set by the front
+        self.close_watcher: Callable[[Any], None] = lambda watcher: None  # set by the server
         core.register_in_process(self)
         core.add_listener(self.on_domain_event)
         core.timing.call_in(limits.sweep_interval_ms, self._sweep)
 
     def apply_limits(self, limits: RestLimits) -> None:
-        """Other bounds from here on; what is over a lower one goes as news comes."""
+        """Applies new limits after a reload.
+
+        What exceeds a lowered limit is dropped as further changes arrive.
+        """
         self.limits, self.gate.limits, self.channels.limits = limits, limits.gate, limits.watch
         self.idempotency_keys.max_keys, self.idempotency_keys.retention_ms, self.mirror.max_ended_tasks = (
             limits.max_idempotency_keys,
@@ -132,29 +140,34 @@
         for kind in self.versions.stores_by_kind.values():
             kind.max_events = limits.max_events_per_kind
 
-    # ---- what clients ask ----
+    # ---- requests of clients ----
 
     def create_job(self, tenant: str, new: s.NewJob, key: str | None, body: bytes) -> tuple[JobState, bool]:
-        """The job, and whether it is a new one; raises Conflict or TooMuch, and then nothing has changed."""
+        """Returns the job, and whether it is new.
+
+        Raises ConflictError or OverloadError without having changed anything.
+        """
         now, fingerprint = self.core.now(), xxhash.xxh3_64_intdigest(body)
         if key is not None:
-            known = self.idempotency_keys.find(tenant, key)
-            if known is not None and known[0] != fingerprint:
+            existing = self.idempotency_keys.find(tenant, key)
+            if existing is not None and existing[0] != fingerprint:
                 raise ConflictError(
                     422, "the Idempotency-Key came before with another body; expected the same one"
                 )
-            if known is not None:
-                return known[1], False
-        cls = self.core.classes_by_name.get(new.spec.task_class)
-        if cls is None:
+            if existing is not None:
+                return existing[1], False
+        task_class = self.core.classes_by_name.get(new.spec.task_class)
+        if task_class is None:
             text = (
                 f"spec.class is {new.spec.task_class[:80]!r};"
                 f" expected one of {', '.join(self.core.classes_by_name)}"
             )
             raise ConflictError(422, text)
-        least = 2.0 * self.core.options.answer_margin_ms
-        if new.spec.wait_ms is not None and new.spec.wait_ms <= least:
-            raise ConflictError(422, f"spec.waitMs is {new.spec.wait_ms:g}; expected more than {least:g}")
+        min_wait_ms = 2.0 * self.core.options.answer_margin_ms
+        if new.spec.wait_ms is not None and new.spec.wait_ms <= min_wait_ms:
+            raise ConflictError(
+                422, f"spec.waitMs is {new.spec.wait_ms:g}; expected more than {min_wait_ms:g}"
+            )
         if new.name is not None and (tenant, new.name) in self.jobs_by_name:
             raise ConflictError(409, f"job {new.name} of {tenant} is there already")
         if self.core.is_shutting_down:
@@ -165,144 +178,157 @@
                     503, f"{self.limits.max_idempotency_keys} idempotency keys are kept", 5_000.0
                 )
             )
-        here, waiting = self.waiting_by_tenant[tenant], self.waiting_by_tenant.total()
-        tasks, queued = new.spec.tasks, self.round_queue.queued_count
-        turned = self.gate.admit_job(tenant, tasks, here, waiting, len(self.jobs_by_name), queued, now)
-        if turned is not None:
-            raise OverloadError(turned)
-        job = self._made(tenant, new, cls, now)
+        waiting_here, waiting = self.waiting_by_tenant[tenant], self.waiting_by_tenant.total()
+        task_count, queued_rounds = new.spec.tasks, self.round_queue.queued_count
+        rejection = self.gate.admit_job(
+            tenant, task_count, waiting_here, waiting, len(self.jobs_by_name), queued_rounds, now
+        )
+        if rejection is not None:
+            raise OverloadError(rejection)
+        job = self._build_job(tenant, new, task_class, now)
         if key is not None:
             self.idempotency_keys.record_key(tenant, key, fingerprint, job, now)
         return job, True
 
-    def _made(self, tenant: str, new: s.NewJob, cls: api.TaskClass, now: float) -> JobState:
+    def _build_job(self, tenant: str, new: s.NewJob, task_class: api.TaskClass, now: float) -> JobState:
         uid = base64.b32encode(self.random.randbytes(10)).decode().lower()
         name = new.name or f"{new.spec.service[:40]}-{uid[:8]}".lower()
-        wall = round(self.core.timing.clock.wall())
-        job = JobState(tenant, name, uid, new.spec, cls, dict(new.labels), wall)
+        wall_ms = round(self.core.timing.clock.wall())
+        job = JobState(tenant, name, uid, new.spec, task_class, dict(new.labels), wall_ms)
         self.jobs_by_name[tenant, name] = job
         self.job_counts_by_tenant[tenant] += 1
-        until = now + job.wait_ms()
+        wait_until_ms = now + job.wait_ms()
         for number in range(new.spec.tasks):
-            slot = JobTask(job, number, until)
-            job.tasks.append(slot)
+            job_task = JobTask(job, number, wait_until_ms)
+            job.tasks.append(job_task)
             self.waiting_by_tenant[tenant] += 1
-            self._show(slot)
-        self.mirror.flush_job(job)  # who reads the answer and then lists finds the job there
-        for slot in job.tasks[:MAX_TASKS_AT_CREATION]:
-            self.mirror.flush_task(self.view_of(slot).key)
-        self._expire_later(job.tasks)
+            self._register_task(job_task)
+        self.mirror.flush_job(job)  # a client that lists after the response finds the job
+        for job_task in job.tasks[:MAX_TASKS_AT_CREATION]:
+            self.mirror.flush_task(self.view_of(job_task).key)
+        self._schedule_expiry(job.tasks)
         return job
 
-    def _show(self, slot: JobTask) -> None:
-        key = slot.job.tenant, framework_id(slot.job.tenant), slot.name()
-        seen = self.mirror.views_by_key.get(key)
-        if seen is None:
-            seen = self.mirror.views_by_key[key] = TaskView(key, slot.job.labels, slot.job.created_at_ms)
-        seen.job_task, seen.labels = slot, slot.job.labels
+    def _register_task(self, job_task: JobTask) -> None:
+        key = job_task.job.tenant, framework_id(job_task.job.tenant), job_task.name()
+        view = self.mirror.views_by_key.get(key)
+        if view is None:
+            view = self.mirror.views_by_key[key] = TaskView(
+                key, job_task.job.labels, job_task.job.created_at_ms
+            )
+        view.job_task, view.labels = job_task, job_task.job.labels
         self.mirror.ended_task_keys.pop(key, None)
         self.mirror.mark_task_dirty(key)
-        if seen.call is not None and seen.call.is_placed():
-            self._join(slot, seen.call)  # it runs already: adopted from a former incarnation
+        if view.call is not None and view.call.is_placed():
+            self._attach_call(job_task, view.call)  # already running: adopted from a former incarnation
         else:
-            seen.mark_waiting()  # what an adopted one that is over has left behind is no answer to this ask
-            self._queue(slot)
+            # The end of an adopted task of this name isn't the answer to this request.
+            view.mark_waiting()
+            self._enqueue(job_task)
 
-    def view_of(self, slot: JobTask) -> TaskView:
-        return self.mirror.views_by_key[slot.job.tenant, framework_id(slot.job.tenant), slot.name()]
+    def view_of(self, job_task: JobTask) -> TaskView:
+        """The view of a job's task."""
+        return self.mirror.views_by_key[
+            job_task.job.tenant, framework_id(job_task.job.tenant), job_task.name()
+        ]
 
     def cancel_job(self, job: JobState) -> None:
-        """Stops all its tasks; once they are over, which may be at once, the job is gone."""
+        """Stops all tasks of the job; the job is removed once all have ended, possibly at once."""
         job.is_cancelled = True
-        for slot in job.tasks:
-            self.cancel_job_task(slot)
+        for job_task in job.tasks:
+            self.cancel_job_task(job_task)
         self.mirror.flush_job(job)
         if job.is_terminal():
-            self._remove(job)
+            self._remove_job(job)
 
-    def cancel_job_task(self, slot: JobTask) -> None:
-        if slot.step is JobStep.TERMINAL:
+    def cancel_job_task(self, job_task: JobTask) -> None:
+        """Stops one task of a job."""
+        if job_task.step is JobStep.TERMINAL:
             return
-        slot.is_cancelled = True
-        if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
-            self._refuse(slot, StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS), "cancelled by its owner")
-        elif slot.call is not None and slot.call.is_closed:  # out of sight; stopped should it come back
-            self._step(slot, JobStep.TERMINAL)
-            self._settled(slot.job)
-        elif slot.call is not None:
-            self.core.framework_sessions.cancel(slot.call)  # its answer, or its end, follows
-
-    def cancel_task(self, seen: TaskView) -> None:
-        if seen.job_task is not None:
-            self.cancel_job_task(seen.job_task)
-        elif seen.call is not None:
-            self.core.framework_sessions.cancel(seen.call)
-        self.mirror.flush_task(seen.key)
+        job_task.is_cancelled = True
+        if job_task.step in (JobStep.QUEUED, JobStep.PAUSED):
+            self._reject_task(
+                job_task, StatusAnswer(TaskState.KILLED, RetryAdvice.HARMLESS), "cancelled by its owner"
+            )
+        elif job_task.call is not None and job_task.call.is_closed:
+            # Unreachable; the core stops the task if it reappears.
+            self._set_step(job_task, JobStep.TERMINAL)
+            self._check_terminal(job_task.job)
+        elif job_task.call is not None:
+            self.core.framework_sessions.cancel(job_task.call)  # its answer or its end follows as an event
+
+    def cancel_task(self, view: TaskView) -> None:
+        """Stops one task, of a job or of a framework."""
+        if view.job_task is not None:
+            self.cancel_job_task(view.job_task)
+        elif view.call is not None:
+            self.core.framework_sessions.cancel(view.call)
+        self.mirror.flush_task(view.key)
 
     def patch_job(self, job: JobState, labels: dict[str, str | None]) -> None:
-        """Merges labels into the job's and its tasks'; raises Conflict."""
+        """Merges labels into those of the job and its tasks; raises ConflictError."""
         merged = {k: v for k, v in (job.labels | labels).items() if v is not None}
         if len(merged) > s.MAX_LABELS:
             raise ConflictError(422, f"labels would be {len(merged)}; expected at most {s.MAX_LABELS}")
         job.labels = merged
-        for slot in job.tasks:
-            seen = self.view_of(slot)
-            seen.labels = merged
-            self.mirror.mark_task_dirty(seen.key)
+        for job_task in job.tasks:
+            view = self.view_of(job_task)
+            view.labels = merged
+            self.mirror.mark_task_dirty(view.key)
         self.mirror.flush_job(job)
 
     # ---- rounds ----
 
-    def _queue(self, slot: JobTask) -> None:
-        self.round_queue.enqueue(slot)
-        self._pump_soon()
+    def _enqueue(self, job_task: JobTask) -> None:
+        self.round_queue.enqueue(job_task)
+        self._schedule_rounds()
 
-    def _pump_soon(self) -> None:
-        if self.is_pump_scheduled or not self.core.startup_gate.is_open:
+    def _schedule_rounds(self) -> None:
+        if self.is_round_turn_scheduled or not self.core.startup_gate.is_open:
             return
-        self.is_pump_scheduled = True
-        self.pump_due = self.core.timing.now() + ROUND_INTERVAL_MS
-        self.core.timing.call_in(ROUND_INTERVAL_MS, self._pump)
-
-    def _pump(self) -> None:
-        """Gives waiting tasks their round for as long as this turn's time lasts."""
-        self.is_pump_scheduled = False
-        began = self.core.timing.now()
-        budget, told = self.pace.begin_turn(began, self.pump_due), 0
+        self.is_round_turn_scheduled = True
+        self.rounds_due_ms = self.core.timing.now() + ROUND_INTERVAL_MS
+        self.core.timing.call_in(ROUND_INTERVAL_MS, self._start_rounds)
+
+    def _start_rounds(self) -> None:
+        """Starts rounds of queued tasks until this turn's time budget is used up."""
+        self.is_round_turn_scheduled = False
+        started_at_ms = self.core.timing.now()
+        budget, rounds_started = self.pace.begin_turn(started_at_ms, self.rounds_due_ms), 0
         self.round_queue.enqueue_due(self.core.now())
         full = self.pace.is_window_full(len(self.sent_at_by_attempt))
-        while not full and (self.core.timing.now() - began < budget or not told):
-            slot = self.round_queue.pop()
-            if slot is None:
+        while not full and (self.core.timing.now() - started_at_ms < budget or not rounds_started):
+            job_task = self.round_queue.pop()
+            if job_task is None:
                 break
-            told += 1
-            self._round(slot)
+            rounds_started += 1
+            self._start_round(job_task)
             full = len(self.sent_at_by_attempt) >= self.pace.window
-        self.pace.end_turn(self.core.timing.now(), told, self.round_queue.queued_count)
-        due = self.round_queue.next_due_ms()
+        self.pace.end_turn(self.core.timing.now(), rounds_started, self.round_queue.queued_count)
+        next_due_ms = self.round_queue.next_due_ms()
         if self.round_queue.queued_count:
-            self._pump_soon()
-        elif due is not None:
-            self._pump_at(due)
+            self._schedule_rounds()
+        elif next_due_ms is not None:
+            self._schedule_rounds_at(next_due_ms)
 
-    def _pump_at(self, due: float) -> None:
-        def look() -> None:
+    def _schedule_rounds_at(self, due_ms: float) -> None:
+        def schedule_if_paused() -> None:
             if self.round_queue.next_due_ms() is not None:
-                self._pump_soon()
+                self._schedule_rounds()
 
-        self.core.timing.call_in(max(0.0, due - self.core.now()), look)
+        self.core.timing.call_in(max(0.0, due_ms - self.core.now()), schedule_if_paused)
 
-    def _round(self, slot: JobTask) -> None:
-        core, job = self.core, slot.job
-        left = round_ms(slot, core.now(), core.options.answer_margin_ms)
-        if left <= 0.0:
-            self._refuse(slot, rejection_answer(False))
+    def _start_round(self, job_task: JobTask) -> None:
+        core, job = self.core, job_task.job
+        round_budget_ms = round_ms(job_task, core.now(), core.options.answer_margin_ms)
+        if round_budget_ms <= 0.0:
+            self._reject_task(job_task, rejection_answer(False))
             return
-        spec, name = job.spec, slot.name()
-        key = f"{spec.key}.{slot.number}" if spec.key is not None else f"{name}.{job.uid}"
-        ask = TaskRequest(
-            job.task_class.name, spec.service, key, spec.cores, spec.memory, left, spec.life_ms,
-            slot.round_count > 0, spec.key is not None,
+        spec, name = job.spec, job_task.name()
+        key = f"{spec.key}.{job_task.number}" if spec.key is not None else f"{name}.{job.uid}"
+        request = TaskRequest(
+            job.task_class.name, spec.service, key, spec.cores, spec.memory, round_budget_ms, spec.life_ms,
+            job_task.round_count > 0, spec.key is not None,
         )  # fmt: skip
         info = m.TaskInfo(
             name=spec.service,
@@ -310,175 +336,187 @@
             resources=m.make_resources(spec.cores, spec.memory),
             data=spec.data,
         )
-        slot.step, slot.round_count = JobStep.IN_ROUND, slot.round_count + 1
-        taken = core.framework_sessions.launch_in_process(
-            framework_id(job.tenant), job.tenant, info, ask, slot.pending_reasons
+        job_task.step, job_task.round_count = JobStep.IN_ROUND, job_task.round_count + 1
+        result = core.framework_sessions.launch_in_process(
+            framework_id(job.tenant), job.tenant, info, request, job_task.pending_reasons
         )
-        if isinstance(taken, AdmissionDecision):
-            given = (
+        if isinstance(result, AdmissionDecision):
+            final_answer = (
                 FinalAnswer.REJECTED
-                if taken.answer.retry_advice is RetryAdvice.HARMLESS
+                if result.answer.retry_advice is RetryAdvice.HARMLESS
                 else FinalAnswer.FAILED
             )
-            self._after(
-                slot, after_round(slot, given, taken.answer, core.now(), self.random), taken.answer, given
+            self._apply_transition(
+                job_task,
+                after_round(job_task, final_answer, result.answer, core.now(), self.random),
+                result.answer,
+                final_answer,
             )
-            self.view_of(slot).message = taken.text
-        elif slot.call is not taken:
-            self._join(slot, taken)
+            self.view_of(job_task).message = result.text
+        elif job_task.call is not result:
+            self._attach_call(job_task, result)
 
-    def _join(self, slot: JobTask, call: Call) -> None:
-        """The task is there already: adopted from a former incarnation."""
-        slot.call = self.view_of(slot).call = call
+    def _attach_call(self, job_task: JobTask, call: Call) -> None:
+        """The task already has a call, adopted from a former incarnation."""
+        job_task.call = self.view_of(job_task).call = call
         if call.final_answer is FinalAnswer.PLACED:
-            self._step(slot, JobStep.PLACED)
-            slot.was_placed, slot.final_answer = True, FinalAnswer.PLACED
+            self._set_step(job_task, JobStep.PLACED)
+            job_task.was_placed, job_task.final_answer = True, FinalAnswer.PLACED
             last = call.last_attempt()
             starting = last is None or last.step is AttemptStep.ACCEPTED
             answer = StatusAnswer(TaskState.STARTING if starting else TaskState.RUNNING, RetryAdvice.NEVER)
-            self.view_of(slot).answer = FinalAnswer.PLACED.value
-            self.view_of(slot).apply_status(answer, None, last.machine if last is not None else None)
-        self.mirror.mark_task_dirty(self.view_of(slot).key)
-
-    def _step(self, slot: JobTask, step: JobStep) -> None:
-        was, now = slot.step in WAITING_STEPS, step in WAITING_STEPS
-        if was != now:
-            self.waiting_by_tenant[slot.job.tenant] += now - was
-        slot.step = step
-
-    def _refuse(self, slot: JobTask, answer: StatusAnswer, text: str | None = None) -> None:
-        """The final answer of a task that has no round out."""
+            self.view_of(job_task).answer = FinalAnswer.PLACED.value
+            self.view_of(job_task).apply_status(answer, None, last.machine if last is not None else None)
+        self.mirror.mark_task_dirty(self.view_of(job_task).key)
+
+    def _set_step(self, job_task: JobTask, step: JobStep) -> None:
+        was_waiting, is_waiting = job_task.step in WAITING_STEPS, step in WAITING_STEPS
+        if was_waiting != is_waiting:
+            self.waiting_by_tenant[job_task.job.tenant] += is_waiting - was_waiting
+        job_task.step = step
+
+    def _reject_task(self, job_task: JobTask, answer: StatusAnswer, text: str | None = None) -> None:
+        """The final answer of a task that has no round in progress."""
         if text is None:
-            text = slot.pending_reasons.describe(len(self.core.serving_machines or ()))
-        self._after(slot, Transition(JobStep.TERMINAL), answer, FinalAnswer.REJECTED, text)
+            text = job_task.pending_reasons.describe(len(self.core.serving_machines or ()))
+        self._apply_transition(job_task, Transition(JobStep.TERMINAL), answer, FinalAnswer.REJECTED, text)
 
-    def _after(
+    def _apply_transition(
         self,
-        slot: JobTask,
-        then: Transition,
+        job_task: JobTask,
+        transition: Transition,
         answer: StatusAnswer,
-        given: FinalAnswer,
+        final_answer: FinalAnswer,
         text: str | None = None,
     ) -> None:
-        seen, now = self.view_of(slot), self.core.now()
-        self.mirror.mark_task_dirty(seen.key)
-        if then.step is JobStep.PAUSED:
-            seen.mark_waiting()
-            self._step(slot, JobStep.PAUSED)
-            self.round_queue.pause(slot, now + then.pause_ms)
-            self._pump_at(now + then.pause_ms)
+        view, now = self.view_of(job_task), self.core.now()
+        self.mirror.mark_task_dirty(view.key)
+        if transition.step is JobStep.PAUSED:
+            view.mark_waiting()
+            self._set_step(job_task, JobStep.PAUSED)
+            self.round_queue.pause(job_task, now + transition.pause_ms)
+            self._schedule_rounds_at(now + transition.pause_ms)
             return
-        self._step(slot, then.step)
-        slot.final_answer, seen.answer = given, given.value
-        last = slot.call.last_attempt() if slot.call is not None and then.step is JobStep.PLACED else None
-        seen.apply_status(answer, text, last.machine if last is not None else None)
-        if then.step is JobStep.TERMINAL:
-            self._settled(slot.job)
+        self._set_step(job_task, transition.step)
+        job_task.final_answer, view.answer = final_answer, final_answer.value
+        last = (
+            job_task.call.last_attempt()
+            if job_task.call is not None and transition.step is JobStep.PLACED
+            else None
+        )
+        view.apply_status(answer, text, last.machine if last is not None else None)
+        if transition.step is JobStep.TERMINAL:
+            self._check_terminal(job_task.job)
 
-    # ---- hearing the core ----
+    # ---- events of the core ----
 
     def is_task_needed(self, call: Call) -> bool:
-        seen = self.mirror.find_view(call)
-        return seen is not None and (seen.job_task is None or not seen.job_task.is_cancelled)
-
-    def on_domain_event(self, what: DomainEvent) -> None:
-        if not self._ours(what):
-            self.mirror.on_domain_event(what)
-        if isinstance(what, AttemptSent):
-            if what.attempt.call.framework_id.startswith(PREFIX + ":"):
-                self.sent_at_by_attempt[what.attempt.id] = what.attempt.sent_at_ms
-        elif isinstance(what, AttemptConcluded):
-            self._heard(what.attempt, what.outcome is api.Outcome.REJECTED)
-        elif isinstance(what, CallAnswered) and what.final_answer is FinalAnswer.PLACED:
-            self._heard(what.call.last_attempt(), True)
-        elif isinstance(what, PlacementOpened):
-            self._pump_soon()
-
-    def _heard(self, attempt: Attempt | None, answered: bool) -> None:
-        """An attempt is no longer out; `answered`: its machine said so."""
-        sent = self.sent_at_by_attempt.pop(attempt.id, None) if attempt is not None else None
-        if sent is not None and answered:
-            self.pace.record_latency(self.core.now() - sent)
-
-    def _ours(self, what: DomainEvent) -> bool:
-        """Whether it is about a job's task; then it is handled here."""
-        if not isinstance(what, TaskStatusReported | CallAdded | CallAnswered | CallForgotten):
+        """Whether the call belongs to a known task that has not been cancelled."""
+        view = self.mirror.find_view(call)
+        return view is not None and (view.job_task is None or not view.job_task.is_cancelled)
+
+    def on_domain_event(self, event: DomainEvent) -> None:
+        """Applies an event of the core to the jobs, the resource mirror and the pace of rounds."""
+        if not self._handle_job_event(event):
+            self.mirror.on_domain_event(event)
+        if isinstance(event, AttemptSent):
+            if event.attempt.call.framework_id.startswith(PREFIX + ":"):
+                self.sent_at_by_attempt[event.attempt.id] = event.attempt.sent_at_ms
+        elif isinstance(event, AttemptConcluded):
+            self._record_attempt_end(event.attempt, event.outcome is api.Outcome.REJECTED)
+        elif isinstance(event, CallAnswered) and event.final_answer is FinalAnswer.PLACED:
+            self._record_attempt_end(event.call.last_attempt(), True)
+        elif isinstance(event, PlacementOpened):
+            self._schedule_rounds()
+
+    def _record_attempt_end(self, attempt: Attempt | None, has_answer: bool) -> None:
+        """An attempt is no longer in flight; `has_answer`: because its machine answered."""
+        sent_at_ms = self.sent_at_by_attempt.pop(attempt.id, None) if attempt is not None else None
+        if sent_at_ms is not None and has_answer:
+            self.pace.record_latency(self.core.now() - sent_at_ms)
+
+    def _handle_job_event(self, event: DomainEvent) -> bool:
+        """Handles an event about a task of a job; returns whether it was one."""
+        if not isinstance(event, TaskStatusReported | CallAdded | CallAnswered | CallForgotten):
             return False
-        seen = self.mirror.find_view(what.call)
-        if seen is None or seen.job_task is None:
+        view = self.mirror.find_view(event.call)
+        if view is None or view.job_task is None:
             return False
-        if isinstance(what, CallAdded):
-            seen.call = seen.job_task.call = what.call
-        elif isinstance(what, TaskStatusReported) and what.call is seen.job_task.call:
-            self._told(seen.job_task, seen, what)
-        self.mirror.mark_task_dirty(seen.key)
+        if isinstance(event, CallAdded):
+            view.call = view.job_task.call = event.call
+        elif isinstance(event, TaskStatusReported) and event.call is view.job_task.call:
+            self._handle_status(view.job_task, view, event)
+        self.mirror.mark_task_dirty(view.key)
         return True
 
-    def _told(self, slot: JobTask, seen: TaskView, what: TaskStatusReported) -> None:
-        answer, given = what.answer, what.call.final_answer
-        if slot.step is JobStep.IN_ROUND and given is not None:
-            then = after_round(slot, given, answer, self.core.now(), self.random)
-            slot.was_placed |= then.step is JobStep.PLACED
-            self._after(slot, then, answer, given, what.text)
+    def _handle_status(self, job_task: JobTask, view: TaskView, event: TaskStatusReported) -> None:
+        answer, final_answer = event.answer, event.call.final_answer
+        if job_task.step is JobStep.IN_ROUND and final_answer is not None:
+            transition = after_round(job_task, final_answer, answer, self.core.now(), self.random)
+            job_task.was_placed |= transition.step is JobStep.PLACED
+            self._apply_transition(job_task, transition, answer, final_answer, event.text)
         elif answer.state in (TaskState.STARTING, TaskState.RUNNING):
-            # Also one that was told as failed, or that was to be placed anew, and is found to run: it is
-            # placed from here on, and nothing more is asked for it.
-            self.mirror.record_status(what.call, answer, what.text)
-            slot.was_placed = True
-            if slot.step is not JobStep.PLACED:
-                self._step(slot, JobStep.PLACED)
-                slot.final_answer = slot.final_answer or FinalAnswer.PLACED
-                seen.answer = slot.final_answer.value
-                self.terminal_jobs.pop(slot.job, None)
-                slot.job.terminal_at_ms = None
-        elif slot.step is JobStep.PLACED:
-            then = after_end(slot, answer)
-            if then.step is JobStep.PAUSED:
-                self._again(slot, then)
+            # Includes a task that was reported as failed, or that was to be placed again, and turns out to
+            # run: it counts as placed from now on, and no further round is started.
+            self.mirror.record_status(event.call, answer, event.text)
+            job_task.was_placed = True
+            if job_task.step is not JobStep.PLACED:
+                self._set_step(job_task, JobStep.PLACED)
+                job_task.final_answer = job_task.final_answer or FinalAnswer.PLACED
+                view.answer = job_task.final_answer.value
+                self.terminal_jobs.pop(job_task.job, None)
+                job_task.job.terminal_at_ms = None
+        elif job_task.step is JobStep.PLACED:
+            transition = after_end(job_task, answer)
+            if transition.step is JobStep.PAUSED:
+                self._place_again(job_task, transition)
                 return
-            self.mirror.record_status(what.call, answer, what.text)
-            slot.is_finished = answer.state == TaskState.FINISHED
-            self._step(slot, then.step)
-            if then.step is JobStep.TERMINAL:
-                self._settled(slot.job)
+            self.mirror.record_status(event.call, answer, event.text)
+            job_task.is_finished = answer.state == TaskState.FINISHED
+            self._set_step(job_task, transition.step)
+            if transition.step is JobStep.TERMINAL:
+                self._check_terminal(job_task.job)
         else:
-            self.mirror.record_status(what.call, answer, what.text)  # what has become known of a failed one
+            # A later report on a task that has failed.
+            self.mirror.record_status(event.call, answer, event.text)
 
-    def _again(self, slot: JobTask, then: Transition) -> None:
-        """A task that was placed and lost is asked for anew, with its whole time before it."""
+    def _place_again(self, job_task: JobTask, transition: Transition) -> None:
+        """A placed task that was lost is queued again, with its whole wait time."""
         now = self.core.now()
-        slot.wait_until_ms, slot.round_count, slot.final_answer = (
-            now + then.pause_ms + slot.job.wait_ms(),
+        job_task.wait_until_ms, job_task.round_count, job_task.final_answer = (
+            now + transition.pause_ms + job_task.job.wait_ms(),
             0,
             None,
         )
-        self._after(slot, then, StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REJECTED)
-        self._expire_later([slot])
+        self._apply_transition(
+            job_task, transition, StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS), FinalAnswer.REJECTED
+        )
+        self._schedule_expiry([job_task])
 
-    # ---- time ----
+    # ---- timers ----
 
-    def _expire_later(self, slots: list[JobTask]) -> None:
-        until = slots[0].wait_until_ms
+    def _schedule_expiry(self, job_tasks: list[JobTask]) -> None:
+        until = job_tasks[0].wait_until_ms
 
         def expire() -> None:
-            for slot in slots:
-                if slot.step in (JobStep.QUEUED, JobStep.PAUSED) and slot.wait_until_ms <= until:
-                    self._refuse(slot, rejection_answer(False))
+            for job_task in job_tasks:
+                if job_task.step in (JobStep.QUEUED, JobStep.PAUSED) and job_task.wait_until_ms <= until:
+                    self._reject_task(job_task, rejection_answer(False))
 
         margin = self.core.options.answer_margin_ms
         self.core.timing.call_in(max(0.0, until - margin - self.core.now()), expire)
 
-    def _settled(self, job: JobState) -> None:
-        """Looks whether the job is over; a cancelled one is then gone at once."""
+    def _check_terminal(self, job: JobState) -> None:
+        """Records whether the job has ended; a cancelled job is then removed."""
         self.mirror.mark_job_dirty(job)
         if not job.is_terminal():
             return
         job.terminal_at_ms = self.core.now()
         self.terminal_jobs[job] = None
         if job.is_cancelled:
-            self.core.timing.call_in(0.0, lambda: self._remove(job))
+            self.core.timing.call_in(0.0, lambda: self._remove_job(job))
 
-    def _remove(self, job: JobState) -> None:
+    def _remove_job(self, job: JobState) -> None:
         if job.is_removed or not job.is_terminal():
             return
         job.is_removed = True
@@ -490,9 +528,9 @@
             self.round_queue.forget_tenant(job.tenant)
             if not self.waiting_by_tenant[job.tenant]:
                 del self.waiting_by_tenant[job.tenant]
-        for slot in job.tasks:
-            key = self.view_of(slot).key
-            self.mirror.flush_task(key)  # the last state is seen before it goes
+        for job_task in job.tasks:
+            key = self.view_of(job_task).key
+            self.mirror.flush_task(key)  # watchers see the last state before the deletion
             self.mirror.remove_task(key)
         self.mirror.flush_job(job)
 
@@ -502,46 +540,46 @@
         now = self.core.now()
         while self.terminal_jobs:
             job = next(iter(self.terminal_jobs))
-            crowded = len(self.jobs_by_name) > 0.9 * self.limits.gate.max_jobs
+            is_nearly_full = len(self.jobs_by_name) > 0.9 * self.limits.gate.max_jobs
             if job.terminal_at_ms is None or not (
-                crowded or now - job.terminal_at_ms > self.limits.job_retention_ms
+                is_nearly_full or now - job.terminal_at_ms > self.limits.job_retention_ms
             ):
                 break
-            self._remove(job)
+            self._remove_job(job)
         for watcher in self.channels.mark_stalled(now):
             self.close_watcher(watcher)
 
-    def _stir(self) -> None:
+    def _schedule_flush(self) -> None:
         if not self.is_flush_scheduled:
             self.is_flush_scheduled = True
-            self.core.timing.call_in(FLUSH_MS, self._flush)
+            self.core.timing.call_in(FLUSH_DELAY_MS, self._flush)
 
     def _flush(self) -> None:
         self.is_flush_scheduled = False
-        if self.mirror.flush(MAX_FLUSHED):
-            self._stir()
+        if self.mirror.flush(MAX_FLUSHED_PER_TURN):
+            self._schedule_flush()
         self.schedule_wake()
 
     def schedule_wake(self) -> None:
-        """Wakes watchers with news, some in each turn of the loop, so that no decision waits for them all."""
+        """Wakes ready watchers, a few per turn of the loop, so that placements don't wait for all of them."""
         if self.channels.ready_watchers and not self.is_wake_scheduled:
             self.is_wake_scheduled = True
-            self.core.timing.call_in(WAKE_INTERVAL_MS, self._fan)
+            self.core.timing.call_in(WAKE_INTERVAL_MS, self._wake_watchers)
 
-    def _fan(self) -> None:
+    def _wake_watchers(self) -> None:
         self.is_wake_scheduled = False
-        most = self.wake_budget.allowed_count(self.core.timing.now())
-        if most:
-            self.channels.wake_watchers(most)
+        allowed = self.wake_budget.allowed_count(self.core.timing.now())
+        if allowed:
+            self.channels.wake_watchers(allowed)
         self.schedule_wake()
 
     def shut_down(self) -> None:
-        """SIGTERM: what has no round out is answered; what has one gets the core's answer."""
+        """Answers the tasks without a round in progress on SIGTERM; the core answers the others."""
         for job in list(self.jobs_by_name.values()):
-            for slot in job.tasks:
-                if slot.step in (JobStep.QUEUED, JobStep.PAUSED):
-                    self._refuse(
-                        slot,
+            for job_task in job.tasks:
+                if job_task.step in (JobStep.QUEUED, JobStep.PAUSED):
+                    self._reject_task(
+                        job_task,
                         StatusAnswer(TaskState.DROPPED, RetryAdvice.HARMLESS),
                         "the allocator is shutting down",
                     )
@@ -551,5 +589,5 @@
 
 
 def framework_id(tenant: str) -> str:
-    """The tenant's jobs as an owner of tasks; frameworks can't subscribe under such an id."""
+    """The framework id of the tenant's jobs; frameworks can't subscribe with such an id."""
     return f"{PREFIX}:{tenant}"
--- a/glencleat/rest/version_store.py
+++ b/glencleat/rest/version_store.py
@@ -1,9 +1,11 @@
-"""Versioned resources: each kind a sorted map that can be read at any version of a bounded past. Pure state.
+"""Versioned resources: each kind is a sorted map that can be read at any recent version. Pure state.
 
-One counter numbers all changes. Each change is an Event in its kind's log, which holds the last `max_events`
-of them; each Record points at the one before it, so that a list in many pages shows one instant although the
-resources go on changing (multi-version concurrency control). What falls out of the log takes its old Records
-with it. The alternative, a copy of the map for each list, is measured in benchmarks/watch_index.py."""
+One counter numbers all changes. Each change is an event in the log of its kind, which keeps the last
+`max_events` events. Each record links to its predecessor, so that a list in many pages shows one instant
+while the resources go on changing (multi-version concurrency control). When an event drops out of the log,
+the record that it replaced is dropped too. The alternative, a copy of the map for each list, is measured in
+benchmarks/watch_index.py.
+"""
 
 from __future__ import annotations
 
@@ -16,38 +18,39 @@
 
 from glencleat.rest.selector import Selector, index_terms, matches
 
-Key = tuple[str, ...]  # the tenant first, where a kind has one
-MAX_SCANNED_KEYS = 2_000  # keys that one page looks at, whether they match or not
+Key = tuple[str, ...]  # begins with the tenant if the kind has tenants
+MAX_SCANNED_KEYS = 2_000  # limit of keys read for one page, matching or not
 
 
 class VersionGoneError(Exception):
-    """The version is older than what the log holds, or is another process's; list again (410)."""
+    """The version is older than the log or belongs to another process; the client has to list again (410)."""
 
 
 class ResourceRecord(msgspec.Struct, eq=False, gc=False):
-    """One resource from `version` on; `value` None: deleted. `labels`: what selectors see.
+    """One resource from `version` on; `value` is None if deleted, `labels` are what selectors match.
 
-    Records and Events form chains and no cycles, and are too many for the garbage collector to go through."""
+    Records and events form chains and no cycles, and are too many for the garbage collector to traverse.
+    """
 
     key: Key
     version: int
     value: Any
     labels: Mapping[str, str]
     previous: ResourceRecord | None = None
-    encoded: bytes | None = None  # filled by whoever writes it first
+    encoded: bytes | None = None  # JSON, cached by the first reader
 
 
 class VersionEvent(msgspec.Struct, eq=False, gc=False):
+    """One change of a resource."""
+
     kind: str
     version: int
     record: ResourceRecord
     previous: ResourceRecord | None
-    lines_by_type: dict[str, bytes] | None = (
-        None  # its line of a watch, by type; filled by whoever writes it first
-    )
+    lines_by_type: dict[str, bytes] | None = None  # encoded watch lines, cached by the first writer
 
     def type_for(self, selector: Selector) -> str | None:
-        """What the change is to a watcher of the selector; None: nothing."""
+        """The type of the change for a watcher with the selector; None if it doesn't concern the watcher."""
         now = self.record.value is not None and matches(selector, self.record.labels)
         before = self.previous is not None and self.previous.value is not None
         before = before and matches(selector, self.previous.labels)  # type: ignore[union-attr]
@@ -57,20 +60,20 @@
 
 
 class KindStore:
-    """One kind's resources and log."""
+    """The resources and the event log of one kind."""
 
-    def __init__(self, most: int) -> None:
-        self.max_events = most
+    def __init__(self, max_events: int) -> None:
+        self.max_events = max_events
         self.records: SortedDict[Key, ResourceRecord] = SortedDict()
         self.log: list[VersionEvent] = []
-        self.log_start = 0  # of the log's list; what lies before it is out
-        self.compacted_version = 0  # the newest version that can't be resumed before
+        self.log_start = 0  # index of the oldest event kept; entries before it are dropped in bulk
+        self.compacted_version = 0  # the oldest version from which a watch can be resumed
         self.live_count = 0
-        # (label, value) -> keys of which a Record that can still be read has it, and how many do
+        # (label, value) -> keys with readable records that have the label, and how many records those are
         self.keys_by_label: dict[tuple[str, str], dict[Key, int]] = {}
 
     def update_index(self, record: ResourceRecord, change: int) -> None:
-        """Counts a Record in (1) or out (-1) of what its labels find."""
+        """Adds a record to the label index (1) or removes it (-1)."""
         if record.value is None:
             return
         for label in record.labels.items():
@@ -84,19 +87,20 @@
                 del self.keys_by_label[label]
 
     def candidate_keys(self, selector: Selector, after: Key | None, tenant: str | None) -> Iterable[Key]:
-        """Keys that may match, in order: those of the rarest wanted label, or all where none is wanted."""
-        wanted = [self.keys_by_label.get(label, {}) for label in index_terms(selector)]
-        if wanted:
-            _, _, rarest = min((len(keys), number, keys) for number, keys in enumerate(wanted))
-            found = sorted(rarest)
+        """Keys that may match, in order: those of the rarest required label, or all if none is required."""
+        key_sets = [self.keys_by_label.get(label, {}) for label in index_terms(selector)]
+        if key_sets:
+            _, _, rarest = min((len(keys), number, keys) for number, keys in enumerate(key_sets))
+            candidates = sorted(rarest)
             if tenant is not None:
-                found = [key for key in found if key[0] == tenant]
-            return found if after is None else found[bisect_right(found, after) :]
-        low = after if after is not None else (tenant,) if tenant is not None else None
-        high = (tenant + "\0",) if tenant is not None else None
-        return self.records.irange(low, high, inclusive=(after is None, False))
+                candidates = [key for key in candidates if key[0] == tenant]
+            return candidates if after is None else candidates[bisect_right(candidates, after) :]
+        lower = after if after is not None else (tenant,) if tenant is not None else None
+        upper = (tenant + "\0",) if tenant is not None else None
+        return self.records.irange(lower, upper, inclusive=(after is None, False))
 
     def append_event(self, event: VersionEvent) -> None:
+        """Appends to the log and drops the oldest events above the limit."""
         self.log.append(event)
         while len(self.log) - self.log_start > self.max_events:
             self._compact(self.log[self.log_start])
@@ -114,25 +118,30 @@
             del self.records[event.record.key]
 
     def events_since(self, version: int) -> list[VersionEvent]:
-        at = bisect_right(self.log, version, lo=self.log_start, key=lambda event: event.version)
-        return self.log[at:]
+        """The events after a version, which the log must still cover."""
+        position = bisect_right(self.log, version, lo=self.log_start, key=lambda event: event.version)
+        return self.log[position:]
 
 
 class VersionStore:
-    """All kinds. A version as clients see it is `EPOCH-NUMBER`: another process's is never taken for ours."""
+    """The resources of all kinds.
+
+    A version has the form `EPOCH-NUMBER` for clients, so that a version of another process is recognized.
+    """
 
-    def __init__(self, epoch: str, kinds: Mapping[str, int]) -> None:
+    def __init__(self, epoch: str, max_events_by_kind: Mapping[str, int]) -> None:
         self.epoch, self.current_version = epoch, 0
-        self.stores_by_kind = {name: KindStore(most) for name, most in kinds.items()}
+        self.stores_by_kind = {name: KindStore(max_events) for name, max_events in max_events_by_kind.items()}
 
     def format_version(self, number: int | None = None) -> str:
+        """The version as clients see it; without a number, the current one."""
         return f"{self.epoch}-{self.current_version if number is None else number}"
 
     def parse_version(self, text: str) -> int:
-        """The number of a version that a client gives back; raises Gone, or ValueError if it is none."""
+        """The number of a client's version; raises VersionGoneError, or ValueError if it is malformed."""
         epoch, dash, number = text.rpartition("-")
-        shaped = dash and epoch.isalnum() and number.isascii() and number.isdigit()
-        if not shaped or len(number) > 18:
+        is_well_formed = dash and epoch.isalnum() and number.isascii() and number.isdigit()
+        if not is_well_formed or len(number) > 18:
             raise ValueError(f"resourceVersion is {text[:40]!r}; expected one that this server told")
         if epoch != self.epoch:
             raise VersionGoneError("the resourceVersion is another process's; list again")
@@ -141,27 +150,28 @@
         return int(number)
 
     def put(self, kind: str, key: Key, value: Any, labels: Mapping[str, str]) -> VersionEvent | None:
-        """A new state of a resource; None where nothing changed. Values compare by their fields."""
+        """Stores a new state of a resource; None if nothing changed. Values are compared by their fields."""
         store = self.stores_by_kind[kind]
         before = store.records.get(key)
         if before is not None and before.value == value and before.labels == labels:
             return None
         store.live_count += before is None or before.value is None
-        return self._change(
+        return self._apply_change(
             store, kind, ResourceRecord(key, self.current_version + 1, value, labels, before), before
         )
 
     def delete(self, kind: str, key: Key) -> VersionEvent | None:
+        """Deletes a resource; None if it doesn't exist."""
         store = self.stores_by_kind[kind]
         before = store.records.get(key)
         if before is None or before.value is None:
             return None
         store.live_count -= 1
-        return self._change(
+        return self._apply_change(
             store, kind, ResourceRecord(key, self.current_version + 1, None, before.labels, before), before
         )
 
-    def _change(
+    def _apply_change(
         self, store: KindStore, kind: str, record: ResourceRecord, before: ResourceRecord | None
     ) -> VersionEvent:
         self.current_version = record.version
@@ -172,11 +182,12 @@
         return event
 
     def get(self, kind: str, key: Key) -> ResourceRecord | None:
+        """The current record of a resource; None if it doesn't exist."""
         record = self.stores_by_kind[kind].records.get(key)
         return record if record is not None and record.value is not None else None
 
     def events_since(self, kind: str, version: int) -> list[VersionEvent]:
-        """What happened after a version; raises Gone."""
+        """The events after a version; raises VersionGoneError."""
         store = self.stores_by_kind[kind]
         if version < store.compacted_version:
             raise VersionGoneError(f"resourceVersion {self.format_version(version)} is too old; list again")
@@ -191,9 +202,11 @@
         after: Key | None = None,
         tenant: str | None = None,
     ) -> tuple[list[ResourceRecord], Key | None]:
-        """Resources as they were at the version, in order of their keys, and the key to go on after.
+        """Resources as they were at the version, in key order, and the key to continue after.
 
-        A page ends early, with a key to go on after, when many in a row don't match. Raises Gone."""
+        A page ends early, with a key to continue after, when too many keys were scanned. Raises
+        VersionGoneError.
+        """
         store = self.stores_by_kind[kind]
         if version < store.compacted_version:
             raise VersionGoneError("the list took too long: its resourceVersion is too old; list again")
--- a/glencleat/rest/watches.py
+++ b/glencleat/rest/watches.py
@@ -1,10 +1,11 @@
-"""Watches: which watcher is told which event, and how far each has read. Pure; the front carries the bytes.
+"""Watches: which watcher gets which event, and how far each has read. Pure; the server sends the bytes.
 
-Watchers of the same kind, tenant and selector share a Channel. An index finds the channels that an event
-may concern by one label's value, so that an event costs what it matters to, not what is watched. A channel
-keeps the lines that its watchers have yet to take; they read at their own pace by a cursor, so that a slow
-one costs no memory of its own, and it is cut off when its cursor falls out of what is kept, or when it
-stands still for too long while there is news."""
+Watchers with the same kind, tenant and selector share a channel. An index by one label value finds the
+channels that an event may concern, so that the cost of an event depends on the matching watches and not on
+all of them. A channel keeps the lines that its watchers have not read yet, and each watcher has a cursor,
+so a slow watcher takes no memory of its own. A watcher is closed when its cursor falls behind the lines
+kept, or when it reads nothing for too long while there are events for it.
+"""
 
 from __future__ import annotations
 
@@ -16,108 +17,112 @@
 from glencleat.rest.selector import Selector, index_terms
 from glencleat.rest.version_store import VersionEvent, VersionGoneError
 
-ChannelKey = tuple[str, str | None, Selector]  # kind, tenant or all, selector
+ChannelKey = tuple[str, str | None, Selector]  # kind, tenant (None: all tenants), selector
 
 
 @dataclass(frozen=True, slots=True)
 class WatchLimits:
+    """Limits on watchers and on what is kept for them."""
+
     max_watchers: int = 5_000
-    max_watchers_per_tenant: int = 1_000  # of one tenant, or of all tenants at once
-    max_lines: int = 20_000  # that a channel keeps for its watchers
-    max_chunk_bytes: int = 65_536  # bytes that a watcher is handed at a time
-    stall_timeout_ms: float = 5_000.0  # so long may a watcher take nothing while there is news
+    max_watchers_per_tenant: int = 1_000  # also the limit of watchers of all tenants at once
+    max_lines: int = 20_000  # unread lines kept per channel
+    max_chunk_bytes: int = 65_536  # per read of a watcher
+    stall_timeout_ms: float = 5_000.0  # a watcher with unread events must read within this time
 
 
 class WatchLimitError(Exception):
-    """No more watchers are taken; the text says which limit."""
+    """The limit of watchers is reached; the text says which one."""
 
 
 @dataclass(slots=True, eq=False)
 class Watcher:
+    """One client's position in a channel."""
+
     channel: WatchChannel
-    cursor: int  # lines of the channel taken, counted from its beginning
-    backlog: Iterator[bytes] | None  # pieces from before it joined: what it resumed, or all that was there
+    cursor: int  # number of the next line to read
+    backlog: Iterator[bytes] | None  # chunks from before it joined: a resumed range, or the initial list
     progress_at_ms: float
     wake: Callable[[], None] = lambda: None
-    close_reason: str | None = None  # why it was cut off
-    last_sent_at_ms: float = 0.0  # the last piece or bookmark
+    close_reason: str | None = None  # why it was closed by the server
+    last_sent_at_ms: float = 0.0  # of the last chunk or bookmark
 
 
 @dataclass(slots=True, eq=False)
 class WatchChannel:
+    """The lines for all watchers with the same kind, tenant and selector."""
+
     key: ChannelKey
     watchers: dict[Watcher, None] = field(default_factory=dict)
-    idle_watchers: dict[Watcher, None] = field(default_factory=dict)  # those that have taken all
+    idle_watchers: dict[Watcher, None] = field(default_factory=dict)  # those that have read everything
     lines: list[bytes] = field(default_factory=list)
-    first_line_number: int = 0  # number of the first line kept
-    cached_chunk: tuple[int, int, bytes] | None = (
-        None  # the last piece made, as most watchers are equally far
-    )
+    first_line_number: int = 0  # of the first line kept
+    # The last chunk read (start, end, bytes): most watchers read the same range.
+    cached_chunk: tuple[int, int, bytes] | None = None
 
     def end_line_number(self) -> int:
+        """The number of the next line to be added."""
         return self.first_line_number + len(self.lines)
 
-    def read_chunk(self, begin: int, most: int) -> tuple[int, bytes]:
-        """Lines from `begin` on, at least one and no more than `most` bytes; and where they end."""
-        if self.cached_chunk is not None and self.cached_chunk[0] == begin:
+    def read_chunk(self, start_line: int, max_bytes: int) -> tuple[int, bytes]:
+        """Lines from `start_line` on, up to `max_bytes` but at least one; returns the end and the bytes."""
+        if self.cached_chunk is not None and self.cached_chunk[0] == start_line:
             return self.cached_chunk[1], self.cached_chunk[2]
-        size, at = 0, begin - self.first_line_number
-        while at < len(self.lines) and (not size or size + len(self.lines[at]) <= most):
-            size += len(self.lines[at])
-            at += 1
-        data = b"".join(self.lines[begin - self.first_line_number : at])
-        self.cached_chunk = begin, self.first_line_number + at, data
-        return self.first_line_number + at, data
-
-    def trim_lines(self, most: int) -> None:
-        """Forgets lines that all have taken, and more where a watcher is too far behind."""
-        needed = min((w.cursor for w in self.watchers), default=self.end_line_number())
-        base = max(needed, self.end_line_number() - most)
-        if base - self.first_line_number > len(self.lines) // 2 or len(self.lines) > most:
-            del self.lines[: base - self.first_line_number]
-            self.first_line_number = base
-
-
-def event_line(event: VersionEvent, kind: str, format_version: Callable[[int], str]) -> bytes:
-    """The event's line for a watch, made once for all who get it."""
+        size, index = 0, start_line - self.first_line_number
+        while index < len(self.lines) and (not size or size + len(self.lines[index]) <= max_bytes):
+            size += len(self.lines[index])
+            index += 1
+        data = b"".join(self.lines[start_line - self.first_line_number : index])
+        self.cached_chunk = start_line, self.first_line_number + index, data
+        return self.first_line_number + index, data
+
+    def trim_lines(self, max_lines: int) -> None:
+        """Drops lines that all watchers have read, and unread ones above `max_lines`."""
+        oldest_needed = min((w.cursor for w in self.watchers), default=self.end_line_number())
+        new_first_line = max(oldest_needed, self.end_line_number() - max_lines)
+        if new_first_line - self.first_line_number > len(self.lines) // 2 or len(self.lines) > max_lines:
+            del self.lines[: new_first_line - self.first_line_number]
+            self.first_line_number = new_first_line
+
+
+def event_line(event: VersionEvent, event_type: str, format_version: Callable[[int], str]) -> bytes:
+    """The event's line for a watch, encoded once for all watchers."""
     if event.lines_by_type is None:
         event.lines_by_type = {}
-    made = event.lines_by_type.get(kind)
-    if made is None:
+    line = event.lines_by_type.get(event_type)
+    if line is None:
         source = event.record if event.record.value is not None else event.previous
         assert source is not None
-        # A deletion shows the last state under the deletion's version: a watch can be resumed after it.
+        # A deletion has the last state with the deletion's version, so that a watch can be resumed after it.
         body = encode_at_version(source.value, format_version(event.version))
-        made = event.lines_by_type[kind] = watch_line(kind, body)
-    return made
+        line = event.lines_by_type[event_type] = watch_line(event_type, body)
+    return line
 
 
-def watch_line(kind: str, body: bytes) -> bytes:
-    """A line of a watch."""
-    return b'{"type":"%b","object":%b}\n' % (kind.encode(), body)
+def watch_line(event_type: str, body: bytes) -> bytes:
+    """One line of a watch."""
+    return b'{"type":"%b","object":%b}\n' % (event_type.encode(), body)
 
 
 class WatchChannels:
+    """All channels and watchers, with the index from labels to channels."""
+
     def __init__(self, limits: WatchLimits, format_version: Callable[[int], str]) -> None:
         self.limits, self.format_version = limits, format_version
         self.channels_by_key: dict[ChannelKey, WatchChannel] = {}
-        self.channels_by_label: dict[
-            tuple[str, str, str], dict[WatchChannel, None]
-        ] = {}  # kind, label, value
-        self.unanchored: dict[str, dict[WatchChannel, None]] = {}  # by kind
+        # (kind, label, value) -> channels whose selector requires it; the others by kind.
+        self.channels_by_label: dict[tuple[str, str, str], dict[WatchChannel, None]] = {}
+        self.unindexed_channels: dict[str, dict[WatchChannel, None]] = {}
         self.watcher_count = 0
         self.watcher_counts_by_tenant: dict[str | None, int] = {}
-        self.ready_watchers: dict[
-            Watcher, None
-        ] = {}  # those with news to take, in the order in which it came
-        self.is_blocked: Callable[[Watcher], bool] = lambda watcher: (
-            True
-        )  # whether it has a piece to read still
+        self.ready_watchers: dict[Watcher, None] = {}  # those to be woken, oldest first
+        # Whether the last chunk is still unsent; set by the server.
+        self.is_blocked: Callable[[Watcher], bool] = lambda watcher: True
 
-    # ---- joining ----
+    # ---- adding and removing ----
 
     def check_limits(self, tenant: str | None) -> None:
-        """Raises Refused where one more can't be taken."""
+        """Raises WatchLimitError if no further watcher is allowed."""
         if self.watcher_count >= self.limits.max_watchers:
             raise WatchLimitError(f"{self.watcher_count} watches are open; expected no more")
         if self.watcher_counts_by_tenant.get(tenant, 0) >= self.limits.max_watchers_per_tenant:
@@ -126,22 +131,24 @@
                 " no more"
             )
 
-    def add_watcher(self, where: ChannelKey, early: Iterator[bytes] | None, now: float) -> Watcher:
-        """A watcher of all that is published from now on, after the pieces of `early`.
+    def add_watcher(self, key: ChannelKey, backlog: Iterator[bytes] | None, now: float) -> Watcher:
+        """Adds a watcher of all events published from now on, preceded by the chunks of `backlog`.
 
-        These are made as the reader takes them; Gone out of them cuts the watcher off."""
-        self.check_limits(where[1])
-        channel = self.channels_by_key.get(where)
+        The backlog is generated while it is read; a VersionGoneError from it closes the watcher.
+        """
+        self.check_limits(key[1])
+        channel = self.channels_by_key.get(key)
         if channel is None:
-            channel = self.channels_by_key[where] = WatchChannel(where)
-            self._bucket(channel)[channel] = None
-        watcher = Watcher(channel, channel.end_line_number(), early, now, last_sent_at_ms=now)
+            channel = self.channels_by_key[key] = WatchChannel(key)
+            self._index_bucket(channel)[channel] = None
+        watcher = Watcher(channel, channel.end_line_number(), backlog, now, last_sent_at_ms=now)
         channel.watchers[watcher] = None
         self.watcher_count += 1
-        self.watcher_counts_by_tenant[where[1]] = self.watcher_counts_by_tenant.get(where[1], 0) + 1
+        self.watcher_counts_by_tenant[key[1]] = self.watcher_counts_by_tenant.get(key[1], 0) + 1
         return watcher
 
     def remove_watcher(self, watcher: Watcher) -> None:
+        """Removes a watcher, and its channel with the last one; removing it twice is allowed."""
         channel = watcher.channel
         self.ready_watchers.pop(watcher, None)
         channel.idle_watchers.pop(watcher, None)
@@ -154,23 +161,23 @@
             del self.watcher_counts_by_tenant[tenant]
         if not channel.watchers:
             del self.channels_by_key[channel.key]
-            bucket = self._bucket(channel)
+            bucket = self._index_bucket(channel)
             del bucket[channel]
 
-    def _bucket(self, channel: WatchChannel) -> dict[WatchChannel, None]:
+    def _index_bucket(self, channel: WatchChannel) -> dict[WatchChannel, None]:
         kind, _, selector = channel.key
         terms = index_terms(selector)
         if not terms:
-            return self.unanchored.setdefault(kind, {})
+            return self.unindexed_channels.setdefault(kind, {})
         return self.channels_by_label.setdefault((kind, *terms[0]), {})
 
     # ---- events ----
 
     def find_channels(self, event: VersionEvent) -> Iterable[WatchChannel]:
-        """Channels whose anchor the event has now or had before, each once; their selectors decide."""
-        found = dict(self.unanchored.get(event.kind, {}))
-        sides = [event.record] if event.previous is None else [event.record, event.previous]
-        for record in sides if self.channels_by_label else ():
+        """Channels indexed under a label that the resource has or had, each once; their selectors decide."""
+        found = dict(self.unindexed_channels.get(event.kind, {}))
+        records = [event.record] if event.previous is None else [event.record, event.previous]
+        for record in records if self.channels_by_label else ():
             for label in record.labels.items():
                 bucket = self.channels_by_label.get((event.kind, *label))
                 if bucket:
@@ -178,34 +185,37 @@
         return found
 
     def publish(self, event: VersionEvent, now: float) -> None:
+        """Appends the event to each channel that it concerns and marks their idle watchers as ready."""
         for channel in self.find_channels(event):
             _, tenant, selector = channel.key
             if tenant is not None and event.record.key[0] != tenant:
                 continue
-            kind = event.type_for(selector)
-            if kind is None:
+            event_type = event.type_for(selector)
+            if event_type is None:
                 continue
-            channel.lines.append(event_line(event, kind, self.format_version))
+            channel.lines.append(event_line(event, event_type, self.format_version))
             if len(channel.lines) > self.limits.max_lines:
                 channel.trim_lines(self.limits.max_lines)
             for watcher in channel.idle_watchers:
-                watcher.progress_at_ms = now  # its time to take begins with the first news, not with its last
+                # The stall timeout runs from the first unread event, not from the watcher's last read.
+                watcher.progress_at_ms = now
                 self.ready_watchers[watcher] = None
             channel.idle_watchers.clear()
 
     # ---- reading ----
 
     def take_chunk(self, watcher: Watcher, now: float) -> bytes:
-        """The next piece for a watcher that has room for it; b"" when it has all and will be woken.
+        """The next chunk for a watcher; b"" if it has read everything, and it is woken for more.
 
-        Sets `close_reason` where it is too late."""
+        Sets `close_reason` if the watcher is too far behind.
+        """
         watcher.progress_at_ms = now
-        data = self._piece(watcher)
+        data = self._next_chunk(watcher)
         if data:
             watcher.last_sent_at_ms = now
         return data
 
-    def _piece(self, watcher: Watcher) -> bytes:
+    def _next_chunk(self, watcher: Watcher) -> bytes:
         if watcher.backlog is not None:
             try:
                 return next(watcher.backlog)
@@ -228,42 +238,45 @@
         return data
 
     def requeue_if_behind(self, watcher: Watcher) -> bool:
-        """Has the watcher woken once more if there is more to take; False: there is not."""
+        """Queues another wake-up if the watcher has more to read; returns whether it has."""
         if not self.is_behind(watcher):
             return False
         self.ready_watchers[watcher] = None
         return True
 
     def queue_wake(self, watcher: Watcher) -> None:
-        """Has the watcher woken in its turn although there is no news."""
+        """Queues a wake-up although there are no events."""
         self.ready_watchers[watcher] = None
 
     def is_behind(self, watcher: Watcher) -> bool:
+        """Whether the watcher has something left to read."""
         return watcher.backlog is not None or watcher.cursor < watcher.channel.end_line_number()
 
     def mark_stalled(self, now: float) -> list[Watcher]:
-        """Watchers that have taken nothing for too long although there was news; each is marked as cut."""
-        found = []
+        """Finds watchers that have read nothing for too long while behind, and sets their close reason."""
+        stalled = []
         for channel in self.channels_by_key.values():
             for watcher in channel.watchers:
-                waited = now - watcher.progress_at_ms
-                late = watcher.close_reason is None and waited > self.limits.stall_timeout_ms
-                if late and self.is_behind(watcher) and self.is_blocked(watcher):
-                    watcher.close_reason = f"too slow: nothing was read for {waited / 1000.0:.0f} s"
-                    found.append(watcher)
-        return found
-
-    def wake_watchers(self, most: int) -> int:
-        """Wakes the next watchers that have news, at most so many; gives how many still wait."""
-        for watcher in list(islice(self.ready_watchers, most)):
+                waited_ms = now - watcher.progress_at_ms
+                is_late = watcher.close_reason is None and waited_ms > self.limits.stall_timeout_ms
+                if is_late and self.is_behind(watcher) and self.is_blocked(watcher):
+                    watcher.close_reason = f"too slow: nothing was read for {waited_ms / 1000.0:.0f} s"
+                    stalled.append(watcher)
+        return stalled
+
+    def wake_watchers(self, max_count: int) -> int:
+        """Wakes up to `max_count` watchers that have events to read; returns how many are left."""
+        for watcher in list(islice(self.ready_watchers, max_count)):
             del self.ready_watchers[watcher]
             watcher.wake()
         return len(self.ready_watchers)
 
 
 def bookmark_line(version: str) -> bytes:
+    """A line that only carries the current version."""
     return watch_line("BOOKMARK", encode({"resourceVersion": version}))
 
 
 def problem_line(status: int, title: str, detail: str) -> bytes:
+    """The last line of a watch that failed."""
     return watch_line("ERROR", encode(Problem(title=title, status=status, detail=detail)))
--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -624,7 +624,7 @@
     record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h2", 2_000.0)
     record.record(api.Outcome.TIMED_OUT, api.OutcomeReason.UNSPECIFIED, "h3", 3_000.0)
     common = [s.Cause(kind="no-room", text="3 machines fit")]
-    told = reasons.explain_wait(reasons.PAUSE, record, common, lambda at: at + 5.0)
+    told = reasons.explain_wait(reasons.PAUSE_CAUSE, record, common, lambda at: at + 5.0)
     assert [cause.kind for cause in told.causes] == ["pause", "no-answer", "refused-cores", "no-room"]
     assert told.causes[2] == s.Cause(
         kind="refused-cores", text="refused (cores) 2 times, last by h2", count=2, machine="h2", at_ms=2_005.0
--- a/tests/servers/test_rest_api.py
+++ b/tests/servers/test_rest_api.py
@@ -180,7 +180,7 @@
     """Each begins with 3,000 resources; none has the loop for itself, and all get all, once."""
     day = world("rest first-round 10m\n")
     plane = day.daemon.rest_service
-    plane._pump_soon = lambda *_: None
+    plane._schedule_rounds = lambda *_: None
     for i in range(6):
         raw(day, post(f"b{i}", f"t{i}", tasks=500), until=b"}")
     day.until(lambda: plane.versions.stores_by_kind["tasks"].live_count == 3_000)
@@ -223,7 +223,7 @@
     thread.start()
     day.until(lambda: plane.channels.watcher_count == 2)
     owner = day.owner()
-    plane._pump_soon = lambda *_: None  # a burst of events and not of placements
+    plane._schedule_rounds = lambda *_: None  # a burst of events and not of placements
     for i in range(20):
         told = raw(day, post(f"b{i}", f"t{i}", tasks=500), until=b"}")
         assert told.startswith(b"HTTP/1.1 201")
