--- a/tests/rest/test_rest_state.py
+++ b/tests/rest/test_rest_state.py
@@ -1,4 +1,4 @@
-"""The REST front's state and decisions without sockets: selectors, versions, watches, jobs, overload, reasons."""
+"""State and decisions of the REST API without sockets: selectors, versions, watches, jobs, overload, reasons."""
 
 from collections import Counter
 from random import Random
@@ -44,32 +44,32 @@
         ("a=", {"a": ""}, True),
     ],
 )
-def test_selectors_match_as_those_of_kubernetes(text, labels, fits):
+def test_selectors_match_like_those_of_kubernetes(text, labels, fits):
     assert matches(parse_selector(text), labels) is fits
 
 
 @pytest.mark.parametrize(
     "text", ["a=b,", "=b", "a=(b)", "a in b", "a in (b", ".odd=x", "a b", "a in (b c)", "!", ",a"]
 )
-def test_a_bad_selector_says_where(text):
+def test_an_error_in_a_selector_is_located(text):
     with pytest.raises(SelectorError, match="labelSelector: .*(expected|no field)"):
         parse_selector(text)
 
 
-def test_a_selector_has_bounds():
+def test_the_size_of_a_selector_is_limited():
     with pytest.raises(SelectorError, match="17 terms"):
         parse_selector(",".join(f"a{i}=b" for i in range(17)))
     with pytest.raises(SelectorError, match="at most 32"):
         parse_selector(f"a in ({','.join(f'v{i}' for i in range(33))})")
 
 
-def test_equal_selectors_share_a_channel_and_the_anchor_is_one_value():
+def test_equivalent_selectors_are_equal_and_index_terms_have_one_value():
     assert parse_selector("b=1,a=2") == parse_selector("a==2, b=1, a=2")
     assert index_terms(parse_selector("!x,a in (b),c,d=e")) == [("a", "b"), ("d", "e")]
     assert index_terms(parse_selector("a!=b,c in (d,e),f")) == []
 
 
-# ---- versions and watches: one model for both ----
+# ---- versions and watches ----
 
 KEYS = [("t1", "a"), ("t1", "b"), ("t2", "a"), ("t2", "c")]
 LABELS = [{}, {"x": "1"}, {"x": "2"}, {"x": "1", "y": "1"}]
@@ -83,11 +83,11 @@
 
 
 def fold(state, lines):
-    """What a client does with a watch's lines."""
+    """Applies the lines of a watch to a client's state."""
     for event in map(s.msgspec.json.decode, b"".join(lines).splitlines()):
         key = event["object"].get("tenant"), event["object"].get("name")
         if event["type"] == "DELETED":
-            assert key in state, "DELETED of what the client never had"
+            assert key in state, "DELETED for an unknown resource"
             del state[key]
         elif event["type"] != "BOOKMARK":
             assert (key in state) is (event["type"] == "MODIFIED"), "a gap or a repeat"
@@ -108,10 +108,10 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(CHANGES, st.sampled_from(SELECTORS), st.sampled_from([None, "t1"]), st.integers(3, 12), st.data())
-def test_any_list_and_watch_folds_to_the_servers_state(changes, text, tenant, kept, data):
-    """Watches begin, stop and resume anywhere, take at any pace, over a log that forgets: no gap, no repeat."""
+def test_any_list_and_watch_reproduces_the_servers_state(changes, text, tenant, kept, data):
+    """Watches begin, stop, resume and read at any point, over a bounded log: no event is missed or repeated."""
     versions = VersionStore("e", {"k": kept})
-    hub = watches.WatchChannels(
+    channels = watches.WatchChannels(
         watches.WatchLimits(max_lines=kept, max_chunk_bytes=1), versions.format_version
     )
     selector = parse_selector(text)
@@ -123,9 +123,9 @@
             else versions.put("k", key, value(key, change[0]), change[1])
         )
         if event is not None:
-            hub.publish(event, 0.0)
+            channels.publish(event, 0.0)
         past[versions.current_version] = listed(versions, selector, tenant)
-        for version, old in past.items():  # every version that the log still holds can be read as it was
+        for version, old in past.items():  # each version that the log covers can still be read
             if version >= versions.stores_by_kind["k"].compacted_version:
                 assert listed(versions, selector, tenant, version) == old
         action = data.draw(st.sampled_from(["nothing", "take", "begin", "stop"]))
@@ -148,10 +148,10 @@
                         if kind is not None
                     ]
                 )
-            watcher = hub.add_watcher(("k", tenant, selector), early, 0.0)
+            watcher = channels.add_watcher(("k", tenant, selector), early, 0.0)
         elif action in ("take", "stop") and watcher is not None:
             lines = []
-            while data_ := hub.take_chunk(watcher, 0.0):
+            while data_ := channels.take_chunk(watcher, 0.0):
                 lines.append(data_)
             fold(seen, lines)
             if watcher.close_reason is None:
@@ -160,7 +160,7 @@
             else:
                 resume = None
             if action == "stop" or watcher.close_reason is not None:
-                hub.remove_watcher(watcher)
+                channels.remove_watcher(watcher)
                 watcher = None
     counted = Counter()
     for record in versions.stores_by_kind["k"].records.values():
@@ -170,12 +170,12 @@
     index = versions.stores_by_kind["k"].keys_by_label
     assert counted == {(label, key): n for label, keys in index.items() for key, n in keys.items()}
     if watcher is not None:
-        hub.remove_watcher(watcher)
+        channels.remove_watcher(watcher)
     assert (
-        hub.watcher_count == 0
-        and not hub.channels_by_key
-        and not hub.watcher_counts_by_tenant
-        and not hub.ready_watchers
+        channels.watcher_count == 0
+        and not channels.channels_by_key
+        and not channels.watcher_counts_by_tenant
+        and not channels.ready_watchers
     )
 
 
@@ -183,11 +183,16 @@
 @given(
     CHANGES, st.lists(st.tuples(st.sampled_from(SELECTORS), st.sampled_from([None, "t1", "t2"])), max_size=6)
 )
-def test_the_index_tells_whom_a_filter_over_all_would(changes, wheres):
+def test_the_channel_index_agrees_with_a_filter_over_all_watchers(changes, wheres):
     versions = VersionStore("e", {"k": 1_000})
-    hub = watches.WatchChannels(watches.WatchLimits(max_chunk_bytes=1 << 20), versions.format_version)
+    channels = watches.WatchChannels(watches.WatchLimits(max_chunk_bytes=1 << 20), versions.format_version)
     watchers = [
-        (hub.add_watcher(("k", tenant, parse_selector(text)), None, 0.0), parse_selector(text), tenant, [])
+        (
+            channels.add_watcher(("k", tenant, parse_selector(text)), None, 0.0),
+            parse_selector(text),
+            tenant,
+            [],
+        )
         for text, tenant in wheres
     ]
     for key, change in changes:
@@ -198,13 +203,13 @@
         )
         if event is None:
             continue
-        hub.publish(event, 0.0)
+        channels.publish(event, 0.0)
         for _, selector, tenant, wanted in watchers:
             kind = event.type_for(selector)
             if kind is not None and tenant in (None, key[0]):
                 wanted.append(watches.event_line(event, kind, versions.format_version))
     for watcher, _, _, wanted in watchers:
-        assert hub.take_chunk(watcher, 0.0) == b"".join(wanted)
+        assert channels.take_chunk(watcher, 0.0) == b"".join(wanted)
 
 
 def test_pages_show_one_instant_while_resources_change():
@@ -220,7 +225,7 @@
     assert rest is None and [r.value.waiting for r in first + second] == list(range(10))
 
 
-def test_a_page_looks_at_a_bounded_number_of_keys(monkeypatch):
+def test_the_number_of_keys_read_for_a_page_is_limited(monkeypatch):
     monkeypatch.setattr("glencleat.rest.version_store.MAX_SCANNED_KEYS", 5)
     versions = VersionStore("e", {"k": 100})
     for i in range(12):
@@ -235,53 +240,55 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "e-", "-1", "e--1", "e-1x", "e-²", "e-" + "9" * 19, "e-7"])
-def test_a_version_that_was_never_told_is_a_clients_mistake(text):
+def test_a_version_that_was_never_issued_is_invalid(text):
     versions = VersionStore("e", {"k": 10})
     versions.put("k", ("t", "a"), value(("t", "a"), 1), {})
     with pytest.raises(ValueError, match="resourceVersion"):
         versions.parse_version(text)
 
 
-def test_another_processs_version_is_gone():
+def test_a_version_of_another_process_is_gone():
     with pytest.raises(VersionGoneError):
         VersionStore("e", {"k": 10}).parse_version("f-3")
 
 
-def test_a_slow_watcher_is_cut_and_costs_nothing_meanwhile():
+def test_a_slow_watcher_is_closed_and_takes_no_extra_memory():
     versions = VersionStore("e", {"k": 100_000})
-    hub = watches.WatchChannels(
+    channels = watches.WatchChannels(
         watches.WatchLimits(max_lines=100, stall_timeout_ms=1_000.0), versions.format_version
     )
-    slow, quick = (hub.add_watcher(("k", None, ()), None, 0.0) for _ in range(2))
-    hub.take_chunk(slow, 0.0), hub.take_chunk(quick, 0.0)
+    slow, quick = (channels.add_watcher(("k", None, ()), None, 0.0) for _ in range(2))
+    channels.take_chunk(slow, 0.0), channels.take_chunk(quick, 0.0)
     for i in range(300):
-        hub.publish(versions.put("k", ("t", "a"), value(("t", "a"), i), {}), 60_000.0)
+        channels.publish(versions.put("k", ("t", "a"), value(("t", "a"), i), {}), 60_000.0)
         if i % 50 == 0:
-            assert hub.take_chunk(quick, 60_000.0)
-    assert len(slow.channel.lines) <= 100 and hub.mark_stalled(60_500.0) == []
-    assert hub.take_chunk(slow, 60_500.0) == b"" and "no longer kept" in slow.close_reason
-    while hub.take_chunk(quick, 60_500.0):
+            assert channels.take_chunk(quick, 60_000.0)
+    assert len(slow.channel.lines) <= 100 and channels.mark_stalled(60_500.0) == []
+    assert channels.take_chunk(slow, 60_500.0) == b"" and "no longer kept" in slow.close_reason
+    while channels.take_chunk(quick, 60_500.0):
         pass
     assert quick.close_reason is None
-    idle = hub.add_watcher(("k", None, ()), None, 60_500.0)
-    hub.take_chunk(idle, 60_500.0)
-    hub.publish(versions.put("k", ("t", "a"), value(("t", "a"), -1), {}), 99_000.0)
-    assert hub.mark_stalled(99_500.0) == [], (
-        "its time begins with the news, not with when it last took something"
+    idle = channels.add_watcher(("k", None, ()), None, 60_500.0)
+    channels.take_chunk(idle, 60_500.0)
+    channels.publish(versions.put("k", ("t", "a"), value(("t", "a"), -1), {}), 99_000.0)
+    assert channels.mark_stalled(99_500.0) == [], (
+        "the stall timeout runs from the first unread event, not from the last read"
     )
-    assert idle in hub.mark_stalled(100_500.0) and "nothing was read" in idle.close_reason
+    assert idle in channels.mark_stalled(100_500.0) and "nothing was read" in idle.close_reason
 
 
-def test_watches_are_bounded_in_all_and_by_tenant():
-    hub = watches.WatchChannels(watches.WatchLimits(max_watchers=3, max_watchers_per_tenant=2), lambda n: "v")
-    joined = [hub.add_watcher(("k", "t", ()), None, 0.0) for _ in range(2)]
+def test_watchers_are_limited_in_total_and_per_tenant():
+    channels = watches.WatchChannels(
+        watches.WatchLimits(max_watchers=3, max_watchers_per_tenant=2), lambda n: "v"
+    )
+    joined = [channels.add_watcher(("k", "t", ()), None, 0.0) for _ in range(2)]
     with pytest.raises(watches.WatchLimitError, match="of t are open"):
-        hub.add_watcher(("k", "t", ()), None, 0.0)
-    hub.add_watcher(("k", "u", ()), None, 0.0)
+        channels.add_watcher(("k", "t", ()), None, 0.0)
+    channels.add_watcher(("k", "u", ()), None, 0.0)
     with pytest.raises(watches.WatchLimitError, match="3 watches"):
-        hub.add_watcher(("k", "v", ()), None, 0.0)
-    hub.remove_watcher(joined[0]), hub.remove_watcher(joined[0])
-    assert hub.watcher_count == 2
+        channels.add_watcher(("k", "v", ()), None, 0.0)
+    channels.remove_watcher(joined[0]), channels.remove_watcher(joined[0])
+    assert channels.watcher_count == 2
 
 
 # ---- jobs ----
@@ -331,26 +338,26 @@
         (S, FinalAnswer.FAILED, DROPPED, 0.0, False, JobStep.TERMINAL),
     ],
 )
-def test_what_follows_a_round(effect, given, answer, now, cancelled, step):
-    slot = job(effect).tasks[0]
-    slot.is_cancelled = cancelled
-    then = jobs.after_round(slot, given, answer, now, Random(1))
-    assert then.step is step and (then.pause_ms > 0.0) is (step is JobStep.PAUSED)
+def test_transition_after_a_round(effect, given, answer, now, cancelled, step):
+    job_task = job(effect).tasks[0]
+    job_task.is_cancelled = cancelled
+    transition = jobs.after_round(job_task, given, answer, now, Random(1))
+    assert transition.step is step and (transition.pause_ms > 0.0) is (step is JobStep.PAUSED)
 
 
 def test_pauses_grow_and_leave_time_for_a_last_round():
-    slot = job(wait=60_000.0).tasks[0]
+    job_task = job(wait=60_000.0).tasks[0]
     pauses = []
-    for slot.round_count in range(1, 9):
-        pauses.append(jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 0.0, Random(1)).pause_ms)
+    for job_task.round_count in range(1, 9):
+        pauses.append(jobs.after_round(job_task, FinalAnswer.REJECTED, DROPPED, 0.0, Random(1)).pause_ms)
     assert pauses == sorted(pauses) and pauses[0] < 400.0 and pauses[-1] <= 1.25 * jobs.MAX_RETRY_PAUSE_MS
-    near = jobs.after_round(slot, FinalAnswer.REJECTED, DROPPED, 58_900.0, Random(1))
+    near = jobs.after_round(job_task, FinalAnswer.REJECTED, DROPPED, 58_900.0, Random(1))
     assert near.step is JobStep.PAUSED and near.pause_ms <= 600.0
     assert (
-        jobs.round_ms(slot, 58_900.0, 50.0) == pytest.approx(1_050.0)
-        and jobs.round_ms(slot, 59_960.0, 50.0) == 0.0
+        jobs.round_ms(job_task, 58_900.0, 50.0) == pytest.approx(1_050.0)
+        and jobs.round_ms(job_task, 59_960.0, 50.0) == 0.0
     )
-    assert jobs.round_ms(slot, 0.0, 50.0) == 8_000.0
+    assert jobs.round_ms(job_task, 0.0, 50.0) == 8_000.0
 
 
 @pytest.mark.parametrize(
@@ -368,67 +375,67 @@
         (U, "again", status_mapping.TaskState.UNREACHABLE, RetryAdvice.RECONCILE, False, JobStep.PLACED),
     ],
 )
-def test_what_follows_a_placed_tasks_end(effect, lost, state, retry, cancelled, step):
-    slot = job(effect, when_lost=lost).tasks[0]
-    slot.is_cancelled = cancelled
-    assert jobs.after_end(slot, StatusAnswer(state, retry)).step is step
-
-
-def test_turns_go_round_the_tenants():
-    turns = RoundRobin()
-    for slot in job(tasks=100, tenant="greedy").tasks + job(tasks=3, tenant="small").tasks:
-        turns.enqueue(slot)
-    got = [turns.pop().job.tenant for _ in range(8)]
-    assert Counter(got) == {"greedy": 5, "small": 3} and turns.queued_count == 95
-
-
-def test_a_tenants_returns_have_a_budget_and_others_do_not_wait_for_it():
-    turns = RoundRobin(retries_rate=10.0, retries_burst=5.0)
-    for slot in job(tasks=50, tenant="a").tasks + job(tasks=2, tenant="b").tasks:
-        turns.pause(slot, 100.0)
-    turns.enqueue_due(99.0)
-    assert turns.pop() is None and turns.next_due_ms() == 100.0
-    turns.enqueue_due(100.0)
-    got = Counter()
-    while (slot := turns.pop()) is not None:
-        got[slot.job.tenant] += 1
-    assert got == {"a": 5, "b": 2}
+def test_transition_after_the_end_of_a_placed_task(effect, lost, state, retry, cancelled, step):
+    job_task = job(effect, when_lost=lost).tasks[0]
+    job_task.is_cancelled = cancelled
+    assert jobs.after_end(job_task, StatusAnswer(state, retry)).step is step
+
+
+def test_rounds_are_given_to_tenants_in_turn():
+    queue = RoundRobin()
+    for job_task in job(tasks=100, tenant="greedy").tasks + job(tasks=3, tenant="small").tasks:
+        queue.enqueue(job_task)
+    tenants = [queue.pop().job.tenant for _ in range(8)]
+    assert Counter(tenants) == {"greedy": 5, "small": 3} and queue.queued_count == 95
+
+
+def test_the_retry_budget_of_a_tenant_does_not_delay_others():
+    queue = RoundRobin(retries_rate=10.0, retries_burst=5.0)
+    for job_task in job(tasks=50, tenant="a").tasks + job(tasks=2, tenant="b").tasks:
+        queue.pause(job_task, 100.0)
+    queue.enqueue_due(99.0)
+    assert queue.pop() is None and queue.next_due_ms() == 100.0
+    queue.enqueue_due(100.0)
+    counts = Counter()
+    while (job_task := queue.pop()) is not None:
+        counts[job_task.job.tenant] += 1
+    assert counts == {"a": 5, "b": 2}
     for now in range(101, 5_200):
-        turns.enqueue_due(float(now))
-    got = 0
-    while turns.pop() is not None:
-        got += 1
-    assert 40 <= got <= 46, "ten a second for five seconds"
+        queue.enqueue_due(float(now))
+    counts = 0
+    while queue.pop() is not None:
+        counts += 1
+    assert 40 <= counts <= 46, "ten per second for five seconds"
 
 
-def test_a_cancelled_task_in_the_queue_is_passed_over():
-    turns, slots = RoundRobin(), job(tasks=2).tasks
-    for slot in slots:
-        turns.enqueue(slot)
-    slots[0].step = JobStep.TERMINAL
-    assert turns.pop() is slots[1] and turns.pop() is None and turns.queued_count == 0
+def test_a_cancelled_task_in_the_queue_is_skipped():
+    queue, job_tasks = RoundRobin(), job(tasks=2).tasks
+    for job_task in job_tasks:
+        queue.enqueue(job_task)
+    job_tasks[0].step = JobStep.TERMINAL
+    assert queue.pop() is job_tasks[1] and queue.pop() is None and queue.queued_count == 0
 
 
-def test_keys_are_never_forgotten_while_they_count():
+def test_keys_are_kept_for_their_retention_and_until_the_job_ends():
     keys, one = IdempotencyKeys(max_keys=2, retention_ms=1_000.0), job()
     keys.record_key("t", "k1", 1, one, 0.0)
     done = job(name="done")
     done.tasks[0].step = JobStep.TERMINAL
     keys.record_key("t", "k2", 2, done, 0.0)
-    assert not keys.ensure_capacity(500.0), "both still count"
+    assert not keys.ensure_capacity(500.0), "neither key may be dropped yet"
     assert keys.ensure_capacity(1_500.0) and keys.find("t", "k1") == (1, one) and keys.find("t", "k2") is None
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.floats(0, 500), st.floats(0.1, 20)), max_size=60))
-def test_a_bucket_never_gives_more_than_rate_and_burst(steps):
-    bucket, now, paid = TokenBucket(10.0, 5.0, 0.0), 0.0, 0.0
+def test_a_token_bucket_never_exceeds_rate_and_burst(steps):
+    bucket, now, consumed = TokenBucket(10.0, 5.0, 0.0), 0.0, 0.0
     for wait, cost in steps:
         now += wait
         if bucket.wait_ms(cost, now) == 0.0:
             bucket.consume(cost)
-            paid += cost
-    assert paid <= 10.0 * now / 1_000.0 + 5.0 + 20.0 + 1e-6
+            consumed += cost
+    assert consumed <= 10.0 * now / 1_000.0 + 5.0 + 20.0 + 1e-6
 
 
 # ---- overload ----
@@ -448,32 +455,32 @@
         ({"tenant_rate": 1.0, "tenant_burst": 1.0}, {"paid": 1.0}, 429, "more than 1 tasks/s"),
     ],
 )
-def test_each_bound_turns_a_creation_away_and_says_when_to_come_back(limits, asked, status, text):
-    made = gate(**limits)
+def test_each_limit_rejects_a_creation_and_says_when_to_retry(limits, asked, status, text):
+    request_gate = gate(**limits)
     paid = asked.pop("paid", 0.0)
-    told = {"waiting_here": 0, "waiting": 0, "jobs": 0, "queued": 0} | asked
+    state = {"waiting_here": 0, "waiting": 0, "jobs": 0, "queued": 0} | asked
     if paid:
-        assert made.admit_job("t", 1, now=0.0, **told) is None
-    turned = made.admit_job("t", 2, now=0.0, **told)
-    assert turned.status == status and text in turned.text and turned.retry_after_ms >= 50.0
-    assert sum(made.rejections_by_reason.values()) == 1
+        assert request_gate.admit_job("t", 1, now=0.0, **state) is None
+    rejection = request_gate.admit_job("t", 2, now=0.0, **state)
+    assert rejection.status == status and text in rejection.text and rejection.retry_after_ms >= 50.0
+    assert sum(request_gate.rejections_by_reason.values()) == 1
     if paid:
-        assert made.admit_job("u", 1, now=0.0, **told) is None, "another tenant has its own"
+        assert request_gate.admit_job("u", 1, now=0.0, **state) is None, "another tenant has its own"
 
 
-def test_a_connection_that_ignores_refusals_is_not_read_for_a_while():
-    made = gate(connection_rate=10.0, connection_burst=2.0, max_ignored_rejections=3)
-    bucket = made.connection_bucket(0.0)
-    assert [made.admit_request(bucket, 1.0, 0.0) is None for _ in range(3)] == [True, True, False]
-    assert made.admit_request(bucket, 1.0, 101.0) is None
+def test_a_connection_that_ignores_rejections_is_not_read_for_a_while():
+    request_gate = gate(connection_rate=10.0, connection_burst=2.0, max_ignored_rejections=3)
+    bucket = request_gate.connection_bucket(0.0)
+    assert [request_gate.admit_request(bucket, 1.0, 0.0) is None for _ in range(3)] == [True, True, False]
+    assert request_gate.admit_request(bucket, 1.0, 101.0) is None
     assert (
-        made.pause_ms(3, 500.0) == 0.0
-        and made.pause_ms(4, 500.0) == 500.0
-        and made.pause_ms(9, 9_000.0) == 1_000.0
+        request_gate.pause_ms(3, 500.0) == 0.0
+        and request_gate.pause_ms(4, 500.0) == 500.0
+        and request_gate.pause_ms(9, 9_000.0) == 1_000.0
     )
 
 
-def test_creations_take_less_of_a_loop_that_runs_late():
+def test_a_late_loop_lowers_the_budget_for_creations():
     pace = overload.AdmissionPace(min_budget_ms=1.0, max_budget_ms=8.0, max_lateness_ms=10.0)
     assert pace.begin_turn(100.0, 99.0) == 8.0
     budgets = [pace.begin_turn(200.0, 100.0) for _ in range(5)]
@@ -482,32 +489,32 @@
     assert grown == sorted(grown) and grown[-1] == 8.0
 
 
-def test_the_rate_of_rounds_is_learned_only_while_more_wait():
+def test_the_rate_of_rounds_is_measured_only_while_tasks_wait():
     pace = overload.AdmissionPace()
     for turn in range(400):
-        pace.end_turn(10.0 * turn, 4 * (turn % 2), left=50)  # nothing could be told in every other turn
+        pace.end_turn(10.0 * turn, 4 * (turn % 2), left=50)  # no round could start in every other turn
     assert pace.rounds_per_s == pytest.approx(200.0, rel=0.05) and pace.estimate_wait_ms(
         100
     ) == pytest.approx(500.0, rel=0.05)
     pace.end_turn(1_000.0, 1, left=0)
     rate = pace.rounds_per_s
     pace.end_turn(99_000.0, 1, left=0)
-    assert pace.rounds_per_s == rate, "an idle front is not a slow one"
+    assert pace.rounds_per_s == rate, "idle time doesn't lower the rate"
 
 
-def test_telling_watchers_takes_a_share_of_the_time():
-    fan = overload.WakeBudget(share=0.1, burst_ms=2.0)
+def test_waking_watchers_takes_a_share_of_the_time():
+    budget = overload.WakeBudget(share=0.1, burst_ms=2.0)
     woken, now = 0, 1_000.0
     while now < 3_000.0:
-        for _ in range(fan.allowed_count(now)):
-            fan.record_cost(0.05)
+        for _ in range(budget.allowed_count(now)):
+            budget.record_cost(0.05)
             woken += 1
         now += 1.0
     assert woken * 0.05 == pytest.approx(200.0, rel=0.05), "a tenth of two seconds"
-    assert overload.WakeBudget().allowed_count(9_000.0) > 50, "few are told at once"
+    assert overload.WakeBudget().allowed_count(9_000.0) > 50, "a few watchers are woken at once"
 
 
-def test_requests_take_a_share_of_a_busy_loop_and_all_of_an_idle_one():
+def test_requests_take_a_share_of_a_busy_loop_and_its_idle_time():
     for idle_share, expected in ((0.0, 400.0), (0.5, 900.0)):
         intake, read, now = overload.OverloadIntake(share=0.4, burst_ms=20.0), 0, 0.0
         while now < 1_000.0:
@@ -519,12 +526,12 @@
     assert not intake.is_overloaded(400) and intake.is_overloaded(500), "at 0.9 ms each and a share of 0.4"
 
 
-def test_attempts_out_are_bounded_by_how_fast_machines_answer():
+def test_the_window_of_attempts_in_flight_follows_the_answer_latency():
     pace = overload.AdmissionPace()
     for _ in range(300):
         pace.record_latency(10.0)
     assert not pace.is_window_full(250) and pace.window > 256.0, (
-        "it grows while it is used and answers are quick"
+        "the window grows while it is used and answers are fast"
     )
     for _ in range(100):
         pace.record_latency(500.0)
@@ -536,14 +543,14 @@
     for _ in range(300):
         pace.record_latency(12.0)
         pace.is_window_full(16)
-    assert pace.window > overload.MIN_WINDOW, "and comes back"
+    assert pace.window > overload.MIN_WINDOW, "the window grows again"
 
 
-def test_tenants_with_a_rate_of_their_own_are_bounded():
-    made = gate(max_tenants=10)
+def test_the_number_of_tenant_buckets_is_limited():
+    request_gate = gate(max_tenants=10)
     for i in range(50):
-        made.admit_job(f"t{i}", 1, 0, 0, 0, 0, 0.0)
-    assert len(made.buckets_by_tenant) == 10
+        request_gate.admit_job(f"t{i}", 1, 0, 0, 0, 0, 0.0)
+    assert len(request_gate.buckets_by_tenant) == 10
 
 
 # ---- reasons ----
@@ -565,15 +572,17 @@
 
 def facts(machines, agents=None, placed=None, silent=None, before=None):
     agents = dict.fromkeys((m.name for m in machines), "subscribed") if agents is None else agents
-    known = {m.name: m for m in machines}
-    return reasons.ClusterFacts(SETTINGS, known, agents, placed or {}, silent or {}, 100_000.0, before or {})
+    machines_by_name = {m.name: m for m in machines}
+    return reasons.ClusterFacts(
+        SETTINGS, machines_by_name, agents, placed or {}, silent or {}, 100_000.0, before or {}
+    )
 
 
 def kinds(made, shape):
     return {cause.kind: cause for cause in made.common_causes(shape)}
 
 
-def test_no_machine_that_fits():
+def test_no_machine_fits():
     made = facts([machine("h1"), machine("h2", phase=api.MachinePhase.REMOVED, kind="large")])
     assert "of kind large" in kinds(made, ("large", "svc", 1.0, 1.0))["no-machine"].text
     assert set(kinds(made, ("plain", "svc", 16.1, 1.0))) == {"no-machine"}
@@ -581,7 +590,7 @@
     assert set(kinds(made, ("plain", "svc", 1.0, 1_001.0))) == {"no-machine"}
 
 
-def test_machines_that_drain_are_away_barred_or_cold_are_counted():
+def test_unavailable_machines_are_counted_by_cause():
     made = facts(
         [
             machine("h1", phase=api.MachinePhase.DRAINING),
@@ -599,7 +608,7 @@
     }  # fmt: skip
 
 
-def test_the_limit_of_a_service_in_each_hall():
+def test_the_spread_limit_of_a_service_per_zone():
     machines = [machine("h1", "a"), machine("h2", "b")]
     half = kinds(facts(machines, placed={"svc": Counter(h1=2)}), ("spread", "svc", 1.0, 1.0))["spread"]
     assert half.text == "limit of 2 tasks of svc a hall: 1 of 2 at it (a)" and half.count == 1
@@ -610,7 +619,7 @@
     )
 
 
-def test_what_has_not_changed_is_the_same_list():
+def test_unchanged_causes_are_the_same_list_object():
     shape = ("plain", "svc", 1.0, 1.0)
     first = facts([machine("h1")])
     causes = first.common_causes(shape)
@@ -618,18 +627,18 @@
     assert facts([], before=first.causes_by_shape).common_causes(shape) is not causes
 
 
-def test_what_machines_said_is_told_as_they_said_it_newest_first():
+def test_reports_of_machines_are_repeated_newest_first():
     record = Reasons()
     record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h1", 1_000.0)
     record.record(api.Outcome.REJECTED, api.OutcomeReason.INSUFFICIENT_CORES, "h2", 2_000.0)
     record.record(api.Outcome.TIMED_OUT, api.OutcomeReason.UNSPECIFIED, "h3", 3_000.0)
     common = [s.Cause(kind="no-room", text="3 machines fit")]
-    told = reasons.explain_wait(reasons.PAUSE_CAUSE, record, common, lambda at: at + 5.0)
-    assert [cause.kind for cause in told.causes] == ["pause", "no-answer", "refused-cores", "no-room"]
-    assert told.causes[2] == s.Cause(
+    why = reasons.explain_wait(reasons.PAUSE_CAUSE, record, common, lambda at: at + 5.0)
+    assert [cause.kind for cause in why.causes] == ["pause", "no-answer", "refused-cores", "no-room"]
+    assert why.causes[2] == s.Cause(
         kind="refused-cores", text="refused (cores) 2 times, last by h2", count=2, machine="h2", at_ms=2_005.0
     )
-    assert told.summary == "no answer in time once, by h3"
+    assert why.summary == "no answer in time once, by h3"
     spread = s.Cause(kind="spread", text="limit")
     assert reasons.explain_wait(None, record, [spread], lambda at: at).summary == "limit"
     assert [c.kind for c in reasons.explain_wait(None, Reasons(), common, lambda at: at).causes] == [
@@ -638,5 +647,5 @@
     ]
 
 
-def test_a_term_matches_what_it_says():
+def test_terms_match_a_key_or_a_value():
     assert Term("a", True).matches({"a": "x"}) and not Term("a", False, ("x",)).matches({"a": "x"})
