--- a/glencleat/__main__.py
+++ b/glencleat/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m glencleat` is the command line. `node` starts without it: memory and start-up count there."""
+"""Entry point of `python -m glencleat`: runs the command line.
+
+`node` skips the import of the command line, to save memory and start-up time.
+"""
 
 import sys
 
--- a/glencleat/servers/__init__.py
+++ b/glencleat/servers/__init__.py
@@ -1,3 +1,5 @@
-"""What listens and connects: the scheduler and executor APIs, metrics, and the directory's client.
+"""Network endpoints: the scheduler, executor, REST and metrics APIs, and the client of the directory.
 
-Fronts carry bytes between sockets (kernel), protocol objects (mesos) and the core; they decide nothing."""
+They translate between sockets (`event_loop`), protocol objects (`mesos`) and the core, and make no scheduling
+decisions.
+"""
--- a/glencleat/servers/directory_client.py
+++ b/glencleat/servers/directory_client.py
@@ -1,8 +1,9 @@
-"""The directory's client: subscribes to the Operator API at /api/v1 and tells the module what it says.
+"""Client of the directory: subscribes to the Operator API at /api/v1 and forwards machine list updates.
 
-The module asks by `Watch`; a failed or broken subscription is told as FAILED, at once. When the next try
-leaves is for `flow_control/backoff.py` to say, as on the platform: a crowd that lost its directory
-comes back spread, and no sooner than a Retry-After says."""
+The decision module requests the list by calling `watch`. A failed or broken subscription is reported as
+FAILED at once. `flow_control/backoff.py` sets the delay before the next attempt, as on the platform:
+allocators that lost their directory reconnect spread over time, and not before a Retry-After has passed.
+"""
 
 from __future__ import annotations
 
@@ -19,90 +20,104 @@
 from glencleat.mesos.http import ClientConnection, HttpError, ResponseEnd, ResponseHead
 from glencleat.mesos.recordio import RecordDecoder, RecordError
 
-TARGET = "/api/v1"
+OPERATOR_API_PATH = "/api/v1"
 CONNECT_TIMEOUT_MS = 1_000.0
-MAX_RETRY_AFTER_MS = 60_000.0  # of what a directory may say; a wrong word would else keep us blind
+MAX_RETRY_AFTER_MS = 60_000.0  # a faulty Retry-After could otherwise leave the allocator without a list
 
 
 def retry_after_ms(headers: Mapping[str, str]) -> float:
-    """The seconds that a Retry-After names (RFC 9110, 10.2.3), as milliseconds; 0 for a date or nonsense."""
-    told = headers.get("retry-after", "").strip()
-    return min(MAX_RETRY_AFTER_MS, 1e3 * int(told)) if told.isdecimal() and len(told) < 10 else 0.0
+    """Returns the delay that a Retry-After header demands (RFC 9110, 10.2.3), in milliseconds.
+
+    The delay is 0 for a date and for an invalid value.
+    """
+    text = headers.get("retry-after", "").strip()
+    return min(MAX_RETRY_AFTER_MS, 1e3 * int(text)) if text.isdecimal() and len(text) < 10 else 0.0
 
 
 class DirectoryClient:
+    """Keeps one subscription to the directory and passes each update of the machine list to `on_update`.
+
+    A subscription without any data for `silence_timeout_ms` is closed.
+    """
+
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        tell: Callable[[api.MachineListUpdated], None],
-        asking: Backoff,
+        on_update: Callable[[api.MachineListUpdated], None],
+        backoff: Backoff,
         silence_timeout_ms: float = 45_000.0,
-        record_most: int = 16 << 20,
-        log: Callable[..., None] = lambda event, **more: None,
+        max_record_bytes: int = 16 << 20,
+        log: Callable[..., None] = lambda event, **fields: None,
     ) -> None:
-        self.loop, self.address, self.on_update, self.log = loop, address, tell, log
-        self.backoff = asking
-        self.next_try_at_ms = loop.now() + asking.first_delay_ms()  # not before this
-        self.subscribed_at_ms: float | None = None  # since when this subscription tells something
-        self.server_retry_after_ms = 0.0  # the directory's own word of when to come again
-        self.try_count = 0
-        self.is_watch_pending = False  # a Watch is not answered yet
-        self.silence_timeout_ms, self.max_record_bytes = silence_timeout_ms, record_most
+        self.loop, self.address, self.on_update, self.log = loop, address, on_update, log
+        self.backoff = backoff
+        self.next_attempt_at_ms = loop.now() + backoff.first_delay_ms()
+        self.subscribed_at_ms: float | None = None  # first update of the current subscription
+        self.server_retry_after_ms = 0.0  # delay that the directory demanded
+        self.attempt_count = 0
+        self.is_watch_pending = False  # a `watch` call has no answer yet
+        self.silence_timeout_ms, self.max_record_bytes = silence_timeout_ms, max_record_bytes
         self.listing = MachineListing()
         self.task: LoopTask | None = None
 
     def watch(self) -> None:
-        """Subscribes, and holds the subscription from then on; one ListTold answers, WHOLE or FAILED.
+        """Subscribes and keeps the subscription; one MachineListUpdated answers, SNAPSHOT or FAILED.
 
-        While it is held what is known is the answer. While a try waits for its turn it is this ask's too."""
+        While the subscription is up, the list known so far is the answer. An attempt that is already waiting
+        for its backoff answers this call too.
+        """
         self.is_watch_pending = True
         if self.task is None:
             self.task = self.loop.spawn(self._run(), "directory")
         elif self.subscribed_at_ms is not None:
-            self._told(self.listing.snapshot())
+            self._notify(self.listing.snapshot())
 
     def _run(self) -> Coroutine:
         while True:
-            yield from self.loop.sleep(max(0.0, self.next_try_at_ms - self.loop.now()))
-            self.try_count += 1
-            yield from self._try()
+            yield from self.loop.sleep(max(0.0, self.next_attempt_at_ms - self.loop.now()))
+            self.attempt_count += 1
+            yield from self._attempt_subscription()
 
-    def _try(self) -> Coroutine:
+    def _attempt_subscription(self) -> Coroutine:
         stream: Stream | None = None
         self.server_retry_after_ms = 0.0
         try:
             stream = yield from connect(self.loop, self.address, CONNECT_TIMEOUT_MS)
-            yield from self._subscribed(stream)
+            yield from self._subscribe_and_read(stream)
             why = "the directory ended the stream"
         except (StreamClosedError, HttpError, RecordError, m.MessageError) as error:
             why = str(error)
         finally:
             if stream is not None:
                 stream.close("done")
-        up_at, self.subscribed_at_ms = self.subscribed_at_ms, None
-        lasted = 0.0 if up_at is None else self.loop.now() - up_at
-        self.next_try_at_ms = self.loop.now() + self.backoff.next_delay_ms(lasted, self.server_retry_after_ms)
-        self.log("directory failed", why=why, tries=self.try_count)
-        if self.is_watch_pending or up_at is not None:
-            self._told(api.MachineListUpdated(api.ListUpdateKind.FAILED))
-
-    def _told(self, event: api.MachineListUpdated) -> None:
+        subscribed_at_ms, self.subscribed_at_ms = self.subscribed_at_ms, None
+        subscribed_for_ms = 0.0 if subscribed_at_ms is None else self.loop.now() - subscribed_at_ms
+        self.next_attempt_at_ms = self.loop.now() + self.backoff.next_delay_ms(
+            subscribed_for_ms, self.server_retry_after_ms
+        )
+        self.log("directory failed", why=why, tries=self.attempt_count)
+        if self.is_watch_pending or subscribed_at_ms is not None:
+            self._notify(api.MachineListUpdated(api.ListUpdateKind.FAILED))
+
+    def _notify(self, event: api.MachineListUpdated) -> None:
         if event.kind is not api.ListUpdateKind.DELTA:
             self.is_watch_pending = False
         self.on_update(event)
 
-    def _subscribed(self, stream: Stream) -> Coroutine:
+    def _subscribe_and_read(self, stream: Stream) -> Coroutine:
         http, decoder = ClientConnection(), RecordDecoder(self.max_record_bytes)
         headers = {"content-type": "application/json", "accept": "application/json"}
         body = m.encode(m.OperatorCall("SUBSCRIBE"))
-        stream.send(http.encode_request("POST", TARGET, "directory", headers, body))
-        silence = self.loop.call_in(self.silence_timeout_ms, lambda: stream.close("no heartbeat"))
+        stream.send(http.encode_request("POST", OPERATOR_API_PATH, "directory", headers, body))
+        silence_timer = self.loop.call_in(self.silence_timeout_ms, lambda: stream.close("no heartbeat"))
         try:
             while True:
                 data = yield from stream.read()
-                silence.cancel()
-                silence = self.loop.call_in(self.silence_timeout_ms, lambda: stream.close("no heartbeat"))
+                silence_timer.cancel()
+                silence_timer = self.loop.call_in(
+                    self.silence_timeout_ms, lambda: stream.close("no heartbeat")
+                )
                 for event in http.feed(data):
                     if isinstance(event, ResponseHead) and event.status != 200:
                         self.server_retry_after_ms = retry_after_ms(event.headers)
@@ -110,24 +125,24 @@
                     if isinstance(event, ResponseEnd):
                         return
                     for record in decoder.feed(event) if isinstance(event, bytes) else ():
-                        self._event(m.decode(m.OperatorEvent, record))
+                        self._handle_event(m.decode(m.OperatorEvent, record))
                 if data == b"":
                     return
         finally:
-            silence.cancel()
+            silence_timer.cancel()
 
-    def _event(self, event: m.OperatorEvent) -> None:
+    def _handle_event(self, event: m.OperatorEvent) -> None:
         now, wall = self.loop.now(), self.loop.clock.wall()
-        told: Any = None
+        update: Any = None
         if event.type == "SUBSCRIBED" and event.subscribed is not None:
             state = event.subscribed.get_state
             agents = state.get_agents.agents if state is not None and state.get_agents is not None else []
-            told = self.listing.replace_all(agents, now, wall)
+            update = self.listing.replace_all(agents, now, wall)
         elif event.type == "AGENT_ADDED" and event.agent_added is not None:
-            told = self.listing.record_change(event.agent_added.agent, now, wall)
+            update = self.listing.record_change(event.agent_added.agent, now, wall)
         elif event.type == "AGENT_REMOVED" and event.agent_removed is not None:
-            told = self.listing.record_removal(event.agent_removed.agent_id.value)
-        if told is not None:
+            update = self.listing.record_removal(event.agent_removed.agent_id.value)
+        if update is not None:
             if self.subscribed_at_ms is None:
                 self.subscribed_at_ms = now
-            self._told(told)
+            self._notify(update)
--- a/glencleat/servers/executor_api.py
+++ b/glencleat/servers/executor_api.py
@@ -1,7 +1,9 @@
-"""The Executor API at /api/v1/executor, for machines' agents (mesos/v1/executor/executor.proto).
+"""The Executor API at /api/v1/executor, for the agents of machines (mesos/v1/executor/executor.proto).
 
-SUBSCRIBE is answered with a stream of events; UPDATE, MESSAGE and HEARTBEAT are POSTs of their own, answered
-202. Calls of a run that is not subscribed are 403: its agent subscribes again and tells all it holds."""
+The response to SUBSCRIBE is a stream of events. UPDATE, MESSAGE and HEARTBEAT are separate POST requests
+with the response 202. A call of an incarnation that is not subscribed gets 403; its agent then subscribes
+again and reports all of its tasks.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +18,21 @@
 
 TARGET = "/api/v1/executor"
 HEARTBEAT = m.encode(m.ExecutorEvent("HEARTBEAT"))
-TYPES = ("SUBSCRIBE", "UPDATE", "MESSAGE", "HEARTBEAT")
+CALL_TYPES = ("SUBSCRIBE", "UPDATE", "MESSAGE", "HEARTBEAT")
 MAX_ID_CHARACTERS = 256
 
 
 class ExecutorApi:
+    """Request handler of the Executor API."""
+
     def __init__(self, core: Core) -> None:
         self.core = core
 
     def handle(self, request: Request) -> Response | SessionResponse:
+        """Executes the call in a request.
+
+        Raises HttpError if the call is invalid or its agent isn't subscribed.
+        """
         call = json_call(request, TARGET, m.ExecutorCall)
         try:
             if not call.executor_id.value or len(call.executor_id.value) > MAX_ID_CHARACTERS:
@@ -39,7 +47,7 @@
         return Response(202)
 
     def _subscribe(self, call: m.ExecutorCall) -> SessionResponse:
-        def begin(link: RecordLink) -> Callable[[str], None]:
+        def open_session(link: RecordLink) -> Callable[[str], None]:
             try:
                 agent = self.core.agent_sessions.subscribe(call, link)
             except (AgentLimitError, m.MessageError, NotSubscribedError) as error:
@@ -48,7 +56,7 @@
                 return lambda why: None
             return lambda why: self.core.agent_sessions.close_session(agent, link, why)
 
-        return SessionResponse({}, begin, HEARTBEAT, self.core.options.heartbeat_ms)
+        return SessionResponse({}, open_session, HEARTBEAT, self.core.options.heartbeat_ms)
 
     def _call(self, call: m.ExecutorCall) -> None:
         agents, name = self.core.agent_sessions, call.executor_id.value
@@ -59,4 +67,4 @@
         elif call.type == "HEARTBEAT":
             agents.record_heartbeat(name)
         else:
-            raise HttpError(400, f"type is {call.type[:40]!r}; expected one of {', '.join(TYPES)}")
+            raise HttpError(400, f"type is {call.type[:40]!r}; expected one of {', '.join(CALL_TYPES)}")
--- a/glencleat/servers/http_server.py
+++ b/glencleat/servers/http_server.py
@@ -1,8 +1,9 @@
-"""An HTTP/1.1 server on the kernel's streams: one task a connection, handlers by target.
+"""An HTTP/1.1 server on the streams of `event_loop`, with one loop task per connection.
 
-A handler gets a Request and answers with a Response, or takes the connection over for a stream of records
-(`RecordLink`). Every wait for a peer has a limit: idle connections, requests that come too slowly, responses
-that are not read."""
+A handler receives a Request and returns a Response, a StreamResponse that it fills at the reader's pace, or a
+SessionResponse that turns the connection into a stream of records (`RecordLink`). Every wait for a peer has a
+timeout: idle connections, slow requests, and responses that are not read.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +20,23 @@
 from glencleat.mesos import recordio
 from glencleat.mesos.http import HttpError, Request, Response, ServerConnection
 
-LINGER_MS, LINGER_BYTES = 1_000.0, 4 << 20  # that a peer at fault may still send
+# How long, and how much, is read from a peer after the last response on its connection.
+LINGER_TIMEOUT_MS, MAX_LINGER_BYTES = 1_000.0, 4 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
+    """Limits of a server and of each of its connections."""
+
     max_connections: int = 10_000
-    max_body_bytes: int = 1 << 20  # bytes
-    max_unsent_bytes: int = 1 << 20  # bytes that a slow reader may leave
-    request_timeout_ms: float = 10_000.0  # from a request's first byte to its last
+    max_body_bytes: int = 1 << 20
+    max_unsent_bytes: int = 1 << 20  # more unsent bytes close the connection of a slow reader
+    request_timeout_ms: float = 10_000.0  # from the first byte of a request to its last
     idle_timeout_ms: float = 60_000.0  # between requests
 
 
 class RecordLink:
-    """A subscribed session: a chunked response that carries RecordIO. The core's Link."""
+    """A subscribed session: a chunked response that carries RecordIO. It is the Link of the core."""
 
     def __init__(self, connection: ServerConnection, stream: Stream) -> None:
         self.connection, self.stream = connection, stream
@@ -40,19 +44,24 @@
         self.heartbeat_timer: Timer | None = None
 
     def send(self, record: bytes) -> tuple[int, int]:
+        """Queues a record and returns the stream offsets of its first byte and of the byte after its last.
+
+        On a closed connection nothing is sent, and the range never counts as written.
+        """
         begin = self.stream.queued_bytes
         if self.stream.close_reason is not None:
             return begin, begin + 1
         framed = self.connection.chunk(recordio.encode(record))
-        with contextlib.suppress(StreamClosedError):  # its close_callbacks tell whom it concerns
+        with contextlib.suppress(StreamClosedError):  # close_callbacks report it
             self.stream.send(framed)
-        return begin, begin + len(framed) - 2  # the chunk's own line end comes after the record's last byte
+        return begin, begin + len(framed) - 2  # without the line end of the chunk, which follows the record
 
     def written_bytes(self) -> int:
+        """Returns the number of bytes that the socket has taken since the start of the connection."""
         return self.stream.written_bytes
 
     def close(self, why: str) -> None:
-        """Ends the response, as far as the socket takes it, and the connection."""
+        """Ends the response, as far as the socket accepts it, and closes the connection."""
         if self.stream.close_reason is None:
             try:
                 self.stream.send(self.connection.end_stream())
@@ -63,37 +72,41 @@
 
 @dataclass(slots=True)
 class SessionResponse:
-    """A handler's answer that turns the connection into a session."""
+    """A response that turns the connection into a session with heartbeats."""
 
     headers: dict[str, str]
-    open_session: Callable[[RecordLink], Callable[[str], None]]  # gives what is called at the session's end
+    open_session: Callable[[RecordLink], Callable[[str], None]]  # returns the callback for its end
     heartbeat: bytes
     heartbeat_interval_ms: float
 
 
 class Sink:
-    """A chunked response that a coroutine of the handler's fills at the reader's pace."""
+    """A chunked response that a coroutine of the handler fills at the reader's pace."""
 
     def __init__(self, connection: ServerConnection, stream: Stream) -> None:
         self.connection, self.stream = connection, stream
 
     @property
     def is_closed(self) -> bool:
+        """Whether the connection is closed."""
         return self.stream.close_reason is not None
 
-    def on_close(self, call: Callable[[], None]) -> None:
-        self.stream.close_callbacks.append(lambda _: call())
+    def on_close(self, callback: Callable[[], None]) -> None:
+        """Registers a callback for the end of the connection."""
+        self.stream.close_callbacks.append(lambda _: callback())
 
     def send(self, data: bytes) -> Coroutine:
-        """Hands over a piece at once; what it gives waits until the socket has taken it. Raises
-        StreamClosed."""
+        """Queues a chunk at once and returns a coroutine that waits until the socket has taken it.
+
+        Raises StreamClosedError.
+        """
         self.stream.send(self.connection.chunk(data))
         return self.stream.flush()
 
-    def send_last(self, data: bytes, why: str, within_ms: float) -> Coroutine:
-        """A last piece, as far as the reader takes it in time; then the connection ends."""
+    def send_last(self, data: bytes, why: str, timeout_ms: float) -> Coroutine:
+        """Sends the last chunk and closes the connection when it is sent, or after the timeout."""
         loop = self.stream.loop
-        timer = loop.call_in(within_ms, lambda: self.stream.close(why))
+        timer = loop.call_in(timeout_ms, lambda: self.stream.close(why))
         try:
             self.stream.send(self.connection.chunk(data) + self.connection.end_stream())
             yield from self.stream.flush()
@@ -104,41 +117,51 @@
 
 @dataclass(slots=True)
 class StreamResponse:
-    """A handler's answer that is a stream without an end of its own; `write_body` runs until it is over."""
+    """A response of unbounded length, which lasts as long as `write_body` runs."""
 
     content_type: str
     write_body: Callable[[Sink], Coroutine]
-    abort: Callable[[], None]  # called instead of `write_body` where the stream can't begin
+    abort: Callable[[], None]  # called instead of `write_body` if the response can't be started
 
 
 Handler = Callable[[Request], Response | SessionResponse | StreamResponse]
 
 
 def plain_response(error: HttpError) -> Response:
+    """Returns an error as a response in plain text."""
     return Response(error.status, (error.text + "\n").encode())
 
 
 class RequestIntake(Protocol):
-    """Decides how many requests there is time for; `rest.overload` has one."""
+    """Limits the rate at which requests are read; `rest.overload` implements it."""
+
+    def allowed_count(self, now: float, idle_ms: float) -> int:
+        """Returns how many requests may be read now. The loop has been idle for `idle_ms` in total."""
+        ...
+
+    def record_cost(self, ms: float) -> None:
+        """Records how long a request took."""
+        ...
 
-    def allowed_count(self, now: float, idle_ms: float) -> int: ...
-    def record_cost(self, ms: float) -> None: ...
-    def is_overloaded(self, waiting: int) -> bool: ...
+    def is_overloaded(self, waiting: int) -> bool:
+        """Whether another request would wait too long behind the `waiting` ones."""
+        ...
 
 
 class RequestThrottle:
-    """Lets requests be read in the order in which their bytes came, when there is time for them."""
+    """Admits requests for reading in the order of arrival, at the rate that the intake allows."""
 
     def __init__(self, loop: Loop, intake: RequestIntake) -> None:
         self.loop, self.intake = loop, intake
         self.waiting_tasks: dict[LoopTask, None] = {}
-        self.is_look_scheduled = False
+        self.is_wake_scheduled = False
 
     def allowed_count(self) -> int:
+        """Returns how many requests may be read now."""
         return self.intake.allowed_count(self.loop.now(), self.loop.poller.idle_ms)
 
     def wait_turn(self) -> Coroutine:
-        """Waits for a turn; gives False, at once, where that would take too long."""
+        """Waits until a request may be read; returns False at once if the wait would be too long."""
         if not self.waiting_tasks and self.allowed_count():
             return True
         if self.intake.is_overloaded(len(self.waiting_tasks)):
@@ -146,7 +169,7 @@
 
         def arm(task: LoopTask) -> Callable[[], None]:
             self.waiting_tasks[task] = None
-            self._look_soon()
+            self._schedule_wake()
 
             def disarm() -> None:
                 self.waiting_tasks.pop(task, None)
@@ -156,36 +179,42 @@
         yield arm
         return True
 
-    def _look_soon(self) -> None:
-        if not self.is_look_scheduled:
-            self.is_look_scheduled = True
-            self.loop.call_in(0.0, self._look)
+    def _schedule_wake(self) -> None:
+        if not self.is_wake_scheduled:
+            self.is_wake_scheduled = True
+            self.loop.call_in(0.0, self._wake_admitted)
 
-    def _look(self) -> None:
-        self.is_look_scheduled = False
+    def _wake_admitted(self) -> None:
+        self.is_wake_scheduled = False
         for task in list(islice(self.waiting_tasks, self.allowed_count())):
             del self.waiting_tasks[task]
             self.loop.wake(task)
         if self.waiting_tasks:
-            self._look_soon()
+            self._schedule_wake()
 
 
-# What a crowd is told without its request being read: the rest would cost more than the answer.
-BUSY = (
+# The response under overload. The request is not parsed, because that would cost more than the response.
+OVERLOAD_RESPONSE = (
     b"HTTP/1.1 503 \r\nretry-after: 1\r\nconnection: close\r\ncontent-type: application/problem+json\r\n"
     b"content-length: %d\r\n\r\n%b"
 )
-BUSY_BODY = b'{"title":"Not now","status":503,"detail":"too many requests wait","retryAfterMs":1000}'
+OVERLOAD_BODY = b'{"title":"Not now","status":503,"detail":"too many requests wait","retryAfterMs":1000}'
 
 
 class Server:
+    """Listens on an address and passes each request to the handler.
+
+    `error_response` renders an HttpError. With an `intake`, requests wait for their turn before they are
+    read. Raises OSError if the address can't be bound.
+    """
+
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
         handler: Handler,
         limits: ServerLimits,
-        log: Callable[..., None] = lambda event, **more: None,
+        log: Callable[..., None] = lambda event, **fields: None,
         error_response: Callable[[HttpError], Response] = plain_response,
         intake: RequestIntake | None = None,
     ) -> None:
@@ -198,38 +227,38 @@
             error_response,
         )
         self.refused_count = 0
-        self.connections_without_request: dict[
-            Stream, None
-        ] = {}  # connections that have not made a whole request, oldest first
+        # Connections without a complete request so far, oldest first.
+        self.connections_without_request: dict[Stream, None] = {}
         self.listener = Listener(
             loop,
             address,
             self._accept,
             limits.max_connections,
             limits.max_unsent_bytes,
-            self._dropped,
-            self._make_room,
+            self._record_refusal,
+            self._evict_oldest_without_request,
         )
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address that the listener is bound to."""
         return self.listener.address
 
-    def _dropped(self, why: str) -> None:
+    def _record_refusal(self, why: str) -> None:
         self.refused_count += 1
-        if (
-            self.refused_count & (self.refused_count - 1) == 0
-        ):  # 1, 2, 4, 8 ...: a storm must not fill the log
+        # Only the 1st, 2nd, 4th, 8th ... refusal is logged, so that a flood doesn't fill the log.
+        if self.refused_count & (self.refused_count - 1) == 0:
             self.log("connection refused", why=why, so_far=self.refused_count)
 
-    def _make_room(self) -> bool:
-        """Full: the oldest connection that has not yet made a request goes.
+    def _evict_oldest_without_request(self) -> bool:
+        """Closes the oldest connection without a request; returns False if there is none.
 
-        A crowd that only connects must not keep out the calls of owners and agents that are subscribed."""
+        Peers that only connect must not lock out the calls of subscribed frameworks and agents.
+        """
         oldest = next(iter(self.connections_without_request), None)
         if oldest is None:
             return False
-        self._dropped("made room for a newcomer")
+        self._record_refusal("made room for a newcomer")
         oldest.close("made room for a newcomer")
         return True
 
@@ -240,111 +269,118 @@
             self.connections_without_request.pop(stream, None)
 
         stream.close_callbacks.append(forget)
-        self.loop.spawn(self._serve(stream), "connection")
+        self.loop.spawn(self._serve_connection(stream), "connection")
 
-    def _serve(self, stream: Stream) -> Coroutine:
+    def _serve_connection(self, stream: Stream) -> Coroutine:
         connection = ServerConnection(self.limits.max_body_bytes)
-        clock = PeerTimeout(self.loop, stream, self.limits)
+        peer_timeout = PeerTimeout(self.loop, stream, self.limits)
         try:
             while stream.close_reason is None:
-                clock.start_wait(connection.has_partial_request())
+                peer_timeout.start_wait(connection.has_partial_request())
                 data = yield from stream.read()
                 if self.throttle is not None and not (yield from self.throttle.wait_turn()):
-                    self._dropped("too many requests wait to be read")
-                    stream.send(BUSY % (len(BUSY_BODY), BUSY_BODY))
+                    self._record_refusal("too many requests wait to be read")
+                    stream.send(OVERLOAD_RESPONSE % (len(OVERLOAD_BODY), OVERLOAD_BODY))
                     yield from self._linger(stream)
                     return
-                began = self.loop.now()
+                started_at_ms = self.loop.now()
                 requests = connection.feed(data)
                 if requests:
                     self.connections_without_request.pop(stream, None)
                 while requests:
-                    link = yield from self._answer(connection, stream, requests[0], clock, began)
+                    link = yield from self._handle_request(
+                        connection, stream, requests[0], peer_timeout, started_at_ms
+                    )
                     if link is not None:
-                        clock.stop()
-                        yield from self._hold(stream)
+                        peer_timeout.stop()
+                        yield from self._read_until_closed(stream)
                         return
                     if self.throttle is not None and connection.has_partial_request():
-                        yield from self.throttle.wait_turn()  # what came behind it takes a turn of its own
-                    began = self.loop.now()
+                        yield from self.throttle.wait_turn()  # each pipelined request waits for its own turn
+                    started_at_ms = self.loop.now()
                     requests = requests[1:] or connection.parse_pipelined()
                 if data == b"" or connection.must_close():
                     break
         except HttpError as error:
-            self._complain(connection, stream, error)
+            self._send_error(connection, stream, error)
             yield from self._linger(stream)
         except StreamClosedError:
             pass
         finally:
-            clock.stop()
+            peer_timeout.stop()
             stream.close("done")
 
     def _linger(self, stream: Stream) -> Coroutine:
-        """Reads on for a little after a last response: a close with bytes unread resets the connection, and
-        the peer would lose the response that says what was wrong (RFC 9112, 9.6)."""
-        timer = self.loop.call_in(LINGER_MS, lambda: stream.close("done"))
+        """Keeps reading for a short time after the last response.
+
+        Closing with unread bytes resets the connection, and the peer would lose the response that reports the
+        error (RFC 9112, 9.6).
+        """
+        timer = self.loop.call_in(LINGER_TIMEOUT_MS, lambda: stream.close("done"))
         try:
             yield from stream.flush()
             stream.shutdown_write()
-            left = LINGER_BYTES
-            while left > 0 and stream.close_reason is None:
+            remaining_bytes = MAX_LINGER_BYTES
+            while remaining_bytes > 0 and stream.close_reason is None:
                 data = yield from stream.read()
-                left -= len(data) or left
+                remaining_bytes -= len(data) or remaining_bytes
         except StreamClosedError:
             pass
         finally:
             timer.cancel()
 
-    def _complain(self, connection: ServerConnection, stream: Stream, error: HttpError) -> None:
+    def _send_error(self, connection: ServerConnection, stream: Stream, error: HttpError) -> None:
         self.log("bad request", status=error.status, why=error.text[:200])
         with contextlib.suppress(StreamClosedError):
             stream.send(connection.refuse(error, self.error_response(error)))
 
-    def _answer(
+    def _handle_request(
         self,
         connection: ServerConnection,
         stream: Stream,
         request: Request,
-        clock: PeerTimeout,
-        began: float,
+        peer_timeout: PeerTimeout,
+        started_at_ms: float,
     ) -> Coroutine:
         request.connection = stream
         try:
-            told = self.handler(request)
+            response = self.handler(request)
         except HttpError as error:
-            told = self.error_response(error)
-        if isinstance(told, Response):
-            stream.send(connection.encode_response(told))
+            response = self.error_response(error)
+        if isinstance(response, Response):
+            stream.send(connection.encode_response(response))
             if self.throttle is not None:
-                self.throttle.intake.record_cost(self.loop.now() - began)
+                self.throttle.intake.record_cost(self.loop.now() - started_at_ms)
             if stream.send_buffer:
-                clock.start_wait(True)  # the response, too, is to be taken in that time
+                peer_timeout.start_wait(True)  # the request timeout also covers reading the response
                 yield from stream.flush()
-            if told.read_pause_ms:
-                yield from self.loop.sleep(told.read_pause_ms)
+            if response.read_pause_ms:
+                yield from self.loop.sleep(response.read_pause_ms)
             return None
-        if isinstance(told, StreamResponse):
-            clock.stop()
+        if isinstance(response, StreamResponse):
+            peer_timeout.stop()
             try:
-                stream.send(connection.open_stream({}, told.content_type))
+                stream.send(connection.open_stream({}, response.content_type))
             except (HttpError, StreamClosedError):
-                told.abort()
+                response.abort()
                 raise
-            self.loop.spawn(self._hold(stream), "watch", self.loop.current_task)
-            yield from told.write_body(Sink(connection, stream))
+            self.loop.spawn(self._read_until_closed(stream), "watch", self.loop.current_task)
+            yield from response.write_body(Sink(connection, stream))
             return None
-        stream.send(connection.open_stream(told.headers))
-        return self._subscribe(connection, stream, told)
+        stream.send(connection.open_stream(response.headers))
+        return self._open_session(connection, stream, response)
 
-    def _subscribe(self, connection: ServerConnection, stream: Stream, told: SessionResponse) -> RecordLink:
+    def _open_session(
+        self, connection: ServerConnection, stream: Stream, response: SessionResponse
+    ) -> RecordLink:
         link = RecordLink(connection, stream)
 
-        def beat() -> None:
+        def send_heartbeat() -> None:
             if stream.close_reason is None:
-                link.send(told.heartbeat)
-                link.heartbeat_timer = self.loop.call_in(told.heartbeat_interval_ms, beat)
+                link.send(response.heartbeat)
+                link.heartbeat_timer = self.loop.call_in(response.heartbeat_interval_ms, send_heartbeat)
 
-        link.heartbeat_timer = self.loop.call_in(told.heartbeat_interval_ms, beat)
+        link.heartbeat_timer = self.loop.call_in(response.heartbeat_interval_ms, send_heartbeat)
 
         def closed(why: str) -> None:
             if link.heartbeat_timer is not None:
@@ -352,14 +388,14 @@
             link.on_end(why)
 
         stream.close_callbacks.append(closed)
-        link.on_end = told.open_session(link)
-        if stream.close_reason is not None:  # it was cut off while it began
+        link.on_end = response.open_session(link)
+        if stream.close_reason is not None:  # closed while the session was opening
             link.on_end(stream.close_reason)
         return link
 
     @staticmethod
-    def _hold(stream: Stream) -> Coroutine:
-        """The session's read side: its peer sends nothing more, an end means that it is gone."""
+    def _read_until_closed(stream: Stream) -> Coroutine:
+        """Discards what the peer of a stream sends, and closes the stream when the peer does."""
         try:
             while True:
                 data = yield from stream.read(4096)
@@ -370,14 +406,16 @@
             return
 
     def close(self) -> None:
-        """Stops listening; open connections stay."""
+        """Stops listening; open connections stay open."""
         self.listener.close()
 
 
 class PeerTimeout:
-    """How long a peer may take with a request, or stay idle; one timer a connection, set anew only when due.
+    """Closes a connection that stays idle or takes too long to send a request or read its response.
 
-    Dripping a byte now and then does not help a slow sender: the limit runs from the request's first byte."""
+    A connection has one timer, which is rearmed only when it fires. The request timeout runs from the first
+    byte of the request, so a sender can't extend it by sending a byte now and then.
+    """
 
     def __init__(self, loop: Loop, stream: Stream, limits: ServerLimits) -> None:
         self.loop, self.stream, self.limits = loop, stream, limits
@@ -385,38 +423,43 @@
         self.timer: Timer | None = None
         self._arm(limits.idle_timeout_ms)
 
-    def start_wait(self, busy: bool) -> None:
-        """Called as often as the peer is waited for; `busy`: it has begun something and not ended it."""
-        if busy and self.is_in_request:
+    def start_wait(self, in_request: bool) -> None:
+        """Notes that the server waits for the peer; `in_request` if a request or response is incomplete."""
+        if in_request and self.is_in_request:
             return
         self.waiting_since_ms = self.loop.now()
-        if busy != self.is_in_request:
-            self.is_in_request = busy
-            self._arm(self.limits.request_timeout_ms if busy else self.limits.idle_timeout_ms)
+        if in_request != self.is_in_request:
+            self.is_in_request = in_request
+            self._arm(self.limits.request_timeout_ms if in_request else self.limits.idle_timeout_ms)
 
-    def _arm(self, in_ms: float) -> None:
+    def _arm(self, delay_ms: float) -> None:
         self.stop()
-        self.timer = self.loop.call_in(in_ms, self._due)
+        self.timer = self.loop.call_in(delay_ms, self._check_timeout)
 
-    def _due(self) -> None:
-        limit = self.limits.request_timeout_ms if self.is_in_request else self.limits.idle_timeout_ms
-        left = self.waiting_since_ms + limit - self.loop.now()
-        if left > 1.0:
-            self._arm(left)
+    def _check_timeout(self) -> None:
+        timeout_ms = self.limits.request_timeout_ms if self.is_in_request else self.limits.idle_timeout_ms
+        remaining_ms = self.waiting_since_ms + timeout_ms - self.loop.now()
+        if remaining_ms > 1.0:
+            self._arm(remaining_ms)
         else:
             self.stream.close("request too slow" if self.is_in_request else "idle")
 
     def stop(self) -> None:
+        """Cancels the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
 
 def parse_failure(error: m.MessageError) -> HttpError:
+    """Returns the error for a body that is no valid call."""
     return HttpError(400, f"Failed to parse body into Call: {error}")
 
 
 def json_call(request: Request, target: str, kind: type[m.T]) -> m.T:
-    """The call, after the checks that all APIs share; raises HttpError with the published statuses."""
+    """Decodes the call in a request after the checks that all APIs share.
+
+    Raises HttpError with the status codes that Mesos documents.
+    """
     if request.target.split("?")[0] != target:
         raise HttpError(404, f"{request.target[:80]}: no such resource; expected {target}")
     if request.method != "POST":
@@ -433,7 +476,8 @@
         raise parse_failure(error) from None
 
 
-def require_field(part: m.T | None, name: str) -> m.T:
-    if part is None:
+def require_field(field: m.T | None, name: str) -> m.T:
+    """Returns the field of a call. Raises HttpError if it is missing."""
+    if field is None:
         raise HttpError(400, f"Expecting '{name}' to be present")
-    return part
+    return field
--- a/glencleat/servers/metrics.py
+++ b/glencleat/servers/metrics.py
@@ -1,8 +1,7 @@
-"""Metrics at /metrics, in Prometheus' text format by its own client library; whether owners should come at
-/ready, 200 or 503 with the reason.
+"""Metrics at /metrics in the Prometheus text format, and readiness at /ready: 200, or 503 with the reason.
 
-Each scrape reads the core between two events, so that taken = served + refused + failed + open holds in
-it."""
+Each scrape reads the core between two events, so that taken = served + refused + failed + open holds in it.
+"""
 
 from __future__ import annotations
 
@@ -19,42 +18,51 @@
 from glencleat.rest.service import RestService
 from glencleat.servers.rest_api import RestApi
 
-RETRY_AFTER = "1"  # seconds; nothing that it waits for comes in steps longer than this
+RETRY_AFTER_S = "1"  # the conditions for readiness progress in steps of at most a second
 
 
 class Collector:
+    """Collects the metrics of the allocator core."""
+
     def __init__(self, core: Core) -> None:
         self.core = core
 
     def collect(self) -> Iterator[Metric]:
-        figures = self.core.counters
-        taken = CounterMetricFamily("glencleat_tasks_taken", "Tasks taken from owners", labels=["class"])
-        for name, value in sorted(figures.received_by_class.items()):
-            taken.add_metric([name], value)
-        yield taken
-        given = CounterMetricFamily("glencleat_tasks_answered", "Final answers", labels=["class", "answer"])
-        for name in sorted(figures.received_by_class):
+        """Yields one metric family after another, as the client library requires."""
+        counters = self.core.counters
+        received = CounterMetricFamily("glencleat_tasks_taken", "Tasks taken from owners", labels=["class"])
+        for name, value in sorted(counters.received_by_class.items()):
+            received.add_metric([name], value)
+        yield received
+        answered = CounterMetricFamily(
+            "glencleat_tasks_answered", "Final answers", labels=["class", "answer"]
+        )
+        for name in sorted(counters.received_by_class):
             for answer in FinalAnswer:
-                given.add_metric([name, answer.value], figures.answers_by_class[name, answer.value])
-        yield given
-        still = GaugeMetricFamily("glencleat_tasks_open", "Tasks without an answer yet", labels=["class"])
-        open_now = figures.count_open_by_class()
-        for name in sorted(figures.received_by_class):
-            still.add_metric([name], open_now[name])
-        yield still
-        yield from self._others(open_now)
-
-    def _others(self, open_now: Counter[str]) -> Iterator[Metric]:
-        figures, core = self.core.counters, self.core
-        off = GaugeMetricFamily("glencleat_tasks_mismatch", "Taken less answered less open: 0, or a fault")
-        off.add_metric([], sum(abs(v) for v in figures.find_mismatches(open_now).values()))
-        yield off
+                answered.add_metric([name, answer.value], counters.answers_by_class[name, answer.value])
+        yield answered
+        open_tasks = GaugeMetricFamily(
+            "glencleat_tasks_open", "Tasks without an answer yet", labels=["class"]
+        )
+        open_now = counters.count_open_by_class()
+        for name in sorted(counters.received_by_class):
+            open_tasks.add_metric([name], open_now[name])
+        yield open_tasks
+        yield from self._collect_totals(open_now)
+
+    def _collect_totals(self, open_now: Counter[str]) -> Iterator[Metric]:
+        counters, core = self.core.counters, self.core
+        mismatch = GaugeMetricFamily(
+            "glencleat_tasks_mismatch", "Taken less answered less open: 0, or a fault"
+        )
+        mismatch.add_metric([], sum(abs(v) for v in counters.find_mismatches(open_now).values()))
+        yield mismatch
         attempts = CounterMetricFamily("glencleat_attempts", "Attempts back, by outcome", labels=["outcome"])
-        for name, value in sorted(figures.attempts_by_outcome.items()):
+        for name, value in sorted(counters.attempts_by_outcome.items()):
             attempts.add_metric([name], value)
         yield attempts
         events = CounterMetricFamily("glencleat_events", "Things worth a count", labels=["event"])
-        for name, value in sorted(figures.counts_by_event.items()):
+        for name, value in sorted(counters.counts_by_event.items()):
             events.add_metric([name], value)
         yield events
         agents = GaugeMetricFamily("glencleat_agents", "Agents by state", labels=["state"])
@@ -64,9 +72,9 @@
         yield agents
         frameworks = GaugeMetricFamily("glencleat_frameworks", "Owners' frameworks", labels=["connected"])
         for connected in (True, False):
-            known = core.frameworks.frameworks_by_id.values()
+            all_frameworks = core.frameworks.frameworks_by_id.values()
             frameworks.add_metric(
-                [str(connected).lower()], sum((f.session is not None) is connected for f in known)
+                [str(connected).lower()], sum((f.session is not None) is connected for f in all_frameworks)
             )
         yield frameworks
         module = CounterMetricFamily("glencleat_module_cpu_seconds", "CPU time inside the decision module")
@@ -75,31 +83,36 @@
 
 
 class RestCollector:
-    """The REST front's: what it holds, what it turned away, who watches."""
+    """Collects the metrics of the REST API: requests, rejections, resources and watches."""
 
-    def __init__(self, plane: RestService, api: RestApi) -> None:
-        self.rest_service, self.rest_api = plane, api
+    def __init__(self, rest_service: RestService, api: RestApi) -> None:
+        self.rest_service, self.rest_api = rest_service, api
 
     def collect(self) -> Iterator[Metric]:
-        plane = self.rest_service
+        """Yields one metric family after another, as the client library requires."""
+        rest_service = self.rest_service
         answers = CounterMetricFamily("glencleat_rest_requests", "Requests, by status", labels=["status"])
         for status, value in sorted(self.rest_api.counts_by_status.items()):
             answers.add_metric([str(status)], value)
         yield answers
-        turned = CounterMetricFamily("glencleat_rest_turned_away", "By which bound", labels=["bound"])
-        for name, value in sorted(plane.gate.rejections_by_reason.items()):
-            turned.add_metric([name], value)
-        yield turned
-        held = GaugeMetricFamily("glencleat_rest_resources", "Resources shown", labels=["kind"])
-        for name, kind in plane.versions.stores_by_kind.items():
-            held.add_metric([name], kind.live_count)
-        yield held
+        rejections = CounterMetricFamily("glencleat_rest_turned_away", "By which bound", labels=["bound"])
+        for name, value in sorted(rest_service.gate.rejections_by_reason.items()):
+            rejections.add_metric([name], value)
+        yield rejections
+        resources = GaugeMetricFamily("glencleat_rest_resources", "Resources shown", labels=["kind"])
+        for name, kind in rest_service.versions.stores_by_kind.items():
+            resources.add_metric([name], kind.live_count)
+        yield resources
         for name, text, number in (
-            ("watches", "Watches open", plane.channels.watcher_count),
-            ("waiting_tasks", "Tasks of jobs that wait", plane.waiting_by_tenant.total()),
-            ("queued_tasks", "Of these, without a round yet", plane.round_queue.queued_count),
-            ("version", "Changes published since the start", plane.versions.current_version),
-            ("round_rate", "Tasks a second that get their round when many wait", plane.pace.rounds_per_s),
+            ("watches", "Watches open", rest_service.channels.watcher_count),
+            ("waiting_tasks", "Tasks of jobs that wait", rest_service.waiting_by_tenant.total()),
+            ("queued_tasks", "Of these, without a round yet", rest_service.round_queue.queued_count),
+            ("version", "Changes published since the start", rest_service.versions.current_version),
+            (
+                "round_rate",
+                "Tasks a second that get their round when many wait",
+                rest_service.pace.rounds_per_s,
+            ),
         ):
             gauge = GaugeMetricFamily(f"glencleat_rest_{name}", text)
             gauge.add_metric([], number)
@@ -107,15 +120,19 @@
 
 
 class MetricsApi:
+    """Request handler of /metrics and /ready."""
+
     def __init__(self, core: Core) -> None:
         self.core = core
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(Collector(core))
 
-    def add_rest_service(self, plane: RestService, api: RestApi) -> None:
-        self.registry.register(RestCollector(plane, api))
+    def add_rest_service(self, rest_service: RestService, api: RestApi) -> None:
+        """Adds the metrics of the REST API."""
+        self.registry.register(RestCollector(rest_service, api))
 
     def handle(self, request: Request) -> Response:
+        """Returns the metrics or the readiness. Raises HttpError for another target or method."""
         target = request.target.split("?")[0]
         if target not in ("/metrics", "/ready"):
             raise HttpError(404, f"{request.target[:80]}: no such resource; expected /metrics or /ready")
@@ -126,7 +143,7 @@
         return Response(200, generate_latest(self.registry), CONTENT_TYPE_LATEST)
 
     def _ready(self) -> Response:
-        why = self.core.find_unready_reason()
-        if why is None:
+        reason = self.core.find_unready_reason()
+        if reason is None:
             return Response(200, b"ready\n")
-        return Response(503, f"{why}\n".encode(), headers={"retry-after": RETRY_AFTER})
+        return Response(503, f"{reason}\n".encode(), headers={"retry-after": RETRY_AFTER_S})
--- a/glencleat/servers/scheduler_api.py
+++ b/glencleat/servers/scheduler_api.py
@@ -1,7 +1,9 @@
-"""The Scheduler API at /api/v1/scheduler, for owners (mesos/v1/scheduler/scheduler.proto).
+"""The Scheduler API at /api/v1/scheduler, for frameworks (mesos/v1/scheduler/scheduler.proto).
 
-SUBSCRIBE is answered with a stream of events and a `Mesos-Stream-Id`; every other call is a POST of its own
-that names framework and stream, and is answered 202. A call that can't be read is 400 and changes nothing."""
+The response to SUBSCRIBE is a stream of events and carries a `Mesos-Stream-Id`. Every other call is a
+separate POST request that names the framework and the stream, with the response 202. A malformed call gets
+400 and changes nothing.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 TARGET = "/api/v1/scheduler"
 HEARTBEAT = m.encode(m.SchedulerEvent("HEARTBEAT"))
-TYPES = (
+CALL_TYPES = (
     "SUBSCRIBE",
     "TEARDOWN",
     "ACCEPT",
@@ -29,15 +31,21 @@
 
 
 class SchedulerApi:
+    """Request handler of the Scheduler API."""
+
     def __init__(self, core: Core) -> None:
         self.core = core
 
     def handle(self, request: Request) -> Response | SessionResponse:
+        """Executes the call in a request.
+
+        Raises HttpError if the call is malformed or its framework isn't subscribed.
+        """
         call = json_call(request, TARGET, m.SchedulerCall)
         if call.type == "SUBSCRIBE":
             return self._subscribe(call)
-        if call.type not in TYPES:
-            raise HttpError(400, f"type is {call.type[:40]!r}; expected one of {', '.join(TYPES)}")
+        if call.type not in CALL_TYPES:
+            raise HttpError(400, f"type is {call.type[:40]!r}; expected one of {', '.join(CALL_TYPES)}")
         framework = self._framework(call, request)
         self._call(framework, call)
         return Response(202)
@@ -60,47 +68,50 @@
         if call.subscribe is None:
             raise HttpError(400, "Expecting 'subscribe' to be present")
         info = call.subscribe.framework_info
-        told = info.id.value if info.id is not None else None
-        named = call.framework_id.value if call.framework_id is not None else told
-        if told != named and told is not None:
+        info_id = info.id.value if info.id is not None else None
+        framework_id = call.framework_id.value if call.framework_id is not None else info_id
+        if info_id != framework_id and info_id is not None:
             raise HttpError(400, "'framework_id' differs from 'subscribe.framework_info.id'")
         if (
-            named is not None
-            and named.partition(":")[0] in self.core.in_process_frameworks_by_prefix
-            and ":" in named
+            framework_id is not None
+            and framework_id.partition(":")[0] in self.core.in_process_frameworks_by_prefix
+            and ":" in framework_id
         ):
-            raise HttpError(403, f"framework_id is {named[:80]!r}; expected none of the allocator's own")
-        if named is not None:
-            info.id = m.Value(named)
+            raise HttpError(
+                403, f"framework_id is {framework_id[:80]!r}; expected none of the allocator's own"
+            )
+        if framework_id is not None:
+            info.id = m.Value(framework_id)
         try:
-            self.core.frameworks.check_capacity(named)  # while a status can still tell it
+            # Before the stream begins, because only then can the failure be reported as a status code.
+            self.core.frameworks.check_capacity(framework_id)
         except FrameworkLimitError as error:
             raise HttpError(503, str(error)) from None
         stream_id = f"{self.core.random.getrandbits(128):032x}"
 
-        def begin(link: RecordLink) -> Callable[[str], None]:
+        def open_session(link: RecordLink) -> Callable[[str], None]:
             framework = self.core.framework_sessions.subscribe(info, stream_id, link)
             return lambda why: self.core.framework_sessions.close_session(framework, link, why)
 
         return SessionResponse(
-            {"Mesos-Stream-Id": stream_id}, begin, HEARTBEAT, self.core.options.heartbeat_ms
+            {"Mesos-Stream-Id": stream_id}, open_session, HEARTBEAT, self.core.options.heartbeat_ms
         )
 
     def _call(self, framework: Framework, call: m.SchedulerCall) -> None:
-        owners, core = self.core.framework_sessions, self.core
+        sessions, core = self.core.framework_sessions, self.core
         if call.type == "ACCEPT":
-            owners.accept(framework, require_field(call.accept, "accept"))
+            sessions.accept(framework, require_field(call.accept, "accept"))
         elif call.type == "ACKNOWLEDGE":
-            owners.acknowledge(framework, require_field(call.acknowledge, "acknowledge").uuid)
+            sessions.acknowledge(framework, require_field(call.acknowledge, "acknowledge").uuid)
         elif call.type == "KILL":
-            owners.kill(framework, require_field(call.kill, "kill").task_id.value)
+            sessions.kill(framework, require_field(call.kill, "kill").task_id.value)
         elif call.type == "RECONCILE":
-            owners.reconcile(framework, require_field(call.reconcile, "reconcile").tasks)
+            sessions.reconcile(framework, require_field(call.reconcile, "reconcile").tasks)
         elif call.type == "DECLINE":
-            owners.decline(framework, require_field(call.decline, "decline"))
+            sessions.decline(framework, require_field(call.decline, "decline"))
         elif call.type == "SUPPRESS":
             framework.is_suppressed = True
         elif call.type == "REVIVE":
             core.frameworks.revive(framework, core.now())
         elif call.type == "TEARDOWN":
-            owners.teardown(framework, "teardown")
+            sessions.teardown(framework, "teardown")
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -199,14 +199,14 @@
     day.core.module.module.machine_list.retry_at_ms = day.loop.now() + 60_000.0
     day.directory.recover()
     day.until(lambda: day.daemon.directory_client.subscribed_at_ms is not None, 1_000.0)
-    tries, whole = day.daemon.directory_client.try_count, []
+    tries, whole = day.daemon.directory_client.attempt_count, []
     day.daemon.directory_client.on_update = whole.append
     day.daemon.directory_client.watch()  # the subscription that is there is the answer: no second whole list
     assert [event.kind for event in whole] == [api.ListUpdateKind.SNAPSHOT] and len(whole[0].machines) == len(
         day.hosts
     )
     day.until(lambda: True)
-    assert day.daemon.directory_client.try_count == tries and len(day.directory.watchers) == 1
+    assert day.daemon.directory_client.attempt_count == tries and len(day.directory.watchers) == 1
 
 
 def test_the_end_answers_what_is_held_and_ends(world):
@@ -296,16 +296,16 @@
     client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
     client.watch()
     wait(loop, lambda: told)
-    assert least <= client.next_try_at_ms - loop.now() <= most
-    due = client.next_try_at_ms
+    assert least <= client.next_attempt_at_ms - loop.now() <= most
+    due = client.next_attempt_at_ms
     if least > 0.0:
-        client.next_try_at_ms = due = loop.now() + 60.0  # a test does not wait for seconds
+        client.next_attempt_at_ms = due = loop.now() + 60.0  # a test does not wait for seconds
     loop.cancel(client.task)
     client.task = None  # what waits for its turn as it was before
     for _ in range(3):
         client.watch()
     wait(loop, lambda: len(told) == 2)
-    assert len(came) == client.try_count == 2 and came[1] >= due
+    assert len(came) == client.attempt_count == 2 and came[1] >= due
     assert [event.kind for event in told] == [api.ListUpdateKind.FAILED] * 2
     listener.close()
 
