--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
-"""The same verdict each time: properties draw the same cases in every run. `--hypothesis-profile=default`
-draws anew."""
+"""Fixtures and settings of all tests.
+
+Hypothesis generates the same cases in every run; `--hypothesis-profile=default` generates new ones.
+"""
 
 import pytest
 from hypothesis import settings
@@ -10,14 +12,14 @@
 
 settings.register_profile("fixed", derandomize=True, deadline=None)
 settings.load_profile("fixed")
-# Every index answers from scratch as well, and `Hosts` looks at all it passes over.
+# Every index also computes its results from scratch and compares; host maintenance checks every host that it skips.
 DueQueue.is_self_checking = RendezvousIndex.is_self_checking = True
 
 
 @pytest.fixture
 def world():
-    """The live path on real sockets of one loop; files with another world define theirs."""
-    made = World()
-    yield made
-    for sock in made.clients:
+    """Hosts, clients and the allocator on real sockets of one loop; some test files override it."""
+    world = World()
+    yield world
+    for sock in world.clients:
         sock.close()
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests: emulated peers, recorded streams, and readers of golden files."""
+"""Test helpers: emulated peers, recorded streams, and readers of golden files."""
--- a/tests/support/daemon_world.py
+++ b/tests/support/daemon_world.py
@@ -1,4 +1,4 @@
-"""A whole path on loopback in one process and on one loop: daemon, directory, hosts and owners."""
+"""A daemon with emulated directory, hosts and owners, on loopback sockets of one process and one loop."""
 
 from glencleat.checker import invariants
 from glencleat.checker.trace import TraceRecorder
@@ -27,29 +27,35 @@
 grace 5s
 """
 
-PACE = BackoffPolicy(5.0, 20.0, 1_000.0)  # of asking for the list
+PACE = BackoffPolicy(5.0, 20.0, 1_000.0)  # of requests for the machine list
 
 
-class Quiet:
-    """A log that keeps what was said."""
+class RecordingLog:
+    """A log that stores its lines as (event, fields)."""
 
     def __init__(self):
         self.lines = []
 
-    def info(self, event, **more):
-        self.lines.append((event, more))
+    def info(self, event, **fields):
+        self.lines.append((event, fields))
 
     error = info
 
 
 class World:
-    def __init__(self, folder, hosts=3, conf="", nature=None, down=False):
-        self.loop, self.log = Loop(), Quiet()
+    """A running daemon and its peers.
+
+    `conf` is appended to the configuration file. With `down` the directory fails from the start. The constructor
+    returns when the startup gate is open.
+    """
+
+    def __init__(self, folder, hosts=3, conf="", profile=None, down=False):
+        self.loop, self.log = Loop(), RecordingLog()
         self.recorder = TraceRecorder(self.loop.now)
-        nature = nature or MachineProfile(decide_ms=1.0, start_ms=2.0, warm_up_ms=1.0)
+        profile = profile or MachineProfile(decide_ms=1.0, start_ms=2.0, warm_up_ms=1.0)
         self.hosts = [
             EmulatedHost(
-                self.loop, self.recorder, f"h{i}", "std", (32.0, 65_536.0), f"hall-{'abc'[i % 3]}", i, nature, i + 1,
+                self.loop, self.recorder, f"h{i}", "std", (32.0, 65_536.0), f"hall-{'abc'[i % 3]}", i, profile, i + 1,
                 50.0, 100.0,
             )
             for i in range(hosts)
@@ -81,20 +87,21 @@
         ]  # fmt: skip
 
     def until(self, condition, ms=5_000.0):
-        """Runs the loop until it holds; an end of patience is the test's failure, not its rhythm."""
-        end = self.loop.now() + ms
-        ticking = []
+        """Runs the loop until the condition holds, and fails the test after `ms`."""
+        deadline_ms = self.loop.now() + ms
+        pending_tick = []
 
         def tick():
-            ticking[:] = [self.loop.call_in(5.0, tick)]
+            pending_tick[:] = [self.loop.call_in(5.0, tick)]
 
         tick()
         while not condition():
-            assert self.loop.now() < end, "it did not come about"
+            assert self.loop.now() < deadline_ms, "the condition did not hold in time"
             self.loop.run_once()
-        ticking[0].cancel()
+        pending_tick[0].cancel()
 
     def owner(self, name="o"):
+        """Returns a new emulated owner that is subscribed and has its offer."""
         owner = EmulatedOwner(
             self.loop, self.recorder, name, "tenant", "a0", self.bound["owners"], len(self.owners) + 1
         )
@@ -103,14 +110,16 @@
         return owner
 
     def job(self, name, cls="pull-front", effect="safe", life=100.0, **more):
-        want = TaskTemplate(cls, effect, 8_000.0, ((1.0, 100.0),), (life, life))
-        return OwnerJob(name, want, "svc", 1.0, 100.0, life)
+        template = TaskTemplate(cls, effect, 8_000.0, ((1.0, 100.0),), (life, life))
+        return OwnerJob(name, template, "svc", 1.0, 100.0, life)
 
     def states(self, owner, name):
+        """Returns the states of a task that its owner received, in order."""
         task = f"{owner.framework_id}/{name}"
         return [e.state for e in self.recorder.entries if e.kind == "answer" and e.task == task]
 
     def broken(self):
+        """Returns the violations of the invariants in the trace so far."""
         return invariants.check_invariants(
             self.recorder.entries,
             invariants.RuleParameters(deduplication_window_ms_by_class={"repo-copy": 5_000.0}),
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The whole path on real sockets: daemon against stand-ins, and against peers that mean no good."""
+"""End-to-end tests on real sockets: the daemon against emulators, and against hostile peers."""
 
 import json
 import logging
@@ -30,196 +30,201 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    made = []
+def start_cluster(tmp_path):
+    """Starts a daemon with emulated peers; takes the arguments of `World`."""
+    clusters = []
 
-    def make(**more):
-        made.append(World(tmp_path, **more))
-        return made[-1]
+    def start(**options):
+        clusters.append(World(tmp_path, **options))
+        return clusters[-1]
 
-    yield make
-    for each in made:
-        each.close()
+    yield start
+    for cluster in clusters:
+        cluster.close()
 
 
-def test_tasks_run_from_launch_to_end(world):
-    day = world()
-    owner = day.owner()
+def test_tasks_run_from_launch_to_end(start_cluster):
+    cluster = start_cluster()
+    owner = cluster.owner()
     for i in range(30):
         owner.request_task(
-            day.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe")))
+            cluster.job(f"t{i}", *(("store-compact", "unsafe") if i % 3 == 0 else ("pull-front", "safe")))
         )
-    day.until(lambda: not owner.jobs_by_id)
+    cluster.until(lambda: not owner.jobs_by_id)
     for i in range(30):
-        assert day.states(owner, f"t{i}") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
-    day.until(lambda: not day.core.frameworks.frameworks_by_id[owner.framework_id].unacknowledged_by_uuid)
-    assert not day.core.call_table.active_calls_by_number and not day.core.module.calls_by_id
-    assert all(not s.unacknowledged for h in day.hosts for s in h.sessions_by_allocator.values())
-    assert day.broken() == [] and day.core.counters.find_mismatches() == {}
-
-
-def test_metrics_add_up_over_http(world):
-    day = world()
-    owner = day.owner()
-    owner.request_task(day.job("t1", life=60_000.0))
-    day.until(lambda: day.states(owner, "t1"))
+        assert cluster.states(owner, f"t{i}") == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
+    cluster.until(
+        lambda: not cluster.core.frameworks.frameworks_by_id[owner.framework_id].unacknowledged_by_uuid
+    )
+    assert not cluster.core.call_table.active_calls_by_number and not cluster.core.module.calls_by_id
+    assert all(not s.unacknowledged for h in cluster.hosts for s in h.sessions_by_allocator.values())
+    assert cluster.broken() == [] and cluster.core.counters.find_mismatches() == {}
+
+
+def test_metrics_add_up_over_http(start_cluster):
+    cluster = start_cluster()
+    owner = cluster.owner()
+    owner.request_task(cluster.job("t1", life=60_000.0))
+    cluster.until(lambda: cluster.states(owner, "t1"))
     answers = []
 
     def scrape():
-        address = day.bound["metrics"]
-        with urllib.request.urlopen(f"http://{address[0]}:{address[1]}/metrics", timeout=5) as told:
-            answers.append(told.read().decode())
+        address = cluster.bound["metrics"]
+        with urllib.request.urlopen(f"http://{address[0]}:{address[1]}/metrics", timeout=5) as response:
+            answers.append(response.read().decode())
 
     thread = threading.Thread(target=scrape)
     thread.start()
-    day.until(lambda: answers)
+    cluster.until(lambda: answers)
     thread.join()
     assert 'glencleat_tasks_taken_total{class="pull-front"} 1.0' in answers[0]
     assert 'glencleat_tasks_answered_total{answer="served",class="pull-front"} 1.0' in answers[0]
     assert "glencleat_tasks_mismatch 0.0" in answers[0]
 
 
-def test_an_agent_whose_network_swallows_all_comes_back_with_its_updates(world):
-    """Heartbeats stop, the session is cut, the task is unreachable; what ended meanwhile is told on
-    return."""
-    day = world(hosts=1)
-    owner = day.owner()
-    owner.request_task(day.job("t1", "store-compact", "unsafe", life=700.0))
-    day.until(lambda: "TASK_RUNNING" in day.states(owner, "t1"))
-    (session,) = day.hosts[0].sessions_by_allocator.values()
+def test_an_agent_resends_its_updates_after_a_silent_connection_loss(start_cluster):
+    """Missed heartbeats close the session and make the task unreachable. The task ends meanwhile, and the agent
+    reports that when it subscribes again."""
+    cluster = start_cluster(hosts=1)
+    owner = cluster.owner()
+    owner.request_task(cluster.job("t1", "store-compact", "unsafe", life=700.0))
+    cluster.until(lambda: "TASK_RUNNING" in cluster.states(owner, "t1"))
+    (session,) = cluster.hosts[0].sessions_by_allocator.values()
     session.pause()
-    day.until(lambda: "TASK_UNREACHABLE" in day.states(owner, "t1"))
-    day.until(lambda: session.unacknowledged)
+    cluster.until(lambda: "TASK_UNREACHABLE" in cluster.states(owner, "t1"))
+    cluster.until(lambda: session.unacknowledged)
     session.resume()
-    day.until(lambda: day.states(owner, "t1")[-1] == "TASK_FINISHED")
-    assert sum(e.kind == "started" for e in day.recorder.entries) == 1 and day.broken() == []
+    cluster.until(lambda: cluster.states(owner, "t1")[-1] == "TASK_FINISHED")
+    assert sum(e.kind == "started" for e in cluster.recorder.entries) == 1 and cluster.broken() == []
 
 
-def test_a_late_yes_after_a_pause_is_adopted(world):
-    """The LAUNCH lies unread until after its time-out; the owner hears `failed`, then that it runs."""
-    day = world(hosts=1, conf="answer-margin 50ms\n")
-    owner = day.owner()
-    (session,) = day.hosts[0].sessions_by_allocator.values()
+def test_a_task_accepted_after_its_timeout_is_reconciled(start_cluster):
+    """The agent reads the LAUNCH only after its timeout; the owner receives `failed`, then the task's states."""
+    cluster = start_cluster(hosts=1, conf="answer-margin 50ms\n")
+    owner = cluster.owner()
+    (session,) = cluster.hosts[0].sessions_by_allocator.values()
     session.pause()
-    owner.request_task(day.job("t1", "store-compact", "unsafe", life=400.0))
-    day.until(lambda: "TASK_LOST" in day.states(owner, "t1"))
+    owner.request_task(cluster.job("t1", "store-compact", "unsafe", life=400.0))
+    cluster.until(lambda: "TASK_LOST" in cluster.states(owner, "t1"))
     session.resume()
-    day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
-    assert sum(e.kind == "started" for e in day.recorder.entries) == 1 and day.broken() == []
+    cluster.until(lambda: "TASK_FINISHED" in cluster.states(owner, "t1"))
+    assert sum(e.kind == "started" for e in cluster.recorder.entries) == 1 and cluster.broken() == []
 
 
-def test_a_launch_that_an_agent_never_read_goes_elsewhere_even_if_unsafe(world):
-    """Its bytes still lie in our buffer at the time-out: the session is cut, so they can never arrive."""
-    day = world(hosts=2)
-    owner = day.owner()
-    stuck, other = day.hosts
+def test_an_unread_launch_is_retried_elsewhere_even_if_non_idempotent(start_cluster):
+    """At the timeout its bytes are still in the send buffer; closing the session ensures they never arrive."""
+    cluster = start_cluster(hosts=2)
+    owner = cluster.owner()
+    stuck, other = cluster.hosts
     other.stop("not yet")
-    day.until(lambda: day.core.serving_machines == {stuck.name})
+    cluster.until(lambda: cluster.core.serving_machines == {stuck.name})
     (session,) = stuck.sessions_by_allocator.values()
     session.pause()
-    link = day.core.membership.session_of(stuck.name)
+    link = cluster.core.membership.session_of(stuck.name)
     link.stream.max_unsent_bytes = 1 << 30
     while not link.stream.send_buffer:
         link.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
-    owner.request_task(day.job("t1", "store-compact", "unsafe"))
-    day.until(lambda: any(a.machine == stuck.name for a in day.core.call_table.attempts_by_id.values()))
-    for member in day.core.membership.members_by_agent.values():
-        member.last_heard_at_ms = day.loop.now() + 60_000.0  # only the time-out may end it
+    owner.request_task(cluster.job("t1", "store-compact", "unsafe"))
+    cluster.until(
+        lambda: any(a.machine == stuck.name for a in cluster.core.call_table.attempts_by_id.values())
+    )
+    for member in cluster.core.membership.members_by_agent.values():
+        member.last_heard_at_ms = cluster.loop.now() + 60_000.0  # only the timeout may end the attempt
     other.start(cold=False)
-    day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"), 6_000.0)
+    cluster.until(lambda: "TASK_STARTING" in cluster.states(owner, "t1"), 6_000.0)
     session.resume()
-    day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
-    offered = [e.who for e in day.recorder.entries if e.kind == "offered"]
-    assert offered == [other.name] and day.broken() == []
-    assert any(more.get("why") == "the agent does not read" for _, more in day.log.lines)
+    cluster.until(lambda: "TASK_FINISHED" in cluster.states(owner, "t1"))
+    offered = [e.who for e in cluster.recorder.entries if e.kind == "offered"]
+    assert offered == [other.name] and cluster.broken() == []
+    assert any(fields.get("why") == "the agent does not read" for _, fields in cluster.log.lines)
 
 
-def test_the_owners_connection_dies_as_the_machine_says_yes(world):
-    day = world(hosts=1)
-    owner = day.owner()
-    owner.request_task(day.job("t1", life=60_000.0))
-    day.until(lambda: any(e.kind == "offered" for e in day.recorder.entries))
+def test_an_answer_reaches_an_owner_that_disconnected_meanwhile(start_cluster):
+    cluster = start_cluster(hosts=1)
+    owner = cluster.owner()
+    owner.request_task(cluster.job("t1", life=60_000.0))
+    cluster.until(lambda: any(e.kind == "offered" for e in cluster.recorder.entries))
     owner.disconnect()
-    day.until(lambda: "TASK_STARTING" in day.states(owner, "t1"))
-    assert day.broken() == []
+    cluster.until(lambda: "TASK_STARTING" in cluster.states(owner, "t1"))
+    assert cluster.broken() == []
 
 
-def test_an_owner_that_does_not_read_is_cut_off_and_loses_nothing(world):
-    """Its answers wait, unacknowledged, for its next session; others are served meanwhile."""
-    day = world()
-    slow, brisk = day.owner("slow"), day.owner("brisk")
+def test_an_owner_that_does_not_read_is_disconnected_and_loses_no_answers(start_cluster):
+    """Its unacknowledged answers are kept for its next session; other owners are served meanwhile."""
+    cluster = start_cluster()
+    slow, fast = cluster.owner("slow"), cluster.owner("brisk")
     slow.is_slow = True
     for i in range(40):
-        slow.request_task(day.job(f"s{i}", life=60_000.0))
-    framework = day.core.frameworks.frameworks_by_id[slow.framework_id]
-    day.until(lambda: day.core.counters.answers_by_class["pull-front", "served"] == 40)
+        slow.request_task(cluster.job(f"s{i}", life=60_000.0))
+    framework = cluster.core.frameworks.frameworks_by_id[slow.framework_id]
+    cluster.until(lambda: cluster.core.counters.answers_by_class["pull-front", "served"] == 40)
     stream = framework.session.stream
-    stream.max_unsent_bytes = 10  # as if its socket had been full for long
+    stream.max_unsent_bytes = 10  # as if its socket had been full for a long time
     stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     i = 0
     while framework.session is not None:
-        if i < 40:  # more would fill the hosts, and then nothing is told any more
-            slow.request_task(day.job(f"u{i}", life=60_000.0))
-        brisk.request_task(day.job(f"b{i}", life=50.0))
-        day.until(lambda i=i: "TASK_RUNNING" in day.states(brisk, f"b{i}"))
+        if i < 40:  # more would fill the hosts, and full hosts cause no more updates
+            slow.request_task(cluster.job(f"u{i}", life=60_000.0))
+        fast.request_task(cluster.job(f"b{i}", life=50.0))
+        cluster.until(lambda i=i: "TASK_RUNNING" in cluster.states(fast, f"b{i}"))
         if framework.session is not None:
-            framework.session.send(
-                b'{"type":"HEARTBEAT"}' + b" " * 60_000
-            )  # its socket fills in a few rounds
+            # Padding fills the socket in a few rounds.
+            framework.session.send(b'{"type":"HEARTBEAT"}' + b" " * 60_000)
         i += 1
         assert i < 400
     slow.is_slow = False
-    day.until(lambda: framework.session is not None and not framework.unacknowledged_by_uuid, 20_000.0)
-    assert all("TASK_STARTING" in day.states(slow, f"s{i}") for i in range(40))
-    assert day.broken() == []
-
-
-def test_the_directory_fails_and_shrinks(world):
-    day = world()
-    owner = day.owner()
-    day.directory.fail()
-    owner.request_task(day.job("t1"))
-    day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))  # the last list still counts
-    day.directory.recover()
-    day.until(lambda: day.directory.watchers)
-    day.directory.empty_list()
-    day.until(lambda: day.core.serving_machines == set())
-    owner.request_task(day.job("t2"))
-    day.until(lambda: day.core.call_table.open_task_count == 1)
-    day.directory.restore_list()
-    day.until(lambda: "TASK_FINISHED" in day.states(owner, "t2"))
-    assert day.broken() == []
-
-
-def test_a_directory_that_is_back_is_heard_before_the_module_asks(world):
-    """The module's steps grow to 4 s: after a long outage allocators came back up to 5 s late."""
-    day = world()
-    day.directory.fail()
-    day.until(lambda: day.core.module.module.machine_list.retry_delay_ms >= 1_000.0)
-    day.core.module.module.machine_list.retry_at_ms = day.loop.now() + 60_000.0
-    day.directory.recover()
-    day.until(lambda: day.daemon.directory_client.subscribed_at_ms is not None, 1_000.0)
-    tries, whole = day.daemon.directory_client.attempt_count, []
-    day.daemon.directory_client.on_update = whole.append
-    day.daemon.directory_client.watch()  # the subscription that is there is the answer: no second whole list
-    assert [event.kind for event in whole] == [api.ListUpdateKind.SNAPSHOT] and len(whole[0].machines) == len(
-        day.hosts
-    )
-    day.until(lambda: True)
-    assert day.daemon.directory_client.attempt_count == tries and len(day.directory.watchers) == 1
-
-
-def test_the_end_answers_what_is_held_and_ends(world):
-    day = world()
-    owner = day.owner()
-    for host in day.hosts:
+    cluster.until(lambda: framework.session is not None and not framework.unacknowledged_by_uuid, 20_000.0)
+    assert all("TASK_STARTING" in cluster.states(slow, f"s{i}") for i in range(40))
+    assert cluster.broken() == []
+
+
+def test_placement_uses_the_last_list_in_an_outage_and_waits_while_it_is_empty(start_cluster):
+    cluster = start_cluster()
+    owner = cluster.owner()
+    cluster.directory.fail()
+    owner.request_task(cluster.job("t1"))
+    cluster.until(lambda: "TASK_FINISHED" in cluster.states(owner, "t1"))  # placed with the last list
+    cluster.directory.recover()
+    cluster.until(lambda: cluster.directory.watchers)
+    cluster.directory.empty_list()
+    cluster.until(lambda: cluster.core.serving_machines == set())
+    owner.request_task(cluster.job("t2"))
+    cluster.until(lambda: cluster.core.call_table.open_task_count == 1)
+    cluster.directory.restore_list()
+    cluster.until(lambda: "TASK_FINISHED" in cluster.states(owner, "t2"))
+    assert cluster.broken() == []
+
+
+def test_the_client_reconnects_to_the_directory_before_the_module_polls(start_cluster):
+    """The module's own polling interval grows to 4 s. When the client waited for it, allocators subscribed up to
+    5 s after the end of a long outage."""
+    cluster = start_cluster()
+    cluster.directory.fail()
+    cluster.until(lambda: cluster.core.module.module.machine_list.retry_delay_ms >= 1_000.0)
+    cluster.core.module.module.machine_list.retry_at_ms = cluster.loop.now() + 60_000.0
+    cluster.directory.recover()
+    cluster.until(lambda: cluster.daemon.directory_client.subscribed_at_ms is not None, 1_000.0)
+    attempts, updates = cluster.daemon.directory_client.attempt_count, []
+    cluster.daemon.directory_client.on_update = updates.append
+    cluster.daemon.directory_client.watch()  # answered by the existing subscription, without a new connection
+    assert [event.kind for event in updates] == [api.ListUpdateKind.SNAPSHOT] and len(
+        updates[0].machines
+    ) == len(cluster.hosts)
+    cluster.until(lambda: True)
+    assert cluster.daemon.directory_client.attempt_count == attempts and len(cluster.directory.watchers) == 1
+
+
+def test_graceful_shutdown_answers_open_tasks_and_stops(start_cluster):
+    cluster = start_cluster()
+    owner = cluster.owner()
+    for host in cluster.hosts:
         host.machine.faults.is_silent = True
-    owner.request_task(day.job("t1", "store-compact", "unsafe"))
-    day.until(lambda: any(e.kind == "offered" for e in day.recorder.entries))
-    day.loop.is_running = True
-    day.daemon.stop()
-    day.until(lambda: not day.loop.is_running, 10_000.0)
-    assert day.states(owner, "t1") == ["TASK_LOST"] and not day.core.call_table.open_task_count
+    owner.request_task(cluster.job("t1", "store-compact", "unsafe"))
+    cluster.until(lambda: any(e.kind == "offered" for e in cluster.recorder.entries))
+    cluster.loop.is_running = True
+    cluster.daemon.stop()
+    cluster.until(lambda: not cluster.loop.is_running, 10_000.0)
+    assert cluster.states(owner, "t1") == ["TASK_LOST"] and not cluster.core.call_table.open_task_count
 
 
 @pytest.mark.parametrize(
@@ -233,9 +238,9 @@
     ],
     ids=["100 MB", "no JSON", "bad UTF-8", "no length", "wrong type"],
 )
-def test_a_directory_that_talks_nonsense_is_a_failed_list(stream):
-    """Nothing of it reaches the module but that the list failed; what was known stays."""
-    loop, told = Loop(), []
+def test_a_malformed_directory_stream_is_reported_as_failed(stream):
+    """The module is notified only of the failure; the machines known so far stay."""
+    loop, updates = Loop(), []
 
     def serve(peer):
         yield from peer.read()
@@ -244,22 +249,22 @@
         )
 
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: loop.spawn(serve(peer), "directory"))
-    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
+    client = DirectoryClient(loop, listener.address, updates.append, Backoff(PACE, Random(1)))
     client.watch()
-    wait(loop, lambda: told)
-    assert [event.kind for event in told] == [api.ListUpdateKind.FAILED]
+    wait(loop, lambda: updates)
+    assert [event.kind for event in updates] == [api.ListUpdateKind.FAILED]
     listener.close()
 
 
-def test_a_directory_that_falls_silent_is_a_failed_list():
-    loop, told = Loop(), []
+def test_a_silent_directory_is_reported_as_failed():
+    loop, updates = Loop(), []
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: None)
     client = DirectoryClient(
-        loop, listener.address, told.append, Backoff(PACE, Random(1)), silence_timeout_ms=50.0
+        loop, listener.address, updates.append, Backoff(PACE, Random(1)), silence_timeout_ms=50.0
     )
     client.watch()
-    wait(loop, lambda: told)
-    assert [event.kind for event in told] == [api.ListUpdateKind.FAILED]
+    wait(loop, lambda: updates)
+    assert [event.kind for event in updates] == [api.ListUpdateKind.FAILED]
     listener.close()
 
 
@@ -272,7 +277,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, least, most",
+    "answer, min_delay_ms, max_delay_ms",
     [
         (b"", 0.0, 25.0),
         (b"HTTP/1.1 503 \r\ncontent-length: 0\r\nretry-after: 2\r\n\r\n", 2_000.0, 2_025.0),
@@ -282,57 +287,57 @@
     ],
     ids=["closed", "2 s", "days", "a date", "nonsense"],
 )
-def test_a_directory_that_turns_us_away_is_asked_again_when_it_says(answer, least, most):
-    """The module may ask at once and more than once: the turn is kept, and no connection comes before it."""
-    loop, told, came = Loop(), [], []
+def test_the_retry_after_of_the_directory_is_respected(answer, min_delay_ms, max_delay_ms):
+    """However often the module requests the list meanwhile, no connection is opened before the delay is over."""
+    loop, updates, accepted_at_ms = Loop(), [], []
 
     def serve(peer):
-        came.append(loop.now())
+        accepted_at_ms.append(loop.now())
         yield from peer.read()
         peer.send(answer)
         peer.close()
 
     listener = Listener(loop, ("127.0.0.1", 0), lambda peer: loop.spawn(serve(peer), "directory"))
-    client = DirectoryClient(loop, listener.address, told.append, Backoff(PACE, Random(1)))
+    client = DirectoryClient(loop, listener.address, updates.append, Backoff(PACE, Random(1)))
     client.watch()
-    wait(loop, lambda: told)
-    assert least <= client.next_attempt_at_ms - loop.now() <= most
+    wait(loop, lambda: updates)
+    assert min_delay_ms <= client.next_attempt_at_ms - loop.now() <= max_delay_ms
     due = client.next_attempt_at_ms
-    if least > 0.0:
-        client.next_attempt_at_ms = due = loop.now() + 60.0  # a test does not wait for seconds
+    if min_delay_ms > 0.0:
+        client.next_attempt_at_ms = due = loop.now() + 60.0  # keeps the test short
     loop.cancel(client.task)
-    client.task = None  # what waits for its turn as it was before
+    client.task = None  # `watch` spawns a new one with the same backoff
     for _ in range(3):
         client.watch()
-    wait(loop, lambda: len(told) == 2)
-    assert len(came) == client.attempt_count == 2 and came[1] >= due
-    assert [event.kind for event in told] == [api.ListUpdateKind.FAILED] * 2
+    wait(loop, lambda: len(updates) == 2)
+    assert len(accepted_at_ms) == client.attempt_count == 2 and accepted_at_ms[1] >= due
+    assert [event.kind for event in updates] == [api.ListUpdateKind.FAILED] * 2
     listener.close()
 
 
-# ---- peers that mean no good ----
+# ---- hostile peers ----
 
 
-def talk(day, data, name="owners", shut=False):
-    """Sends bytes from a plain socket and gives what comes back until the daemon closes."""
-    got = []
+def send_raw(cluster, data, name="owners", shut_down_write=False):
+    """Sends bytes from a plain socket; returns what it receives until the daemon closes the connection."""
+    received = []
 
-    def speak():
-        with socket.create_connection(day.bound[name], timeout=5) as sock:
+    def exchange():
+        with socket.create_connection(cluster.bound[name], timeout=5) as sock:
             try:
                 sock.sendall(data)
-                if shut:
+                if shut_down_write:
                     sock.shutdown(socket.SHUT_WR)
-                while more := sock.recv(65_536):
-                    got.append(more)
+                while data_read := sock.recv(65_536):
+                    received.append(data_read)
             except OSError:
                 pass
         done.set()
 
     done = threading.Event()
-    threading.Thread(target=speak).start()
-    day.until(done.is_set, 8_000.0)
-    return b"".join(got)
+    threading.Thread(target=exchange).start()
+    cluster.until(done.is_set, 8_000.0)
+    return b"".join(received)
 
 
 def post(body, target="/api/v1/scheduler", headers=b"Content-Type: application/json\r\n"):
@@ -361,9 +366,9 @@
         (b"\x00\x01\x02\r\n\r\n", 400, b""),
     ],
 )
-def test_wrong_calls_are_told_what_was_expected(world, data, status, named):
-    day = world(hosts=0)
-    answer = talk(day, data)
+def test_the_error_for_an_invalid_call_says_what_was_expected(start_cluster, data, status, named):
+    cluster = start_cluster(hosts=0)
+    answer = send_raw(cluster, data)
     assert answer.startswith(b"HTTP/1.1 %d" % status) and named in answer
 
 
@@ -382,20 +387,20 @@
         (post(SUBSCRIBE, headers=b"Content-Type: application/json\r\nExpect: a miracle\r\n"), 200),
     ],
 )
-def test_odd_methods_and_versions_get_an_answer(world, data, status):
-    day = world(hosts=0)
-    answer = talk(day, data, shut=True)
+def test_unusual_methods_and_versions_get_a_response(start_cluster, data, status):
+    cluster = start_cluster(hosts=0)
+    answer = send_raw(cluster, data, shut_down_write=True)
     assert answer.startswith(b"HTTP/1.1 %d" % status), answer[:200]
-    assert talk(day, post(b"{}")).startswith(b"HTTP/1.1 400")  # and the daemon serves on
+    assert send_raw(cluster, post(b"{}")).startswith(b"HTTP/1.1 400")  # the daemon still serves
 
 
-def test_a_slow_loris_is_cut_off(world):
-    """Its head drips in; the limit runs from its first byte, not from the last."""
-    day = world(hosts=0, conf="limit request 200ms\n")
+def test_a_slowloris_client_is_disconnected(start_cluster):
+    """It sends its head byte by byte; the request timeout runs from the first byte, not from the last."""
+    cluster = start_cluster(hosts=0, conf="limit request 200ms\n")
     closed = threading.Event()
 
-    def drip():
-        with socket.create_connection(day.bound["owners"], timeout=5) as sock:
+    def send_slowly():
+        with socket.create_connection(cluster.bound["owners"], timeout=5) as sock:
             try:
                 for byte in b"POST /api/v1/scheduler HTTP/1.1\r\nHost: " + b"a" * 10_000:
                     sock.send(bytes([byte]))
@@ -409,31 +414,31 @@
                 pass
         closed.set()
 
-    threading.Thread(target=drip).start()
-    day.until(closed.is_set, 5_000.0)
+    threading.Thread(target=send_slowly).start()
+    cluster.until(closed.is_set, 5_000.0)
 
 
-def test_thousands_of_connects_at_once_leave_room_for_the_subscribed(world):
-    day = world(hosts=2, conf="limit connections 100\n")
-    owner = day.owner()
-    crowd, full = [], threading.Event()
+def test_a_connection_flood_does_not_lock_out_subscribed_peers(start_cluster):
+    cluster = start_cluster(hosts=2, conf="limit connections 100\n")
+    owner = cluster.owner()
+    sockets, all_connected = [], threading.Event()
 
-    def rush():
+    def connect_all():
         for _ in range(2_000):
             sock = socket.socket()
             sock.setblocking(False)
-            sock.connect_ex(day.bound["owners"])
-            crowd.append(sock)
-        full.set()
-
-    threading.Thread(target=rush).start()
-    day.until(full.is_set)
-    day.until(lambda: day.daemon.servers["owners"].refused_count > 1_800)
-    owner.request_task(day.job("t1"))
-    day.until(lambda: "TASK_FINISHED" in day.states(owner, "t1"))
-    for sock in crowd:
+            sock.connect_ex(cluster.bound["owners"])
+            sockets.append(sock)
+        all_connected.set()
+
+    threading.Thread(target=connect_all).start()
+    cluster.until(all_connected.is_set)
+    cluster.until(lambda: cluster.daemon.servers["owners"].refused_count > 1_800)
+    owner.request_task(cluster.job("t1"))
+    cluster.until(lambda: "TASK_FINISHED" in cluster.states(owner, "t1"))
+    for sock in sockets:
         sock.close()
-    assert len(day.daemon.servers["owners"].listener.open_streams) <= 100
+    assert len(cluster.daemon.servers["owners"].listener.open_streams) <= 100
 
 
 JSON = st.recursive(
@@ -493,51 +498,51 @@
 
 @settings(max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
 @given(st.lists(st.tuples(st.booleans(), CALLS | JSON), max_size=12))
-def test_no_call_whatever_it_says_is_a_fault_of_ours(calls):
-    """Each gets an answer or a 4xx; figures add up after it, and a good owner is still served."""
+def test_arbitrary_calls_get_a_response_or_a_client_error(calls):
+    """Each call gets a response or a 4xx status; after it the counters add up and other owners are served."""
     cluster = Cluster(1)
     owner = Owner(cluster).subscribe()
-    fronts = SchedulerApi(cluster.core), ExecutorApi(cluster.core)
+    apis = SchedulerApi(cluster.core), ExecutorApi(cluster.core)
     targets = "/api/v1/scheduler", "/api/v1/executor"
     headers = {"content-type": "application/json", "mesos-stream-id": "stream-owner"}
     offer = owner.link.of("OFFERS")[0].offers.offers[0].id.value
-    for which, call in calls:
+    for is_executor, call in calls:
         body = json.dumps(call).replace("OFFER", offer).encode()
         try:
-            told = fronts[which].handle(Request("POST", targets[which], headers, body))
+            response = apis[is_executor].handle(Request("POST", targets[is_executor], headers, body))
         except HttpError as error:
             assert 400 <= error.status < 500
         else:
-            if hasattr(told, "open_session"):
-                link = type(owner.link)(m.ExecutorEvent if which else m.SchedulerEvent)
-                link.ended = told.open_session(link)
+            if hasattr(response, "open_session"):
+                link = type(owner.link)(m.ExecutorEvent if is_executor else m.SchedulerEvent)
+                link.ended = response.open_session(link)
         cluster.timing.advance(100.0)
         cluster.check()
     assert cluster.core.counters.find_mismatches() == {}
 
 
-def test_the_contract_holds_for_a_call_that_is_not_subscribed(world):
-    day = world(hosts=1)
+def test_a_heartbeat_without_a_subscription_is_rejected(start_cluster):
+    cluster = start_cluster(hosts=1)
     with pytest.raises(NotSubscribedError):
-        day.core.agent_sessions.record_heartbeat("stranger.r")
+        cluster.core.agent_sessions.record_heartbeat("stranger.r")
 
 
 # ---- an unmodified client library ----
 
 
-def test_the_readmes_unmodified_mesos_client_subscribes_launches_and_tears_down(world):
-    """avmesos, from the registry: the README's own lines, with the daemon's address put in."""
+def test_an_unmodified_mesos_client_runs_the_readme_example(start_cluster):
+    """avmesos from the package registry runs the lines of the README, with the address of this daemon."""
     pytest.importorskip("avmesos.client")
     logging.getLogger("avmesos.client").setLevel(logging.CRITICAL)
     readme = (Path(__file__).parent.parent / "README.md").read_text()
-    day, states = world(), []
+    cluster, states = start_cluster(), []
     code = readme.split("```python-client\n")[1].split("```")[0]
     assert "127.0.0.1:5050" in code
-    code = code.replace("127.0.0.1:5050", "{}:{}".format(*day.bound["owners"]))
+    code = code.replace("127.0.0.1:5050", "{}:{}".format(*cluster.bound["owners"]))
     thread = threading.Thread(target=exec, args=(code, {"print": states.append}), daemon=True)
     thread.start()
-    day.until(
-        lambda: states and states[-1] == "TASK_FINISHED" and not day.core.frameworks.frameworks_by_id,
+    cluster.until(
+        lambda: states and states[-1] == "TASK_FINISHED" and not cluster.core.frameworks.frameworks_by_id,
         10_000.0,
     )
     assert states == ["TASK_STARTING", "TASK_RUNNING", "TASK_FINISHED"]
@@ -554,7 +559,7 @@
     return child, json.loads(child.stdout.readline())
 
 
-def test_signals_reload_whole_or_not_at_all_and_end_in_time(tmp_path):
+def test_sighup_applies_all_or_nothing_and_sigterm_stops_in_time(tmp_path):
     path = tmp_path / "a.conf"
     good = CONF + "directory 127.0.0.1:1\nshutdown 1s\nlog form json level info\n"
     path.write_text(good)
@@ -588,9 +593,8 @@
         child.communicate()
 
 
-def test_stand_ins_run_by_themselves(tmp_path):
-    """Directory, hosts and owners as processes of their own around one allocator, as docs/operating.md
-    shows."""
+def test_emulators_run_as_separate_processes(tmp_path):
+    """Directory, hosts and owners run as separate processes around one allocator, as docs/operating.md shows."""
     script = tmp_path / "s.conf"
     (tmp_path / "campus.conf").write_text("\n".join(CONF.splitlines()[5:]) + "\n")
     script.write_text(
@@ -599,50 +603,50 @@
     )
     children = []
 
-    def standin(kind, place):
-        words = [
+    def start_emulator(kind, address):
+        arguments = [
             sys.executable,
             "-m",
             "glencleat",
             "standin",
             kind,
             str(script),
-            f"a0={place}",
+            f"a0={address}",
             "--for",
             "30",
         ]
-        children.append(subprocess.Popen(words, stdout=subprocess.PIPE, text=True))
+        children.append(subprocess.Popen(arguments, stdout=subprocess.PIPE, text=True))
         return json.loads(children[-1].stdout.readline())
 
     try:
-        listed = standin("directory", "127.0.0.1:0")["a0"]
+        directory_address = start_emulator("directory", "127.0.0.1:0")["a0"]
         path = tmp_path / "a0.conf"
-        path.write_text(CONF + f"directory {listed}\n")
+        path.write_text(CONF + f"directory {directory_address}\n")
         child, bound = start(path)
         children.append(child)
-        assert standin("hosts", bound["agents"]) == {"hosts": 3}
-        told = standin("owners", bound["owners"])
-        assert told["asked"] > 5 and told["placed"] == told["asked"] and told["open"] == 0
+        assert start_emulator("hosts", bound["agents"]) == {"hosts": 3}
+        result = start_emulator("owners", bound["owners"])
+        assert result["asked"] > 5 and result["placed"] == result["asked"] and result["open"] == 0
     finally:
         for child in children:
             child.kill()
             child.communicate()
-    code = subprocess.run(
+    done = subprocess.run(
         [sys.executable, "-m", "glencleat", "standin", "hosts", str(script), "a0=1.2.3.4:5"],
         capture_output=True,
     )
-    assert code.returncode == 2 and b"is no NAME=127.0.0.1:PORT" in code.stderr
+    assert done.returncode == 2 and b"is no NAME=127.0.0.1:PORT" in done.stderr
 
 
-def test_commands_say_what_is_wrong(tmp_path):
+def test_commands_report_errors_without_a_traceback(tmp_path):
     def run(*words):
-        told = subprocess.run([sys.executable, "-m", "glencleat", *words], capture_output=True, text=True)
-        return told.returncode, told.stdout + told.stderr
+        done = subprocess.run([sys.executable, "-m", "glencleat", *words], capture_output=True, text=True)
+        return done.returncode, done.stdout + done.stderr
 
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        port = taken.getsockname()[1]
-        taken.listen()
+    with socket.socket() as busy:
+        busy.bind(("127.0.0.1", 0))
+        port = busy.getsockname()[1]
+        busy.listen()
         path = tmp_path / "a.conf"
         path.write_text(
             CONF.replace("owners 127.0.0.1:0", f"owners 127.0.0.1:{port}") + "directory 127.0.0.1:1\n"
