--- a/glencleat/config/__init__.py
+++ b/glencleat/config/__init__.py
@@ -1,7 +1,9 @@
-"""The configuration: a line-based file in the manner of classic daemons, checked into a typed schema.
+"""The configuration: files of lines, as classic daemons have them, checked against a typed schema.
 
-`lines` reads lines (no meaning), `schema` is what they may say (pydantic), `load` joins both and names file,
-line and setting of everything that is wrong, all at once."""
+`lines` splits a file into words and gives them no meaning, `schema` declares the settings (pydantic), and
+`load` joins the two. A file that can't be used is reported with all its faults at once, each with its file,
+line and setting.
+"""
 
 from glencleat.config.lines import ConfigFault
 from glencleat.config.load import ConfigError, load
--- a/glencleat/config/load.py
+++ b/glencleat/config/load.py
@@ -1,4 +1,4 @@
-"""Joins lines and schema: a file becomes a Config, or one ConfigError with every fault in it."""
+"""Loads a configuration file into a typed model, or raises one ConfigError with all faults of the file."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 
 class ConfigError(Exception):
-    """The file can't be used; `faults` says where and why, all at once."""
+    """The file can't be used. `faults` holds all its faults; a caller of `load` gets them in file order."""
 
     def __init__(self, faults: list[ConfigFault]) -> None:
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
 
 
-# keyword -> (positional fields, setting, whether there may be several); `name value` pairs follow
+# Keyword -> (positional fields, setting, whether it may be repeated). Pairs of a name and a value follow the
+# positional fields.
 RECORD_KEYWORDS: dict[str, tuple[tuple[str, ...], str, bool]] = {
     "allocator": (("name",), "allocator", False),
     "class": (("name",), "classes", True),
@@ -35,6 +36,7 @@
     "log": ((), "log", False),
     "keep-list": (("file",), "keep_list", False),
 }
+# Keyword -> setting, for lines of a keyword and one value.
 VALUE_KEYWORDS = {
     "directory": "directory",
     "default-class": "default_class",
@@ -46,23 +48,25 @@
     "grace": "grace",
     "probe-timeout": "probe_timeout",
 }
+# Interface -> setting, for lines `listen INTERFACE HOST:PORT`.
 LISTEN_KEYWORDS = {
     "owners": "owners",
     "agents": "agents",
     "metrics": "metrics",
     "rest": "rest_listen",
-}  # its setting
+}
 
 
 @dataclass(frozen=True, slots=True)
 class KeywordTables:
-    """Which lines a kind of file may have."""
+    """The lines that a kind of file may have; see RECORD_KEYWORDS, VALUE_KEYWORDS and LISTEN_KEYWORDS."""
 
     record_keywords: dict[str, tuple[tuple[str, ...], str, bool]]
     value_keywords: dict[str, str]
     listen_keywords: Mapping[str, str] = field(default_factory=dict)
 
     def keywords(self) -> list[str]:
+        """All words that a line may begin with, sorted."""
         return sorted(
             [
                 *self.record_keywords,
@@ -74,7 +78,11 @@
 
 
 class ConfigReader:
-    """Gathers what the lines say, and which line said what."""
+    """Collects the values that lines set, the line that set each, and the faults.
+
+    `values` is what the schema validates. `lines_by_location` has the location of a value there, as pydantic
+    reports it in errors, for its key.
+    """
 
     def __init__(self, path: Path, tables: KeywordTables) -> None:
         self.path, self.tables = path, tables
@@ -83,71 +91,80 @@
         self.faults: list[ConfigFault] = []
 
     def add_fault(self, line: ConfigLine, setting: str, text: str) -> None:
+        """Record a fault of a setting at a line."""
         self.faults.append(ConfigFault(line.file, line.number, setting, text))
 
     def read_line(self, line: ConfigLine) -> None:
-        word, rest = line.words[0], line.words[1:]
-        if word in self.tables.record_keywords:
-            self._pairs(line, word, list(rest))
-        elif word == "listen" and self.tables.listen_keywords:
-            if len(rest) != 2 or rest[0] not in self.tables.listen_keywords:
+        """Take the values of a line; what is wrong with it becomes a fault."""
+        keyword, arguments = line.words[0], line.words[1:]
+        if keyword in self.tables.record_keywords:
+            self._read_record(line, keyword, list(arguments))
+        elif keyword == "listen" and self.tables.listen_keywords:
+            if len(arguments) != 2 or arguments[0] not in self.tables.listen_keywords:
                 self.add_fault(
                     line, "listen", f"expected one of {', '.join(self.tables.listen_keywords)} and HOST:PORT"
                 )
             else:
-                self._one(line, f"listen {rest[0]}", self.tables.listen_keywords[rest[0]], rest[1])
-        elif word in self.tables.value_keywords:
-            if len(rest) != 1:
-                self.add_fault(line, word, f"{len(rest)} values; expected one")
+                self._set_value(
+                    line, f"listen {arguments[0]}", self.tables.listen_keywords[arguments[0]], arguments[1]
+                )
+        elif keyword in self.tables.value_keywords:
+            if len(arguments) != 1:
+                self.add_fault(line, keyword, f"{len(arguments)} values; expected one")
             else:
-                self._one(line, word, self.tables.value_keywords[word], rest[0])
+                self._set_value(line, keyword, self.tables.value_keywords[keyword], arguments[0])
         else:
             self.add_fault(
-                line, word[:40], f"no such setting; expected one of {', '.join(self.tables.keywords())}"
+                line, keyword[:40], f"unknown setting; expected one of {', '.join(self.tables.keywords())}"
             )
 
-    def _one(self, line: ConfigLine, shown: str, key: str, value: Any) -> None:
+    def _set_value(self, line: ConfigLine, shown_name: str, key: str, value: Any) -> None:
+        """Set a value that a file may set once; a second line for it is a fault."""
         if key in self.values:
-            before = self.lines_by_location[key,]
-            self.add_fault(line, shown, f"is there twice, first at {before.file}:{before.number}")
+            first_line = self.lines_by_location[key,]
+            self.add_fault(line, shown_name, f"is set twice, first at {first_line.file}:{first_line.number}")
             return
         self.values[key] = value
         self.lines_by_location[key,] = line
 
-    def _pairs(self, line: ConfigLine, word: str, rest: list[str]) -> None:
-        positional, key, many = self.tables.record_keywords[word]
-        if len(rest) < len(positional) or (len(rest) - len(positional)) % 2:
-            names = " ".join(p.upper() for p in positional)
+    def _read_record(self, line: ConfigLine, keyword: str, arguments: list[str]) -> None:
+        """Read a line of positional fields and pairs of a name and a value into a dictionary."""
+        positional, key, is_repeatable = self.tables.record_keywords[keyword]
+        if len(arguments) < len(positional) or (len(arguments) - len(positional)) % 2:
+            names = " ".join(field.upper() for field in positional)
             self.add_fault(
-                line, word, f"expected {word} {names}{' ' if names else ''}and pairs of a name and a value"
+                line,
+                keyword,
+                f"expected {keyword} {names}{' ' if names else ''}and pairs of a name and a value",
             )
             return
-        record = dict(zip(positional, rest, strict=False))
-        pairs = rest[len(positional) :]
+        record = dict(zip(positional, arguments, strict=False))
+        pairs = arguments[len(positional) :]
         for name, value in zip(pairs[::2], pairs[1::2], strict=True):
-            field = name.replace("-", "_")
-            if field in record:
-                self.add_fault(line, f"{word} {name}", "is there twice on one line")
-            record[field] = value
-        if many:
+            field_name = name.replace("-", "_")
+            if field_name in record:
+                self.add_fault(line, f"{keyword} {name}", "is set twice on one line")
+            record[field_name] = value
+        if is_repeatable:
             items = self.values.setdefault(key, [])
             self.lines_by_location[key, len(items)] = line
             items.append(record)
         else:
-            self._one(line, word, key, record)
+            self._set_value(line, keyword, key, record)
 
-    def find_line(self, loc: tuple[str | int, ...]) -> ConfigLine:
+    def find_line(self, location: tuple[str | int, ...]) -> ConfigLine:
+        """The line that set the value at a location of the schema; line 0 of the file if none did."""
         for length in (2, 1):
-            if loc[:length] in self.lines_by_location:
-                return self.lines_by_location[loc[:length]]
+            if location[:length] in self.lines_by_location:
+                return self.lines_by_location[location[:length]]
         return ConfigLine(str(self.path), 0, ())
 
-    def describe_location(self, loc: tuple[str | int, ...]) -> str:
-        """A place in the schema as the file writes it."""
-        names = {key: word for word, (_, key, _) in self.tables.record_keywords.items()}
-        names |= {key: word for word, key in self.tables.value_keywords.items()}
-        names |= {key: f"listen {name}" for name, key in self.tables.listen_keywords.items()}
-        words = [names.get(part, part.replace("_", "-")) for part in loc if isinstance(part, str)]
+    def describe_location(self, location: tuple[str | int, ...]) -> str:
+        """A location of the schema in the words of the file, such as `class aim`; `file` for all of it."""
+        names = {key: keyword for keyword, (_, key, _) in self.tables.record_keywords.items()}
+        names |= {key: keyword for keyword, key in self.tables.value_keywords.items()}
+        names |= {key: f"listen {interface}" for interface, key in self.tables.listen_keywords.items()}
+        words = [names.get(part, part.replace("_", "-")) for part in location if isinstance(part, str)]
         return " ".join(words) or "file"
 
 
@@ -158,9 +175,12 @@
     schema: type[SchemaT],
     tables: KeywordTables,
     path: Path,
-    edit_values: Callable[[dict[str, Any]], None] = lambda said: None,
+    edit_values: Callable[[dict[str, Any]], None] = lambda values: None,
 ) -> SchemaT:
-    """Reads and checks a file; raises ConfigError. `edit_values` may alter what was said before the check."""
+    """Read a file and validate it against `schema`; raises ConfigError with all faults of the file.
+
+    `edit_values` may change the values that were read before they are validated.
+    """
     lines, faults = read_lines(path)
     reader = ConfigReader(path, tables)
     reader.faults += faults
@@ -175,15 +195,15 @@
             if item["type"] == "missing":
                 text = "is missing"
             elif item["type"] == "extra_forbidden":
-                text = "no such setting here"
+                text = "unknown setting"
             reader.add_fault(reader.find_line(item["loc"]), reader.describe_location(item["loc"]), text)
     if reader.faults:
-        raise ConfigError(sorted(reader.faults, key=lambda f: (f.file, f.line)))
+        raise ConfigError(sorted(reader.faults, key=lambda fault: (fault.file, fault.line)))
     return config
 
 
-def load(path: Path, edit_values: Callable[[dict[str, Any]], None] = lambda said: None) -> AllocatorConfig:
-    """An allocator's configuration; raises ConfigError with every fault in it."""
+def load(path: Path, edit_values: Callable[[dict[str, Any]], None] = lambda values: None) -> AllocatorConfig:
+    """The configuration of an allocator; raises ConfigError as `load_as` does."""
     return load_as(
         AllocatorConfig, KeywordTables(RECORD_KEYWORDS, VALUE_KEYWORDS, LISTEN_KEYWORDS), path, edit_values
     )
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,5 +1,4 @@
-"""Configuration: what is right, and every fault of a file at once with file, line, setting and what was
-expected."""
+"""Valid files become settings; every fault of a file is reported at once, with its file, line and setting."""
 
 from pathlib import Path
 
@@ -10,7 +9,7 @@
 from glencleat.emulators.script import load_script, load_shared_config
 
 EXAMPLES = Path(__file__).parent.parent.parent / "examples"
-GOOD = """
+VALID_TEXT = """
 allocator a1 number 1 of 3 zone hall-b seed 9
 listen owners 127.0.0.1:0
 listen agents 127.0.0.1:0
@@ -23,20 +22,20 @@
 """
 
 
-def write(tmp_path, text, name="a.conf"):
+def write_config(tmp_path, text, name="a.conf"):
     path = tmp_path / name
     path.write_text(text)
     return path
 
 
-def faults(tmp_path, text):
+def load_faults(tmp_path, text):
     with pytest.raises(ConfigError) as error:
-        load(write(tmp_path, text))
+        load(write_config(tmp_path, text))
     return [str(fault).removeprefix(str(tmp_path) + "/") for fault in error.value.faults]
 
 
-def test_a_good_file_becomes_settings(tmp_path):
-    config = load(write(tmp_path, GOOD))
+def test_valid_file_becomes_settings(tmp_path):
+    config = load(write_config(tmp_path, VALID_TEXT))
     settings = config.settings()
     assert (settings.allocator_index, settings.allocator_count, settings.zone) == (1, 3, "hall-b")
     assert settings.machine_sizes["big"] == api.MachineSize(32.0, 1.5 * 1_048_576.0)
@@ -63,18 +62,18 @@
 
 
 @pytest.mark.parametrize("name", ["allocator.conf"])
-def test_the_examples_are_good(name):
+def test_example_configuration_is_valid(name):
     load(EXAMPLES / name)
 
 
 @pytest.mark.parametrize("name", ["bad-day.conf", "short-day.conf", "quiet-day.conf"])
-def test_the_example_plays_are_good(name):
+def test_example_play_is_valid(name):
     script = load_script(EXAMPLES / name)
     load_shared_config(EXAMPLES / script.campus)
 
 
-def test_every_fault_is_told_at_once_with_its_place(tmp_path):
-    told = faults(tmp_path, """
+def test_all_faults_are_reported_with_their_location(tmp_path):
+    reported = load_faults(tmp_path, """
 allocator a1 number 3 of 3 zone hall-b
 listen owners 10.0.0.1:80
 listen agents 127.0.0.1:99999
@@ -97,53 +96,59 @@
         "a.conf:7: kind cores: Input should be greater than 0",
         "a.conf:7: kind memory: is '32'; expected a number with one of MB, GB, TB, as in 48GB",
         "a.conf:9: drain: 0 values; expected one",
-        "a.conf:11: attempts: is there twice, first at ",
+        "a.conf:11: attempts: is set twice, first at ",
         "a.conf:12: limit: expected limit and pairs of a name and a value",
         "a.conf:13: log form: Input should be 'console' or 'json'",
     ]
     for line in expected:
-        assert any(text.startswith(line) for text in told), (line, told)
-    assert any("a.conf:6: class effect: Input should be 'safe', 'keyed' or 'unsafe'" in text for text in told)
-    assert any("a.conf:8: bogus: no such setting; expected one of accept, allocator" in text for text in told)
+        assert any(text.startswith(line) for text in reported), (line, reported)
+    assert any(
+        "a.conf:6: class effect: Input should be 'safe', 'keyed' or 'unsafe'" in text for text in reported
+    )
+    assert any(
+        "a.conf:8: bogus: unknown setting; expected one of accept, allocator" in text for text in reported
+    )
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "expected_fault"),
     [
-        (("worth 3", "worth 3 worth 4"), "class worth: is there twice on one line"),
-        (("worth 3", "colour red"), "class colour: no such setting here"),
+        (("worth 3", "worth 3 worth 4"), "class worth: is set twice on one line"),
+        (("worth 3", "colour red"), "class colour: unknown setting"),
         (("spread zone most 4", "spread zone"), "expected most of 1 or more"),
         (("window 5s", ""), "effect is keyed without a window"),
         (("aim 1s", "aim 9s"), "expected 0 < aim <= deadline"),
         (("kind big\n", "kind huge\n"), "kind is huge; expected one of std, big"),
-        (("class key", "class web"), "class web is there twice"),
+        (("class key", "class web"), "class web is defined twice"),
         (("directory 127.0.0.1:5060", ""), "directory: is missing"),
         (("listen owners", "listen everyone"), "listen: expected one of owners, agents, metrics"),
         (("zone hall-b", 'zone "hall b"'), "allocator zone: String should match pattern"),
         (("zone hall-b", 'zone "hall'), "line: No closing quotation"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, change, named):
-    assert change[0] in GOOD
-    assert any(named in text for text in faults(tmp_path, GOOD.replace(*change)))
-
-
-def test_includes(tmp_path):
-    write(tmp_path, "kind std cores 16 memory 32GB\nbogus\n", "kinds.conf")
-    told = faults(tmp_path, GOOD.replace("kind std cores 16 memory 32GB", "include kinds.conf"))
-    assert [text for text in told if text.startswith("kinds.conf:2: bogus: no such setting")] == told
-    write(tmp_path, "include b.conf\n", "c.conf")
-    write(tmp_path, "include c.conf\n", "b.conf")
-    assert any("includes itself" in text for text in faults(tmp_path, GOOD + "include b.conf\n"))
-    assert any("can't read" in text for text in faults(tmp_path, GOOD + "include nowhere.conf\n"))
-    assert any("expected one file" in text for text in faults(tmp_path, GOOD + "include\n"))
+def test_fault_names_the_setting(tmp_path, change, expected_fault):
+    assert change[0] in VALID_TEXT
+    assert any(expected_fault in text for text in load_faults(tmp_path, VALID_TEXT.replace(*change)))
+
+
+def test_included_files_are_read_and_their_faults_located(tmp_path):
+    write_config(tmp_path, "kind std cores 16 memory 32GB\nbogus\n", "kinds.conf")
+    reported = load_faults(
+        tmp_path, VALID_TEXT.replace("kind std cores 16 memory 32GB", "include kinds.conf")
+    )
+    assert [text for text in reported if text.startswith("kinds.conf:2: bogus: unknown setting")] == reported
+    write_config(tmp_path, "include b.conf\n", "c.conf")
+    write_config(tmp_path, "include c.conf\n", "b.conf")
+    assert any("includes itself" in text for text in load_faults(tmp_path, VALID_TEXT + "include b.conf\n"))
+    assert any("can't read" in text for text in load_faults(tmp_path, VALID_TEXT + "include nowhere.conf\n"))
+    assert any("expected one file" in text for text in load_faults(tmp_path, VALID_TEXT + "include\n"))
     (tmp_path / "latin.conf").write_bytes(b"# a\nkind \xe9 cores 1\n")
-    assert "latin.conf:2: file: is not UTF-8" in faults(tmp_path, GOOD + "include latin.conf\n")
+    assert "latin.conf:2: file: is not UTF-8" in load_faults(tmp_path, VALID_TEXT + "include latin.conf\n")
 
 
-def test_a_play_names_what_it_does_not_know(tmp_path):
-    good = (EXAMPLES / "short-day.conf").read_text()
-    for line, named in (
+def test_unknown_name_in_a_play_is_reported(tmp_path):
+    valid_text = (EXAMPLES / "short-day.conf").read_text()
+    for line, expected_fault in (
         ("at 5s kill a9 for 1s", "kill a9; expected one of a0, a1, a2"),
         ("at 5s hall nowhere for 1s", "hall nowhere"),
         ("at 5s flood all", "fault is 'flood'"), ("at 5s crash most", "expected a share, as in 24%"),
@@ -156,5 +161,5 @@
         ("at 5s crash 5% of a1", "expected that of wire, reset, half-open only"),
         ("at 5s kill 5x%", "expected a share"),
     ):  # fmt: skip
-        with pytest.raises(ConfigError, match=named):
-            load_script(write(tmp_path, good + line + "\n"))
+        with pytest.raises(ConfigError, match=expected_fault):
+            load_script(write_config(tmp_path, valid_text + line + "\n"))
