--- a/glencleat/allocator/agent_membership.py
+++ b/glencleat/allocator/agent_membership.py
@@ -38,10 +38,8 @@
 # An event that has no entry for a state can't happen in that state.
 TRANSITIONS: Mapping[tuple[AgentState, AgentEvent], AgentState] = MappingProxyType(
     {
-        (
-            AgentState.SUBSCRIBED,
-            AgentEvent.SUBSCRIBE,
-        ): AgentState.SUBSCRIBED,  # a newer session replaces the open one
+        # A newer session replaces the open one.
+        (AgentState.SUBSCRIBED, AgentEvent.SUBSCRIBE): AgentState.SUBSCRIBED,
         (AgentState.SUBSCRIBED, AgentEvent.SESSION_CLOSED): AgentState.AWAY,
         (AgentState.AWAY, AgentEvent.SUBSCRIBE): AgentState.SUBSCRIBED,
         (AgentState.AWAY, AgentEvent.REREGISTRATION_TIMEOUT): AgentState.LOST,
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -177,9 +177,8 @@
             core.counters.counts_by_event["update unknown"] += 1
             return
         if attempt.check_duplicate_update(status.uuid) or meaning.step.value <= attempt.step.value:
-            core.counters.counts_by_event["update stale"] += (
-                1  # a duplicate, or older than a status already applied
-            )
+            # A duplicate, or older than a status already applied.
+            core.counters.counts_by_event["update stale"] += 1
             return
         self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
 
--- a/glencleat/allocator/delivery_status.py
+++ b/glencleat/allocator/delivery_status.py
@@ -35,9 +35,8 @@
 
     WAIT = "wait"  # it stays dispatched until the agent reports it or its time-out passes
     CONCLUDE = "return"  # report the outcome to the policy
-    CLOSE_SESSION = (
-        "cut"  # close the agent's session so that the rest of the LAUNCH can't arrive, then conclude
-    )
+    # Close the agent's session so that the rest of the LAUNCH can't arrive, then conclude.
+    CLOSE_SESSION = "cut"
     IGNORE = "ignore"
 
 
--- a/tests/allocator/test_agent_membership.py
+++ b/tests/allocator/test_agent_membership.py
@@ -51,9 +51,8 @@
     assert replaced.replaced_session is second
     assert not replaced.is_same_incarnation
     assert replaced.member.incarnation_count == 2
-    assert not members.close_session(
-        "h", second, 10_002.0
-    )  # the end of the replaced session does not close the new one
+    # The end of the replaced session does not close the new one.
+    assert not members.close_session("h", second, 10_002.0)
 
 
 def test_an_executor_id_is_split_at_its_last_dot():
--- a/tests/allocator/test_endpoint_list.py
+++ b/tests/allocator/test_endpoint_list.py
@@ -7,9 +7,8 @@
 from glencleat.mesos import messages as m
 
 NS_PER_MS = 1_000_000
-READY_AT_MS = (
-    990.0  # started at 50 ms wall time; the wall clock reads 60 ms when the monotonic one reads 1_000 ms
-)
+# The agent started at 50 ms wall time; the wall clock reads 60 ms when the monotonic clock reads 1_000 ms.
+READY_AT_MS = 990.0
 
 
 def make_agent(name="h", registered_at_ms=0, *, is_draining=False, **fields):
