--- a/glencleat/checker/chance_bounds.py
+++ b/glencleat/checker/chance_bounds.py
@@ -1,6 +1,7 @@
-"""Verdicts on statistical bounds, and what chance alone may bring. No I/O.
+"""Verdicts on statistical bounds, and the limits that independent events exceed only by rare chance. No I/O.
 
-A bound that was never in danger is *not tried*; one that is exceeded is broken, however few there were.
+A bound that the trace could not have exceeded is *not tried*. One that is exceeded is broken, however small
+the sample.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_FALSE_ALARM_PROBABILITY = 1e-6  # a sound fleet exceeds a bound in so few of its plays
+MAX_FALSE_ALARM_PROBABILITY = 1e-6  # share of plays of a correct fleet that exceed a bound
 
 
 class BoundState(Enum):
-    """What a trace shows of a bound."""
+    """Whether a trace keeps a bound, breaks it, or does not exercise it."""
 
     KEPT = "kept"
     BROKEN = "broken"
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundVerdict:
-    """One bound by its name, its state, and the figures behind it in words."""
+    """The name of a bound, its state, and a sentence with the measured values."""
 
     bound: str
     state: BoundState
@@ -31,19 +32,19 @@
 
 
 def judge_bound(bound: str, was_tried: bool, is_kept: bool, text: str) -> BoundVerdict:
-    """The verdict on a bound; `is_kept` counts only where the trace put the bound to the test."""
+    """Returns the verdict on a bound; `is_kept` is ignored where the trace did not exercise the bound."""
     if not was_tried:
         return BoundVerdict(bound, BoundState.NOT_TRIED, text)
     return BoundVerdict(bound, BoundState.KEPT if is_kept else BoundState.BROKEN, text)
 
 
 def count_busiest_window(times: list[float], window_ms: float) -> int:
-    """How many of these ascending times, in milliseconds, fall within the window that holds most."""
+    """The largest number of these ascending times, in milliseconds, within any window of `window_ms`."""
     return max((bisect_left(times, at + window_ms) - i for i, at in enumerate(times)), default=0)
 
 
 def poisson_tail(at_least: int, mean: float) -> float:
-    """The chance of `least` or more events where `mean` are expected and none knows of another.
+    """The probability of `at_least` or more independent events where `mean` are expected.
 
     >>> round(poisson_tail(1, 1.0), 4), round(poisson_tail(5, 1.0), 4)
     (0.6321, 0.0037)
@@ -55,10 +56,10 @@
 
 
 def chance_limit_in_window(attempts: int, mean: float) -> int:
-    """The least number in one window that independent attempts reach by chance too rarely to count.
+    """The smallest count in one window that independent attempts reach with negligible probability.
 
-    Too rarely is under MAX_FALSE_ALARM_PROBABILITY. `mean`: attempts in a window. Each of `attempts` begins a
-    window and has the others in it by chance (a union bound).
+    Negligible is under MAX_FALSE_ALARM_PROBABILITY. `mean` is the expected number of attempts in a window. A
+    window begins at each of the `attempts`, and the union bound adds up their probabilities.
     """
     limit = 2
     while attempts * poisson_tail(limit - 1, mean) >= MAX_FALSE_ALARM_PROBABILITY:
--- a/glencleat/checker/invariants.py
+++ b/glencleat/checker/invariants.py
@@ -1,8 +1,8 @@
-"""The five invariants, each checked from a trace and the parameters stated for its play. No I/O.
+"""The five invariants, each checked from a trace and the parameters configured for its play. No I/O.
 
-Each checker gives violations with the lines of the trace that show them. Nothing is forgiven but what the
-trace itself explains: an allocator that was killed or stopped, a session that was cut, a wire that held bytes
-back, and `trace_history.SLACK_MS` for an emulator that reads late.
+Each check returns violations with the trace lines that show them. A deviation is excused only where the trace
+itself explains it: an allocator that was killed or stopped, a session that was cut, a connection that held
+bytes back, and `trace_history.SLACK_MS` for an emulator that reads late.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpreadRule:
-    """At most so many tasks of one service in one failure domain, by one allocator."""
+    """The largest number of tasks of one service that one allocator may place in one failure domain."""
 
     domain: str  # machine, cell or zone
     max_tasks: int
@@ -33,31 +33,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
-    """What the configuration states for the play that made the trace; times in milliseconds."""
+    """The limits configured for the play that produced the trace; times in milliseconds."""
 
     drain_grace_ms: float = 2_000.0
     warm_up_ms: float = 0.0
     warm_up_window_ms: float = 0.0
     warm_up_offers: float = 0.0
-    deduplication_window_ms_by_class: dict[str, float] = field(default_factory=dict)  # by class
+    deduplication_window_ms_by_class: dict[str, float] = field(default_factory=dict)
     deduplication_scope_by_class: dict[str, str] = field(default_factory=dict)
     spread_by_class: dict[str, SpreadRule] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One invariant broken: its name, what happened, and the lines of the trace that show it."""
+    """A broken invariant: its name, what happened, and the trace lines that show it."""
 
     rule: str
     text: str
     trace_lines: tuple[int, ...]
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.text} (record lines {', '.join(map(str, self.trace_lines))})"
+        return f"{self.rule}: {self.text} (trace lines {', '.join(map(str, self.trace_lines))})"
 
 
 def check_answers(history: TraceHistory, parameters: RuleParameters) -> list[Violation]:
-    """Invariant 1: one answer for each request, in time, and nothing sent after it."""
+    """Invariant 1: one final answer for each request before its deadline, and no attempt sent after it."""
     violations = []
     for (allocator, task), requests in history.requests_by_task.items():
         for number, request in enumerate(requests):
@@ -71,9 +71,10 @@
 def _answers_to(
     history: TraceHistory, allocator: str, task: str, request: TraceEntry, until: float
 ) -> list[TraceEntry]:
-    """Answers to one request: repeats of an update (same uuid) and replies to RECONCILE left out.
+    """Answers to one request, without repeated updates (same uuid) and replies to RECONCILE.
 
-    A failed task that RECONCILE tells to run was adopted: what follows is about a task that is placed.
+    A task that was reported lost and that RECONCILE then reports as running was adopted: later updates are
+    about a placed task and are no answers to the request.
     """
     seen_uuids = set[str]()
     answers = list[TraceEntry]()
@@ -92,14 +93,14 @@
 def _check_single_answer(
     history: TraceHistory, request: TraceEntry, answers: list[TraceEntry]
 ) -> list[Violation]:
-    """One final answer before the request's deadline, and none that contradicts it."""
+    """Checks for a final answer before the request's deadline that no later answer contradicts."""
     final = [entry for entry in answers if entry.state in PLACED_STATES + UNPLACED_STATES]
     deadline = request.at + request.left
     if not final or history.earliest_arrival(final[0].at) > deadline:
         if _is_excused(history, request, deadline):
             return []
         lines = (request.line, *(entry.line for entry in final[:1]))
-        text = f"{request.task} had no answer of {request.allocator} in time"
+        text = f"{request.task} had no final answer from {request.allocator} before its deadline"
         return [Violation("no task lost", text, lines)]
     first = final[0]
     contradictions = [
@@ -117,7 +118,11 @@
 
 
 def _is_excused(history: TraceHistory, request: TraceEntry, deadline: float) -> bool:
-    """Whether the trace explains a missing answer: absence, a blocked wire, a cut, or its own end."""
+    """Whether the trace explains a missing answer.
+
+    It does where the allocator's process did not run, the connection was blocked, the session was cut, or the
+    trace ends before the deadline.
+    """
     since = request.at - history.slack_ms
     return (
         not history.has_run_throughout(request.allocator, since, deadline)
@@ -141,13 +146,13 @@
     for attempt in history.attempts_by_task.get(request.task, ()):
         is_after = answered_at + history.slack_ms < attempt.earliest_sent_at and attempt.offer.at < until
         if attempt.offer.allocator == request.allocator and is_after:
-            text = f"{request.task} was sent to {attempt.offer.who} after its answer"
+            text = f"{request.task} was sent to {attempt.offer.who} after its final answer"
             return [Violation("no task lost", text, (request.line, attempt.offer.line))]
     return []
 
 
 def check_effects(history: TraceHistory, parameters: RuleParameters) -> list[Violation]:
-    """Invariant 2: no effect twice, and never two attempts of a call outstanding at once."""
+    """Invariant 2: no effect happens twice, and at most one attempt of a call is outstanding."""
     violations = []
     for task, attempts in list(history.attempts_by_task.items()):
         effect = attempts[0].offer.effect
@@ -156,18 +161,18 @@
         calls: dict[str, list[ObservedAttempt]] = defaultdict(list)
         for attempt in attempts:
             calls[attempt.call_key()].append(attempt)
-        for of_call in calls.values():
-            violations += _check_one_at_a_time(history, task, of_call)
+        for call_attempts in calls.values():
+            violations += _check_one_at_a_time(history, task, call_attempts)
             if effect == "keyed":
-                violations += _check_idempotency_key(history, task, of_call, parameters)
+                violations += _check_idempotency_key(history, task, call_attempts, parameters)
     return violations
 
 
 def _check_non_idempotent(task: str, attempts: list[ObservedAttempt]) -> list[Violation]:
-    starts = [e for a in attempts for e in a.starts]
+    starts = [entry for attempt in attempts for entry in attempt.starts]
     if len(starts) > 1:
-        text = f"{task} must not start twice and started {len(starts)} times"
-        return [Violation("no effect twice", text, tuple(e.line for e in starts))]
+        text = f"non-idempotent {task} started {len(starts)} times"
+        return [Violation("no effect twice", text, tuple(entry.line for entry in starts))]
     for number, later in enumerate(attempts):
         for earlier in attempts[:number]:
             if not earlier.is_rejected_by(later.offer.at):
@@ -181,10 +186,10 @@
 ) -> list[Violation]:
     for before, after in zip(attempts, attempts[1:], strict=False):
         first = before.offer
-        answered = min((e.at for e in before.statuses), default=NEVER)
-        out_until = min(answered, first.at + first.within, before.lost_at)
-        if after.offer.at < out_until - history.slack_ms and after.earliest_sent_at >= first.at:
-            text = f"{task} was out at {first.who} and {after.offer.who} at once"
+        first_status_at = min((status.at for status in before.statuses), default=NEVER)
+        outstanding_until = min(first_status_at, first.at + first.within, before.lost_at)
+        if after.offer.at < outstanding_until - history.slack_ms and after.earliest_sent_at >= first.at:
+            text = f"{task} was outstanding at {first.who} and {after.offer.who} at once"
             return [Violation("no effect twice", text, (first.line, after.offer.line))]
     return []
 
@@ -193,32 +198,39 @@
     history: TraceHistory, task: str, attempts: list[ObservedAttempt], parameters: RuleParameters
 ) -> list[Violation]:
     cls = attempts[0].offer.cls
-    window, group = (
+    window_ms, scope = (
         parameters.deduplication_window_ms_by_class.get(cls, 0.0),
         parameters.deduplication_scope_by_class.get(cls, "all"),
     )
     for number, later in enumerate(attempts):
-        maybe = [a for a in attempts[:number] if not a.is_rejected_by(later.offer.at)]
-        for earlier in maybe:
-            outside = group != "all" and failure_domain(earlier.offer, group) != failure_domain(
-                later.offer, group
+        possibly_run = [
+            attempt for attempt in attempts[:number] if not attempt.is_rejected_by(later.offer.at)
+        ]
+        for earlier in possibly_run:
+            is_outside_scope = scope != "all" and failure_domain(earlier.offer, scope) != failure_domain(
+                later.offer, scope
             )
-            late = later.offer.at - earlier.offer.at > window + history.slack_ms
-            if outside or late:
-                text = f"{task} was sent again {'out of its group' if outside else 'after its window'}"
+            is_late = later.offer.at - earlier.offer.at > window_ms + history.slack_ms
+            if is_outside_scope or is_late:
+                text = (
+                    f"{task} was sent again {'outside its scope' if is_outside_scope else 'after its window'}"
+                )
                 return [Violation("no effect twice", text, (earlier.offer.line, later.offer.line))]
     return []
 
 
-def failure_domain(entry: TraceEntry, by: str) -> object:
-    """The machine, cell or zone of the entry's host, as `by` says."""
-    return {"zone": entry.zone, "cell": (entry.zone, entry.cell)}.get(by, entry.who)
+def failure_domain(entry: TraceEntry, domain: str) -> object:
+    """The machine, cell or zone of the entry's host, as `domain` selects."""
+    return {"zone": entry.zone, "cell": (entry.zone, entry.cell)}.get(domain, entry.who)
 
 
 def check_drains(history: TraceHistory, parameters: RuleParameters) -> list[Violation]:
-    """Invariant 3: nothing new to a host that is draining or removed, after the grace from learning it."""
+    """Invariant 3: no attempt goes to a draining or removed host once the grace period is over.
+
+    The grace period begins at the latest time at which the allocator can have read the host's state.
+    """
     violations = []
-    # Allocator and host -> since when the allocator knows that it is not serving, and the line that told it.
+    # By allocator and host: when the allocator learned that it is not serving, and the line of that entry.
     not_serving: dict[tuple[str, str], tuple[float, int]] = {}
     for entry in history.entries:
         if entry.kind == "told":
@@ -231,18 +243,19 @@
             since, line = not_serving.get((entry.allocator, entry.who), (NEVER, 0))
             sent = history.attempts_by_id[entry.attempt].earliest_sent_at
             if sent > since + parameters.drain_grace_ms + history.slack_ms:
-                late = sent - since
+                delay_ms = sent - since
                 text = (
-                    f"{entry.task} went to {entry.who} {late:.0f} ms after {entry.allocator} knew it drains"
+                    f"{entry.task} was sent to {entry.who} {delay_ms:.0f} ms after {entry.allocator} "
+                    "learned that it is not serving"
                 )
                 violations.append(Violation("drains kept", text, (line, entry.line)))
     return violations
 
 
 def check_warm_up(history: TraceHistory, parameters: RuleParameters) -> list[Violation]:
-    """Invariant 4: no host is offered more than it bears while it warms up, and none falls over.
+    """Invariant 4: a host that warms up is offered no more than its limit, and no host crashes from overload.
 
-    What counts is the sum over all allocators in any window of the stated length.
+    The limit holds for the sum over all allocators in any window of the configured length.
     """
     violations = []
     up: dict[str, TraceEntry] = {}
@@ -253,7 +266,7 @@
             offers[entry.who].clear()
         elif entry.kind == "down" and entry.text == "fell over":
             lines = (up[entry.who].line, entry.line) if entry.who in up else (entry.line,)
-            violations.append(Violation("cold machines spared", f"{entry.who} fell over", lines))
+            violations.append(Violation("cold machines spared", f"{entry.who} crashed from overload", lines))
         elif entry.kind == "offered" and entry.who in up and up[entry.who].cold:
             is_warm = entry.at - up[entry.who].at >= parameters.warm_up_ms
             if is_warm or not history.attempts_by_id[entry.attempt].has_known_send_time():
@@ -264,7 +277,7 @@
             first = bisect_right(recent, entry.at - window_ms, key=lambda offer: offer.at)
             in_window = recent[first:]
             if len(in_window) > parameters.warm_up_offers:
-                text = f"{entry.who} was offered {len(in_window)} within {window_ms:.0f} ms"
+                text = f"{entry.who} was offered {len(in_window)} tasks within {window_ms:.0f} ms"
                 window_lines = tuple(offer.line for offer in in_window)
                 violations.append(Violation("cold machines spared", text, window_lines))
                 recent.clear()
@@ -272,32 +285,34 @@
 
 
 def check_spread(history: TraceHistory, parameters: RuleParameters) -> list[Violation]:
-    """Invariant 5: no more tasks of a service than stated in one failure domain, by one allocator.
+    """Invariant 5: one allocator keeps within the limit on tasks of a service in one failure domain.
 
-    Counted at each send, over what is placed or outstanding there.
+    Counts, at each LAUNCH, the tasks that are placed or outstanding there.
     """
     violations = []
-    groups: dict[tuple[str, str, object], list[ObservedAttempt]] = defaultdict(list)
+    attempts_by_domain: dict[tuple[str, str, object], list[ObservedAttempt]] = defaultdict(list)
     for attempt in history.attempts_by_id.values():
         entry = attempt.offer
         rule = parameters.spread_by_class.get(entry.cls)
         if rule is None:
             continue
-        there = groups[entry.allocator, entry.service, failure_domain(entry, rule.domain)]
-        counted = [a for a in there if _is_counted(history, a, entry.at)]
+        earlier = attempts_by_domain[entry.allocator, entry.service, failure_domain(entry, rule.domain)]
+        counted = [other for other in earlier if _occupies_domain(history, other, entry.at)]
         if len(counted) + 1 > rule.max_tasks and attempt.has_known_send_time():
-            text = f"{entry.allocator} sent a task of {entry.service} where {len(counted)} were already"
-            violations.append(Violation("spread kept", text, (*(a.offer.line for a in counted), entry.line)))
-        there.append(attempt)
+            text = f"{entry.allocator} sent a task of {entry.service} to a domain that held {len(counted)}"
+            violations.append(
+                Violation("spread kept", text, (*(other.offer.line for other in counted), entry.line))
+            )
+        earlier.append(attempt)
     return violations
 
 
-def _is_counted(history: TraceHistory, attempt: ObservedAttempt, at: float) -> bool:
-    """Whether the attempt was out or placed then, as its allocator must know."""
+def _occupies_domain(history: TraceHistory, attempt: ObservedAttempt, at: float) -> bool:
+    """Whether the attempt was certainly outstanding or placed at that time, to its allocator's knowledge."""
     if attempt.released_at() <= at + history.slack_ms:
         return False
-    yes, until = attempt.acceptance(), attempt.offer.at + attempt.offer.within
-    if yes is None:
+    acceptance, until = attempt.acceptance(), attempt.offer.at + attempt.offer.within
+    if acceptance is None:
         return at < until - history.slack_ms
     if attempt.acceptance_read_at <= until - history.slack_ms:
         return True
@@ -314,6 +329,6 @@
 
 
 def check_invariants(entries: list[TraceEntry], parameters: RuleParameters) -> list[Violation]:
-    """All violations of all invariants, in the order of `RULES`."""
+    """Returns the violations of all invariants, in the order of `RULES`."""
     history = TraceHistory(entries)
     return [violation for rule in RULES.values() for violation in rule(history, parameters)]
--- a/glencleat/checker/polling_bounds.py
+++ b/glencleat/checker/polling_bounds.py
@@ -1,6 +1,7 @@
-"""Bounds on how many clients poll one service that is down, judged from what a proxy before it recorded.
+"""Bounds on how often clients poll a service that is down, checked from what a proxy in front of it recorded.
 
-No I/O, and nothing of what the allocators say themselves. A bound that was never in danger is *not tried*.
+No I/O, and no data that the allocators report themselves. A bound that the trace could not have exceeded is
+*not tried*.
 """
 
 from __future__ import annotations
@@ -21,24 +22,24 @@
 from glencleat.checker.trace import TraceEntry
 from glencleat.checker.trace_history import TraceHistory
 
-SETTLE_MS = 3_000.0  # first attempts are spread over less; what goes on is judged from here
-MAX_RATE_PER_S = 0.98  # connections of each client: a tenth of what fixed steps of 0.1 s came to
+SETTLE_MS = 3_000.0  # first attempts are spread over less; steady polling is measured from here
+MAX_RATE_PER_S = 0.98  # connections of each client: a tenth of the rate with fixed waits of 0.1 s
 BUSIEST_WINDOW_MS = 100.0
 MAX_BUSIEST_SHARE = 0.25  # of all clients, in the busiest such window
 EQUAL_WAIT_TOLERANCE_MS = 30.0  # waits that differ by less count as equal
 MIN_JITTER_RANGE_MS = 500.0  # the narrowest range that waits are drawn from
 RECONNECT_LIMIT_MS = 4_000.0  # after the service has recovered
-MIN_OUTAGE_MS = SETTLE_MS + 1_500.0  # a shorter outage puts no bound to the test
-MIN_CLIENTS = 12  # likewise fewer clients
+MIN_OUTAGE_MS = SETTLE_MS + 1_500.0  # a shorter outage exercises no bound
+MIN_CLIENTS = 12  # fewer clients exercise no bound
 MS_PER_S = 1_000.0
 
 
 class ConnectionEvent(Protocol):
-    """What a proxy saw of one connection, as far as it is judged."""
+    """An event of one connection at a proxy, with the fields that the bounds use."""
 
     @property
     def at_ms(self) -> float:
-        """When, on the trace's clock."""
+        """The time on the trace's clock."""
 
     @property
     def proxy_name(self) -> str:
@@ -46,7 +47,7 @@
 
     @property
     def kind(self) -> str:
-        """One of opened, refused, ended and reset; others are passed over."""
+        """One of opened, refused, ended and reset; other kinds are ignored."""
 
     @property
     def number(self) -> int:
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """From `down_at_ms` to `recovered_at_ms` a service turned all of `clients` away."""
+    """A service refused all of `clients` from `down_at_ms` to `recovered_at_ms`."""
 
     down_at_ms: float
     recovered_at_ms: float
@@ -79,16 +80,16 @@
     recovered_at_ms: float,
     running_clients: set[str] | None = None,
 ) -> list[BoundVerdict]:
-    """The bounds on `client_count` clients of a service that turned all away between these instants.
+    """Checks the bounds for `client_count` clients of a service that refused all of them during an outage.
 
-    `running_clients`: with a proxy for each client, those that can be back in time, as they were not stopped
-    meanwhile.
+    `running_clients`, with a proxy for each client, are those that ran long enough after the recovery to
+    reconnect in time.
     """
-    record = sorted(events, key=lambda event: event.at_ms)
+    timeline = sorted(events, key=lambda event: event.at_ms)
     settled_at_ms = down_at_ms + SETTLE_MS
     polls = [
         event.at_ms
-        for event in record
+        for event in timeline
         if event.kind == "refused" and settled_at_ms <= event.at_ms < recovered_at_ms
     ]
     seconds = (recovered_at_ms - settled_at_ms) / MS_PER_S
@@ -98,8 +99,8 @@
     return [
         _judge_rate(rate_per_s / client_count if was_tried else 0.0, was_tried),
         _judge_busiest_window(polls, client_count, rate_per_s, was_tried),
-        _judge_reconnection(record, client_count, recovered_at_ms, running_clients),
-        _judge_jitter(record, client_count, down_at_ms, recovered_at_ms),
+        _judge_reconnection(timeline, client_count, recovered_at_ms, running_clients),
+        _judge_jitter(timeline, client_count, down_at_ms, recovered_at_ms),
     ]
 
 
@@ -111,7 +112,10 @@
 def _judge_busiest_window(
     polls: list[float], client_count: int, rate_per_s: float, was_tried: bool
 ) -> BoundVerdict:
-    """Of few clients, more than a quarter meet by chance: then only what chance does not bring is broken."""
+    """Checks the largest share of clients that connect in one short window.
+
+    More than a quarter of a few clients coincide by chance, so the limit is at least chance_limit_in_window.
+    """
     most = count_busiest_window(polls, BUSIEST_WINDOW_MS)
     limit = math.ceil(MAX_BUSIEST_SHARE * client_count)
     if was_tried:
@@ -123,12 +127,15 @@
 
 
 def _judge_reconnection(
-    record: list[ConnectionEvent], client_count: int, recovered_at_ms: float, running_clients: set[str] | None
+    timeline: list[ConnectionEvent],
+    client_count: int,
+    recovered_at_ms: float,
+    running_clients: set[str] | None,
 ) -> BoundVerdict:
-    """Connections accepted since the recovery that are still open when all clients should be back."""
+    """Checks that all clients have a connection, accepted since the recovery, open at the reconnect limit."""
     until_ms = recovered_at_ms + RECONNECT_LIMIT_MS
     open_connections: set[tuple[str, int]] = set()
-    for event in record:
+    for event in timeline:
         if event.at_ms > until_ms:
             break
         connection = event.proxy_name, event.number
@@ -136,42 +143,47 @@
             open_connections.add(connection)
         elif event.kind in ("ended", "reset", "refused"):
             open_connections.discard(connection)
-    was_tried = any(event.kind == "refused" and event.at_ms < recovered_at_ms for event in record)
-    expected, back = client_count, len(open_connections)
+    was_tried = any(event.kind == "refused" and event.at_ms < recovered_at_ms for event in timeline)
+    expected, reconnected = client_count, len(open_connections)
     if running_clients is not None:
         expected = len(running_clients)
-        back = len(running_clients & {relay for relay, _ in open_connections})
-    text = f"{back} of {expected} back within {RECONNECT_LIMIT_MS / MS_PER_S:.0f} s"
-    is_recorded = was_tried and record[-1].at_ms >= recovered_at_ms
-    return judge_bound("back", is_recorded, back >= expected, text)
+        reconnected = len(running_clients & {proxy_name for proxy_name, _ in open_connections})
+    text = f"{reconnected} of {expected} reconnected within {RECONNECT_LIMIT_MS / MS_PER_S:.0f} s"
+    is_recorded = was_tried and timeline[-1].at_ms >= recovered_at_ms
+    return judge_bound("back", is_recorded, reconnected >= expected, text)
 
 
 def _judge_jitter(
-    record: list[ConnectionEvent], client_count: int, down_at_ms: float, recovered_at_ms: float
+    timeline: list[ConnectionEvent], client_count: int, down_at_ms: float, recovered_at_ms: float
 ) -> BoundVerdict:
-    """Whether waits are drawn at random: by client, since those that start apart go apart without it."""
-    polls_by_relay = defaultdict[str, list[float]](list)
-    for event in record:
+    """Checks that clients draw their waits at random.
+
+    Compares the waits of each client rather than the times of connections: clients that start at different
+    times stay apart without jitter.
+    """
+    polls_by_proxy = defaultdict[str, list[float]](list)
+    for event in timeline:
         if event.kind == "refused" and down_at_ms <= event.at_ms < recovered_at_ms:
-            polls_by_relay[event.proxy_name].append(event.at_ms)
-    waits = sorted(after - before for polls in polls_by_relay.values() for before, after in pairwise(polls))
+            polls_by_proxy[event.proxy_name].append(event.at_ms)
+    waits = sorted(after - before for polls in polls_by_proxy.values() for before, after in pairwise(polls))
     limit = 0
     if waits:
         mean = len(waits) * EQUAL_WAIT_TOLERANCE_MS / MIN_JITTER_RANGE_MS
         limit = chance_limit_in_window(len(waits), mean)
     most = count_busiest_window(waits, EQUAL_WAIT_TOLERANCE_MS)
-    text = f"{most} of {len(waits)} waits alike to {EQUAL_WAIT_TOLERANCE_MS:.0f} ms, under {limit}"
-    has_enough = len(polls_by_relay) >= MIN_CLIENTS and len(waits) >= client_count
+    text = f"{most} of {len(waits)} waits equal to within {EQUAL_WAIT_TOLERANCE_MS:.0f} ms, under {limit}"
+    has_enough = len(polls_by_proxy) >= MIN_CLIENTS and len(waits) >= client_count
     return judge_bound("alike", has_enough and limit <= len(waits), most < limit, text)
 
 
 def find_list_outages(entries: list[TraceEntry]) -> Iterator[Outage]:
-    """Each time in a trace at which the list service turned all its allocators away.
+    """Yields each period of a trace in which the list service refused all allocators.
 
-    One that was started meanwhile makes its first attempts then: the time counts from when the last was up.
+    An allocator that starts during the outage makes its first attempts then, so the outage counts from the
+    start of the last one.
     """
     names = frozenset(entry.allocator for entry in entries if entry.kind == "allocator")
-    turned_away = set[str]()
+    refused_allocators = set[str]()
     down_at_ms = 0.0
     for entry in entries:
         if entry.kind == "allocator" and entry.state == "up":
@@ -179,17 +191,17 @@
         if entry.kind != "wire" or entry.who != "list" or entry.reason != "turns away":
             continue
         if entry.state == "begins":
-            turned_away.add(entry.allocator)
+            refused_allocators.add(entry.allocator)
             down_at_ms = entry.at
-        elif turned_away == names:
+        elif refused_allocators == names:
             yield Outage(down_at_ms, entry.at, names)
-            turned_away.clear()
+            refused_allocators.clear()
         else:
-            turned_away.discard(entry.allocator)
+            refused_allocators.discard(entry.allocator)
 
 
 def judge_trace(entries: list[TraceEntry]) -> list[BoundVerdict]:
-    """The bounds at each outage of the list service, with a proxy for each allocator."""
+    """Checks the bounds for each outage of the list service, with a proxy for each allocator."""
     events = [
         ObservedConnectionEvent(entry.at, entry.allocator, entry.state, entry.number)
         for entry in entries
--- a/glencleat/checker/report.py
+++ b/glencleat/checker/report.py
@@ -18,12 +18,12 @@
 OUTCOMES = ("placed", "refused", "failed", "unanswered")
 MAX_SHOWN_LINES = 6  # of the trace, for each violation
 MAX_HISTOGRAM_US = 120_000_000  # two minutes: longer placements count as this
-MAX_SHOWN_VIOLATIONS = 20  # the others are counted
+MAX_SHOWN_VIOLATIONS = 20  # further ones are only counted
 
 
 @dataclass
 class Summary:
-    """Requests by class and how they ended, with the time from ACCEPT to placement."""
+    """Outcomes of requests by class, with the time from ACCEPT to placement."""
 
     outcomes_by_class: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     placement_us_by_class: dict[str, HdrHistogram] = field(default_factory=dict)
@@ -38,14 +38,14 @@
 
 
 def classify_answer(entry: TraceEntry) -> str:
-    """Which column of the table an answer counts in."""
+    """The outcome, and so the column of the report, that a final answer counts as."""
     if entry.state in PLACED_STATES:
         return "placed"
     return "refused" if entry.retry == "harmless" else "failed"
 
 
 def is_final_answer(entry: TraceEntry) -> bool:
-    """Whether a status answers a request; a reply to RECONCILE does not."""
+    """Whether a status is the final answer to a request; a reply to RECONCILE is not."""
     return entry.reason != RECONCILIATION_REASON and entry.state in PLACED_STATES + UNPLACED_STATES
 
 
@@ -56,9 +56,9 @@
     for entry in entries:
         key = entry.allocator, entry.task
         if entry.kind == "asked":
-            before = open_requests.get(key)
-            if before is not None:
-                summary.outcomes_by_class[before.cls]["unanswered"] += 1
+            previous = open_requests.get(key)
+            if previous is not None:
+                summary.outcomes_by_class[previous.cls]["unanswered"] += 1
             open_requests[key] = entry
         elif entry.kind == "answer" and key in open_requests and is_final_answer(entry):
             request = open_requests.pop(key)
@@ -79,7 +79,7 @@
 def print_report(
     entries: list[TraceEntry], violations: list[Violation], bounds: list[BoundVerdict], console: Console
 ) -> None:
-    """Prints the tables of a trace, its violations with their lines, and the verdicts on bounds."""
+    """Prints the table of outcomes, the violations with their trace lines, and the verdicts on bounds."""
     summary = summarize(entries)
     console.print(_outcome_table(summary))
     console.print(
--- a/glencleat/checker/slow_start_bounds.py
+++ b/glencleat/checker/slow_start_bounds.py
@@ -1,9 +1,9 @@
-"""A bound on the slow start of allocators that could place nothing for a while, from the trace alone.
+"""A bound on the slow start of allocators after an outage in which they could place nothing. No I/O.
 
-No I/O. Each allocator that has held tasks back may have as many attempts outstanding as its first window, and
-one more for each that was placed; tasks that were requested since go beyond it. Hosts read a LAUNCH after it
-was sent and write their status before it is read, so that what is outstanding by the trace is never more than
-what the allocator knew.
+An allocator with queued tasks may have as many attempts outstanding as its first window, plus one for each
+task placed since and one for each task requested since. A host reads a LAUNCH after it was sent and writes
+its status before the allocator reads it, so the trace never shows more outstanding attempts than the
+allocator knew of.
 """
 
 from __future__ import annotations
@@ -21,14 +21,13 @@
     TraceHistory,
 )
 
-OUTSTANDING_LIMIT_MS = (
-    1_000.0  # an attempt without an answer for longer waits for capacity, and delays nobody
-)
-MIN_HELD_BACK = 3  # tasks beyond the first window that an allocator would otherwise send at once
+# An attempt without a status for longer waits for capacity, and delays no other task.
+OUTSTANDING_LIMIT_MS = 1_000.0
+MIN_QUEUED_BEYOND_WINDOW = 3  # tasks that an allocator without slow start would send at once
 
 
 def judge_trace(entries: list[TraceEntry]) -> list[BoundVerdict]:
-    """The bound at each time in a trace at which the list service came back to all its allocators."""
+    """Checks the bound after each outage of the list service for all allocators."""
     history = TraceHistory(entries)
     return [_judge_recovery(history, outage) for outage in find_list_outages(entries)]
 
@@ -39,18 +38,19 @@
     hosts = {entry.who for entry in history.entries if entry.kind == "up" and entry.at <= recovered_at}
     first_window = max(1.0, len(hosts) / len(outage.clients))
     names = [name for name in sorted(outage.clients) if history.has_run_throughout(name, recovered_at, until)]
-    held_back = [_count_held_back(history, name, outage.down_at_ms, recovered_at) for name in names]
-    crowd = sum(count >= first_window + MIN_HELD_BACK for count in held_back)
-    beyond = [_max_outstanding_beyond_placed(history, name, recovered_at, until) for name in names]
-    worst = max(beyond, default=0)
+    queued_counts = [_count_queued(history, name, outage.down_at_ms, recovered_at) for name in names]
+    backlogged_count = sum(count >= first_window + MIN_QUEUED_BEYOND_WINDOW for count in queued_counts)
+    excesses = [_max_outstanding_beyond_placed(history, name, recovered_at, until) for name in names]
+    worst = max(excesses, default=0)
     text = (
-        f"{worst} out beyond those placed at one allocator, at most {first_window:.0f}; {crowd} had held more"
+        f"{worst} attempts outstanding beyond those placed at one allocator, at most {first_window:.0f}; "
+        f"{backlogged_count} allocators had more queued"
     )
-    return judge_bound("slow start", crowd >= MIN_CLIENTS, worst <= first_window, text)
+    return judge_bound("slow start", backlogged_count >= MIN_CLIENTS, worst <= first_window, text)
 
 
-def _count_held_back(history: TraceHistory, name: str, down_at: float, recovered_at: float) -> int:
-    """Requests of the outage whose answer, if any, came after it."""
+def _count_queued(history: TraceHistory, name: str, down_at: float, recovered_at: float) -> int:
+    """Requests from the outage that had no final answer, and time left, at its end."""
     count = 0
     for (allocator, task), requests in history.requests_by_task.items():
         if allocator != name:
@@ -58,15 +58,15 @@
         answers = history.answers_by_task.get((allocator, task), ())
         answered_at = [entry.at for entry in answers if entry.state in PLACED_STATES + UNPLACED_STATES]
         for request in requests:
-            is_waiting = down_at <= request.at <= recovered_at < request.at + request.left
-            count += is_waiting and not any(request.at <= at <= recovered_at for at in answered_at)
+            is_open = down_at <= request.at <= recovered_at < request.at + request.left
+            count += is_open and not any(request.at <= at <= recovered_at for at in answered_at)
     return count
 
 
 def _max_outstanding_beyond_placed(
     history: TraceHistory, name: str, recovered_at: float, until: float
 ) -> int:
-    """Attempts outstanding, less those placed and those requested since: the most at any LAUNCH."""
+    """The maximum, over all LAUNCHes, of outstanding attempts less tasks placed and tasks requested since."""
     attempts = [
         attempt
         for attempt in history.attempts_by_id.values()
--- a/glencleat/checker/trace.py
+++ b/glencleat/checker/trace.py
@@ -1,30 +1,30 @@
 """The trace of a play: what the emulators read from and wrote to their sockets, in order, one JSON line each.
 
-Times are milliseconds on one clock (all emulators of a play share a process). Emulators write entries; the
-checker reads them and nothing else. The names of fields and kinds are those of the stored format, which stays
-readable over versions. Kinds, with the fields that they carry:
+Times are milliseconds on one clock, as all emulators of a play share a process. Emulators write entries; the
+checker reads nothing else. The names of fields and kinds are those of the stored format, which must stay
+readable across versions. Kinds, with the fields that they carry:
 
 | kind | who | what happened |
 | --- | --- | --- |
 | asked | owner | wrote an ACCEPT that launches `task` to `allocator`, `left` ms before it gives up |
 | answer | owner | read an UPDATE of `task`: `state`, `retry`, `reason`, its uuid as `text` |
-| gave up | owner | its time for `task` at `allocator` was over |
+| gave up | owner | its deadline for `task` at `allocator` passed |
 | cut | owner | its session with `allocator` ended |
 | offered | host | read a LAUNCH: `attempt`, `task`, `cls`, `effect`, `service`, `zone`, `within` ms |
-| | | (`text` is its run; `since`: it may have lain unread since then) |
-| listed | host | subscribed as run `text` and listed the attempts `ids` as all that it holds |
-| said | host | wrote an UPDATE of `attempt`: `state`, and for a refusal its cause as `text` |
+| | | (`text` is its incarnation; `since`: it may have been unread since then) |
+| listed | host | subscribed as incarnation `text` and listed `ids` as all attempts that it holds |
+| said | host | wrote an UPDATE of `attempt`: `state`, and for a rejection its cause as `text` |
 | kill | host | read a KILL of `attempt` |
 | started | host | the program of `attempt` began (this is the effect) |
-| up, down | host | came up (`cold` or not), went down |
-| quiet | host | its network swallows all, for a time |
+| up, down | host | started (`cold` if it has to warm up), stopped |
+| quiet | host | its network drops all traffic for a time |
 | told | directory | wrote an entry to `allocator`: `host` and its `phase` |
 | allocator | play | `allocator`'s process: `state` up, killed, stopped, stalled, resumed |
-| passed | proxy | on `allocator`'s wire to `who` (list, agents, owners): connection `number` was |
-| | | opened, refused, ended or reset; its bytes, once it is over: `size` there or back (`text`) |
-| wire | play | a fault of that wire begins or ends: it (`reason`) holds bytes back, turns away new |
-| | | connections, or makes bytes late; what it holds is `left` ms late beyond that |
-| lag | play | the emulators' own process stood still for `left` ms, so that they read late |
+| passed | proxy | between `allocator` and `who` (list, agents, owners): connection `number` was |
+| | | opened, refused, ended or reset; `bytes`, once it has ended: `size` in direction `text` |
+| wire | play | a fault of that proxy begins or ends: it (`reason`) holds bytes back, turns away new |
+| | | connections, or delays bytes; `left` ms is the largest added delay |
+| lag | play | the emulators' own process was stalled for `left` ms, so that they read late |
 | fault | play | a line of the script began or ended: `text` |
 """
 
@@ -70,11 +70,11 @@
 
 
 class TraceError(Exception):
-    """A line of a trace can't be read; the text names file, line and cause."""
+    """A line of a trace can't be decoded; the message names file, line and cause."""
 
 
 class TraceRecorder:
-    """Keeps entries in memory and, with `sink`, writes each as a line."""
+    """Keeps entries in memory and, with `sink`, writes each as a JSON line."""
 
     def __init__(self, now: Callable[[], float], sink: TextIO | None = None) -> None:
         self.now, self.sink = now, sink
@@ -82,13 +82,13 @@
         self.is_closed = False
 
     def close(self) -> None:
-        """Ends the trace: what is added later, as when emulators are discarded, is no part of it."""
+        """Ends the trace; entries added later, as when emulators are discarded, are not recorded."""
         self.is_closed = True
         if self.sink is not None:
             self.sink.close()
 
     def add(self, kind: str, **fields: object) -> TraceEntry:
-        """Records an entry of that kind at the present time; `fields` are those of TraceEntry."""
+        """Records an entry at the current time; `fields` are those of TraceEntry."""
         entry = TraceEntry(round(self.now(), 3), kind, line=len(self.entries) + 1, **fields)  # type: ignore[arg-type]
         if self.is_closed:
             return entry
@@ -99,19 +99,19 @@
 
 
 def read_trace(path: Path) -> Iterator[TraceEntry]:
-    """The entries of a stored trace, with their line numbers. Raises TraceError or OSError."""
+    """Yields the entries of a stored trace with their line numbers. Raises TraceError or OSError."""
     with path.open("rb") as source:
         for number, line in enumerate(source, 1):
             try:
                 entry = DECODER.decode(line)
             except msgspec.DecodeError as error:
-                raise TraceError(f"{path}:{number}: {error}; expected an entry of a record") from error
+                raise TraceError(f"{path}:{number}: {error}; expected a trace entry") from error
             entry.line = number
             yield entry
 
 
 def write_trace(path: Path, entries: Iterable[TraceEntry]) -> None:
-    """Stores entries as `read_trace` reads them."""
+    """Writes entries in the format that `read_trace` reads."""
     with path.open("wb") as sink:
         for entry in entries:
             sink.write(ENCODER.encode(entry) + b"\n")
