--- a/glencleat/allocator/contract.py
+++ b/glencleat/allocator/contract.py
@@ -74,18 +74,20 @@
         if isinstance(event, api.PlacementRequested):
             self._check_request(event)
         elif isinstance(event, api.AttemptAccepted):
-            call = self._check_attempt(event, "Accepted")
+            call = self._check_attempt(event, "AttemptAccepted")
             if call.is_accepted:
-                raise ContractError(f"call {event.call_id}: Accepted reported twice")
+                raise ContractError(f"call {event.call_id}: AttemptAccepted reported twice")
             call.is_accepted = True
         elif isinstance(event, api.AttemptEnded):
-            call = self._check_attempt(event, "Returned")
+            call = self._check_attempt(event, "AttemptEnded")
             call.has_active_attempt = False
             if call.is_accepted and not event.is_call_closed:
-                raise ContractError(f"call {event.call_id}: Returned after Accepted must close the call")
+                raise ContractError(
+                    f"call {event.call_id}: AttemptEnded after AttemptAccepted must close the call"
+                )
             call.is_closed |= event.is_call_closed
         elif isinstance(event, api.CallAbandoned):
-            self._find_call(event.call_id, "Left").is_closed = True
+            self._find_call(event.call_id, "CallAbandoned").is_closed = True
         elif isinstance(event, api.TimerFired):
             self._decrement("timer_count", "TimerFired without a SetTimer")
         elif isinstance(event, api.ProbeEnded):
