--- a/glencleat/allocator/admission_queue.py
+++ b/glencleat/allocator/admission_queue.py
@@ -56,7 +56,11 @@
             len(self.core.serving_machines or ()) / max(1, self.core.settings.allocator_count)
         )
         self.slow_start.begin(self.core.now())
-        self.core.log("open", held=len(self.calls_by_position), first=int(self.slow_start.window))
+        self.core.log(
+            "startup gate opened",
+            held=len(self.calls_by_position),
+            initial_window=int(self.slow_start.window),
+        )
         self._release()
 
     def _on_domain_event(self, event: DomainEvent) -> None:
@@ -101,9 +105,7 @@
             return
         self.is_bypassed = True
         self.requested_at_ms_by_call.clear()
-        self.core.log(
-            "all told that waited for the start", longest=self.peak_length, refused=self.rejected_count
-        )
+        self.core.log("startup queue drained", peak_length=self.peak_length, rejected=self.rejected_count)
 
     def _reject_late_calls(self, slow_start: SlowStart, now: float) -> None:
         """Rejects calls whose turn, at the rate of the last slots, would come after their deadline."""
--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -67,7 +67,12 @@
         reported = call.subscribe or m.SubscribeExecutor()
         subscription = core.membership.subscribe(agent, incarnation, session, core.now())
         core.publish_event(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
-        core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
+        core.log(
+            "agent subscribed",
+            agent=agent,
+            incarnation=incarnation,
+            tasks=len(reported.unacknowledged_tasks),
+        )
         # The replaced session's stream may hold a LAUNCH that this incarnation has yet to read.
         is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
         if subscription.replaced_session is not None:
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -246,7 +246,7 @@
         elif isinstance(action, api.WatchMachineList):
             self.watch_machine_list()
         elif isinstance(action, api.LogMessage):
-            self.log("module", text=action.text)
+            self.log("policy message", text=action.text)
         elif isinstance(action, api.Migrate):
             self._migrate(action.call_id)
 
