--- a/glencleat/platform_protocol/exchange.py
+++ b/glencleat/platform_protocol/exchange.py
@@ -482,9 +482,9 @@
         elif known is not None:
             return self._refuse_invalid(client, task_id, "another open set-up has the same task id")
         elif is_late:
-            self._refuse_setup(client, task_id, m.REJECTED, "it came after the end had begun")
+            self._refuse_setup(client, task_id, m.REJECTED, "received after the shutdown window")
         elif setup.timeout_ms - waited_ms <= 0.0:
-            self._refuse_setup(client, task_id, m.EXPIRED, "its timeout had passed before it was read")
+            self._refuse_setup(client, task_id, m.EXPIRED, "its timeout had expired before it was read")
         else:
             self._open_call(client, setup, setup.timeout_ms - waited_ms)
         return True
@@ -496,7 +496,7 @@
 
     def _refuse_setup(self, client: ClientPort, task_id: int, cause: int, reason: str) -> None:
         """Answers a set-up that the policy is not notified of."""
-        self.ports.log(f"turned away: {reason}")
+        self.ports.log(f"set-up refused: {reason}")
         self.ports.send_to_client(client, m.encode_with_cause(m.RELEASE, task_id, cause), must_deliver=False)
 
     def _create_call(self, client: ClientPort, setup: SetupRequest) -> SetupCall:
--- a/glencleat/platform_server/client_connections.py
+++ b/glencleat/platform_server/client_connections.py
@@ -193,7 +193,7 @@
             inbox.is_closed = True
         except m.ProtocolError as error:
             client.stream.close(str(error))
-            self.log(f"an owner's connection closed: {error}")
+            self.log(f"client connection closed: {error}")
         finally:
             self.connections.pop(client, None)
             self.exchange.on_client_gone(client)
@@ -268,7 +268,7 @@
     ) -> None:
         client.has_received_message = True
         if self.trace is not None:
-            self.trace.record_message("owner", message)
+            self.trace.record_message("client", message)
         if message.kind == m.SETUP:
             is_late = (arrived_at_unix_ms or self.loop.clock.wall()) > self.closed_at_unix_ms
             client.invalid_setup_count += not self.exchange.on_client_setup(
@@ -348,12 +348,12 @@
             ):
                 self.read_pending(client)  # after a stall the complete message may be unread
                 if not client.inbox.has_next:
-                    client.stream.close("no whole message in time")
+                    client.stream.close("no complete message received in time")
             if not client.stream.send_buffer:
                 client.write_stall = None
             elif not client.is_reading(now):
                 # Unsent answers pin the connection, so the budget would never evict it.
-                client.stream.close("it reads nothing")
+                client.stream.close("the client has stopped reading")
             self.descriptors.update_priority(client)
         while self.pending_releases and now - self.pending_releases[0][0] > PENDING_RELEASE_TIMEOUT_MS:
             self.pending_releases.popleft()
--- a/glencleat/platform_server/connection_pool.py
+++ b/glencleat/platform_server/connection_pool.py
@@ -360,8 +360,8 @@
             # round.
             host.next_connect_at_ms = now_ms + host.backoff.next_delay_ms(lifetime_ms)
         if placed_calls := self.exchange.placed_calls_by_host.get(host.name):
-            remaining = f"{len(placed_calls)} tasks stand, {len(host.connections)} links left"
-            self.log(f"host {host.name}: link ended, {reason}; {remaining}")
+            remaining = f"{len(placed_calls)} tasks placed, {len(host.connections)} connections left"
+            self.log(f"host {host.name}: connection lost, {reason}; {remaining}")
             self.reconnect(host)
 
     def mark_changed(self, host: Host) -> None:
@@ -374,7 +374,7 @@
         """Reports as lost the tasks that were placed on the host before `before_ms`, in the loop's time."""
         ended_count = self.exchange.declare_tasks_lost(host.name, before_ms)
         if ended_count:
-            self.log(f"host {host.name}: {ended_count} tasks over, {reason}")
+            self.log(f"host {host.name}: {ended_count} tasks lost, {reason}")
 
     def update_eviction_priorities(self, host: Host) -> None:
         """Refiles a host's connections in the descriptor budget by their current eviction priority."""
--- a/glencleat/platform_server/process.py
+++ b/glencleat/platform_server/process.py
@@ -271,17 +271,17 @@
         )
         placed_count, descriptors = sum(map(len, exchange.placed_calls_by_host.values())), self.descriptors
         self.log(
-            f"taken {exchange.call_count} open {exchange.open_call_count} standing {placed_count}"
-            f" bad {exchange.invalid_setup_count}"
-            f" late {exchange.late_answer_count} came to nothing: {failed_attempts}; owners"
-            f" {len(self.client_connections.connections)} links {self.connection_pool.connection_count}"
+            f"status: calls {exchange.call_count} open {exchange.open_call_count} placed {placed_count}"
+            f" invalid {exchange.invalid_setup_count}"
+            f" late {exchange.late_answer_count} failed attempts: {failed_attempts}; clients"
+            f" {len(self.client_connections.connections)} connections {self.connection_pool.connection_count}"
             f" hosts {len(self.connection_pool.hosts_by_name)} descriptors"
-            f" {descriptors.held_count} most {descriptors.peak_count} of {descriptors.capacity}"
-            f" refused {descriptors.denied_count}"
-            f" waited {self.connection_pool.pending_queue.total_count} paced"
+            f" {descriptors.held_count} peak {descriptors.peak_count} of {descriptors.capacity}"
+            f" denied {descriptors.denied_count}"
+            f" queued {self.connection_pool.pending_queue.total_count} throttled"
             f" {self.connection_pool.connection_limiter.denied_count} cursor"
-            f" {self.channel.cursor} channel breaks {self.watch_client.disconnect_count}"
-            f" longest round {self.max_round_ms:.0f} ms module {exchange.contract.module_cpu_s:.2f} s"
+            f" {self.channel.cursor} disconnects {self.watch_client.disconnect_count}"
+            f" longest round {self.max_round_ms:.0f} ms policy {exchange.contract.module_cpu_s:.2f} s"
             f" cpu {time.process_time():.2f} s faults {self.fault_count} rss {read_resident_size()}"
         )
         self.max_round_ms = 0.0
@@ -349,5 +349,5 @@
     )
     process.log_status()
     process.run()
-    log(f"stopped, {process.exchange.open_call_count} open")
+    log(f"stopped, {process.exchange.open_call_count} calls open")
     return 0
--- a/glencleat/platform_server/trace.py
+++ b/glencleat/platform_server/trace.py
@@ -1,8 +1,8 @@
 """Traces the policy against the messages that passed, if GLENCLEAT_TRACE=1 is set.
 
 Each event and action of the policy and each message of the connections is one line on standard error. A line
-that standard error would not accept is dropped. `pair` in a line is the platform's id: `grep ID` shows both
-sides.
+that standard error would not accept is dropped. `task` in a line is the platform's task id: `grep ID` shows
+both sides.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
         platform_ids = {f"{call.setup.task_id:016x}" for call in calls if call is not None}
         shown_event = type(event).__name__ if isinstance(event, api.MachineListUpdated) else event
         self.write_line(
-            f"module {now_ms:.0f} pair {' '.join(sorted(platform_ids))}: {shown_event} -> {actions}"
+            f"policy {now_ms:.0f} task {' '.join(sorted(platform_ids))}: {shown_event} -> {actions}"
         )
         return actions
 
     def record_message(self, where: str, message: m.PlatformMessage) -> None:
         """Traces a message that passed on a connection; `where` names the kind of the peer."""
-        self.write_line(f"{where} pair {message.task_id:016x}: {message.kind} {message.parameters}")
+        self.write_line(f"{where} task {message.task_id:016x}: {message.kind} {message.parameters}")
--- a/glencleat/platform_server/watch_client.py
+++ b/glencleat/platform_server/watch_client.py
@@ -63,7 +63,7 @@
             self.address = address
             self.backoff.reset()
             if self.stream is not None:
-                self.stream.close("the command channel moved")
+                self.stream.close("the command channel's address has changed")
             self.retry_pause.wake()
 
     def _run(self) -> Coroutine:
@@ -72,7 +72,7 @@
                 yield from self._receive()
             except (StreamClosedError, ProtocolError) as error:
                 self.disconnect_count += 1
-                self.log(f"command channel: {error}; asking again from {self.channel.cursor}")
+                self.log(f"command channel: {error}; reconnecting from cursor {self.channel.cursor}")
             if self.stream is not None:
                 self.stream.close()
                 self.stream = None
@@ -88,14 +88,14 @@
         stream: Stream = yield from connect(self.loop, address, CONNECT_MS)
         self.stream = stream
         if address != self.address:
-            raise StreamClosedError("the command channel moved")
+            raise StreamClosedError("the command channel's address has changed")
         self.last_heard_at_ms, self.partial_bytes = self.loop.now(), 0
         self._check_silence(stream)
         stream.send(self.channel.encode_resume())
         while True:
             data = yield from stream.read()
             if not data:
-                raise StreamClosedError("closed by the peer")
+                raise StreamClosedError("the peer closed the connection")
             now = self.loop.now()
             self.partial_bytes = 0 if b"\n" in data else self.partial_bytes + len(data)
             # Fewer bytes don't count: a channel that sends byte by byte would prevent a reconnect.
@@ -116,7 +116,7 @@
             return
         remaining_ms = self.last_heard_at_ms + SILENCE_TIMEOUT_MS - self.loop.now()
         if remaining_ms <= 0.0 and (was_deferred or not stream.is_readable):
-            stream.close("it is silent")
+            stream.close("no line received in time")
         else:
             self.loop.call_in(
                 max(remaining_ms, 50.0), lambda: self._check_silence(stream, remaining_ms <= 0.0)
--- a/tests/platform_server/test_connections.py
+++ b/tests/platform_server/test_connections.py
@@ -135,7 +135,7 @@
     assert first.stream.close_reason is None and second.stream.close_reason is not None
     monkeypatch.setattr(client_connections, "WRITE_STALL_TIMEOUT_MS", -1.0)
     world.owners._sweep()
-    assert first.stream.close_reason == "it reads nothing" and clients
+    assert first.stream.close_reason == "the client has stopped reading" and clients
 
 
 def test_a_client_that_sends_a_message_byte_by_byte_is_closed_in_time(world, monkeypatch):
