--- a/glencleat/policy/profiles.py
+++ b/glencleat/policy/profiles.py
@@ -8,12 +8,17 @@
 
 NEED_PERCENTILE = 0.75  # of peak usage: sums of 99th percentiles leave machines half empty
 LIFE_PERCENTILE = 0.25  # of lifetimes: at the 5th percentile all harvested capacity expires within a second
-MIN_SAMPLES = 20  # ended tasks for a histogram, running tasks for a mean: fewer are too noisy
-MAX_REMEMBERED_SERVICES = 2_000  # in profiles, program uses and hash orders; evicted by least recent use
+# Minimum number of ended tasks before a histogram is used, and of observed running tasks before the mean
+# ratio in `usage.py` is used; fewer give noisy estimates.
+MIN_SAMPLES = 20
+# Number of entries by service beyond which old ones are dropped: of profiles (those of classes included) the
+# one whose last recorded end is oldest, of program uses those past PROGRAM_CACHE_MS, of rendezvous orders the
+# longest unused.
+MAX_REMEMBERED_SERVICES = 2_000
 DEFAULT_LIFETIME_MS = 5_000.0  # of a task not yet placed, until enough tasks have ended
 DEFAULT_REMAINING_LIFETIME_MS = 2_500.0  # likewise of a placed task, part of whose lifetime has passed
 HISTOGRAM_BUCKETS = 128  # the last one also counts larger values
-REQUEST_SHARE_BUCKET = 0.05  # width, as a share of the request
+REQUEST_SHARE_BUCKET = 0.05  # width, as a fraction of the request
 LIFETIME_BUCKET_MS = 1_000.0  # width
 
 
@@ -32,21 +37,21 @@
         self.total += 1
         self._percentiles.clear()
 
-    def percentile(self, share: float, floor: float = 0.0) -> float:
+    def percentile(self, fraction: float, floor: float = 0.0) -> float:
         """The percentile of the values from `floor` on; one bucket above the floor if there are none.
 
         Args:
-            share: the percentile, from 0 to 1.
+            fraction: the percentile, from 0 to 1.
             floor: smaller values are ignored.
         """
         first_bucket = int(floor / self.bucket_width)
-        key = (share, first_bucket)
+        key = (fraction, first_bucket)
         if key not in self._percentiles:
-            self._percentiles[key] = self._find_percentile(share, first_bucket)
+            self._percentiles[key] = self._find_percentile(fraction, first_bucket)
         return self._percentiles[key]
 
-    def _find_percentile(self, share: float, first_bucket: int) -> float:
-        target_count = share * sum(self.counts[first_bucket:])
+    def _find_percentile(self, fraction: float, first_bucket: int) -> float:
+        target_count = fraction * sum(self.counts[first_bucket:])
         cumulative_count = 0
         index = first_bucket
         while index < len(self.counts) and (not cumulative_count or cumulative_count < target_count):
@@ -56,7 +61,7 @@
 
 
 class UsageProfile:
-    """Histograms over ended tasks of a service or class: peak usage by share of the request, lifetimes."""
+    """Histograms over ended tasks of a service or class: peak usage as a fraction of request, lifetimes."""
 
     def __init__(self) -> None:
         self.cores = Histogram(REQUEST_SHARE_BUCKET)
@@ -120,7 +125,7 @@
         """Counts an ended task for its service and its class; `lifetime_ms` is None where not known."""
         for key in (task.service, class_profile_key(task)):
             profile = self.profiles.pop(key, None) or UsageProfile()
-            self.profiles[key] = profile  # reinserted last: the order is that of use
+            self.profiles[key] = profile  # reinserted last: the dict is ordered by the last recorded end
             profile.add(task, lifetime_ms)
         while len(self.profiles) > MAX_REMEMBERED_SERVICES:
             del self.profiles[next(iter(self.profiles))]
--- a/glencleat/policy/task_registry.py
+++ b/glencleat/policy/task_registry.py
@@ -9,19 +9,23 @@
 
 
 class TaskRegistry:
-    """Keeps the tables of `PolicyState` consistent with each machine's tasks."""
+    """Updates the tables of tasks in `PolicyState` and in `MachineState` together.
+
+    These are `tasks`, `held_tasks`, `tasks_by_service` and `removal_candidates` of the state, and `tasks` and
+    `starting_tasks` of each machine.
+    """
 
     def __init__(self, state: PolicyState, usage: UsageEstimate) -> None:
         self.state = state
         self.usage = usage
 
     def assign(self, task: TrackedTask, machine: MachineState) -> None:
-        """Assigns the task to the machine, where its request counts from the attempt on."""
+        """Assigns the task to the machine, which counts its use of capacity from the attempt's start."""
         task.machine = machine
         machine.tasks[task.call_id] = task
         machine.starting_tasks[task.call_id] = task
         self.state.tasks_by_service.setdefault(task.service, {})[task.call_id] = task
-        machine.sums_updated_at_ms = NEVER_MS
+        machine.sums_updated_at_ms = NEVER_MS  # its cached sums are recomputed on next use
         self.usage.observe(task)
 
     def release(self, task: TrackedTask) -> None:
@@ -29,10 +33,10 @@
         machine = task.machine
         task.machine = None
         if machine is not None:
-            self.usage.observe(task)
+            self.usage.observe(task)  # removes its row, because task.machine is None now
             machine.tasks.pop(task.call_id, None)
             machine.starting_tasks.pop(task.call_id, None)
-            machine.sums_updated_at_ms = NEVER_MS
+            machine.sums_updated_at_ms = NEVER_MS  # as in `assign`
             if machine.is_removed:
                 self.state.removal_candidates[machine.name] = None
         tasks_by_service = self.state.tasks_by_service
@@ -41,7 +45,7 @@
             tasks_by_service.pop(task.service, None)
 
     def forget(self, task: TrackedTask) -> None:
-        """Removes a task without further events from all tables."""
+        """Removes a task for which no further event can arrive from all tables."""
         self.release(task)
         self.state.held_tasks.pop(task.call_id, None)
         self.state.tasks.pop(task.call_id, None)
--- a/glencleat/policy/usage.py
+++ b/glencleat/policy/usage.py
@@ -7,18 +7,21 @@
 from glencleat.policy.profiles import MIN_SAMPLES
 from glencleat.policy.resources import Resources
 
-INITIAL_USAGE_RATIO: Resources = (0.6, 0.7)  # until enough own running tasks are observed
+INITIAL_USAGE_RATIO: Resources = (0.6, 0.7)  # until MIN_SAMPLES own running tasks have observed usage
 
 
 class UsageEstimate:
-    """The ratio of usage to request over this scheduler's running tasks with observed usage."""
+    """The ratio of usage to request over this allocator's running tasks with observed usage."""
 
     def __init__(self) -> None:
         self.ratio = INITIAL_USAGE_RATIO
         self.observed = ColumnSums(4)  # by observed task: used cores, memory; requested cores, memory
 
     def observe(self, task: TrackedTask) -> None:
-        """Updates the sums by the task's current usage; removes a task that is not placed or observed."""
+        """Replaces the task's row in the sums by its current usage and request.
+
+        The row is removed if the task has no machine or no observed usage.
+        """
         is_observed = task.machine is not None and task.usage[0] and task.usage[1]
         self.observed.put_row(task.arrival_number, (*task.usage, *task.requested) if is_observed else None)
 
