--- a/glencleat/allocator/agent_sessions.py
+++ b/glencleat/allocator/agent_sessions.py
@@ -1,7 +1,8 @@
-"""Agents' half of the core: their subscriptions, status updates, messages and loss.
+"""The part of the core that handles agents: their subscriptions, status updates, messages and loss.
 
-Called by the server of the executor API and by the core. `status_mapping` interprets the statuses that agents
-send, and `delivery_status` decides about attempts whose execution is uncertain.
+Called by the server of the executor API and by the core. Sessions are kept by `core.membership`, attempts by
+`core.call_table`. `status_mapping` interprets the statuses that agents send, and `delivery_status` decides
+about attempts whose execution is uncertain.
 """
 
 from __future__ import annotations
@@ -68,14 +69,16 @@
         subscription = core.membership.subscribe(agent, incarnation, session, core.now())
         core.publish_event(AgentStateChanged(agent, AgentState.SUBSCRIBED.value))
         core.log("agent subscribed", agent=agent, run=incarnation, tasks=len(reported.unacknowledged_tasks))
-        # The replaced session's stream may hold a LAUNCH that this incarnation has yet to read.
-        is_list_complete = subscription.is_same_incarnation and subscription.replaced_session is None
+        # Whether a dispatched attempt that the agent doesn't report never ran. If a session was replaced, the
+        # agent may still read a LAUNCH from its stream and start the task; after a new start of the agent the
+        # task may have run before.
+        is_absence_conclusive = subscription.is_same_incarnation and subscription.replaced_session is None
         if subscription.replaced_session is not None:
             self._end_replaced_session(agent, subscription.replaced_session)
         self._send_subscribed(call, agent, session)
         for update in reported.unacknowledged_updates:
             self.handle_update(call.executor_id.value, update.status)
-        self._compare_with_reported(agent, session, reported, is_list_complete=is_list_complete)
+        self._compare_with_reported(agent, session, reported, is_absence_conclusive=is_absence_conclusive)
         for task in reported.unacknowledged_tasks:
             self._handle_listed_task(agent, task)
         core.open_gate_if_ready()
@@ -104,7 +107,10 @@
         self._resolve_lost_session(agent, session)
 
     def _resolve_lost_session(self, agent: str, session: SessionStream) -> None:
-        """Decides about each open attempt whose LAUNCH was queued on a session that ended."""
+        """Concludes the open attempts of a session that ended, where `decide_on_session_lost` says so.
+
+        The others stay open until the agent subscribes again or is lost.
+        """
         for attempt in self.core.call_table.attempts_at(agent):
             if attempt.session is not session or attempt.is_concluded:
                 continue
@@ -115,7 +121,12 @@
                 self.core.fail_attempt(attempt, decision.outcome, decision.may_have_run)
 
     def _compare_with_reported(
-        self, agent: str, session: SessionStream, reported: m.SubscribeExecutor, *, is_list_complete: bool
+        self,
+        agent: str,
+        session: SessionStream,
+        reported: m.SubscribeExecutor,
+        *,
+        is_absence_conclusive: bool,
     ) -> None:
         """Concludes attempts of earlier sessions that the agent reports in no task and no update."""
         reported_ids = {task.task_id.value for task in reported.unacknowledged_tasks}
@@ -123,12 +134,18 @@
         for attempt in self.core.call_table.attempts_at(agent):
             if attempt.session is not session:
                 decision = delivery_status.decide_on_resubscribe(
-                    attempt.step, is_listed=attempt.id in reported_ids, is_same_incarnation=is_list_complete
+                    attempt.step,
+                    is_listed=attempt.id in reported_ids,
+                    is_same_incarnation=is_absence_conclusive,
                 )
                 if decision.action is not DeliveryAction.IGNORE:
                     self._conclude_not_listed(attempt, decision)
 
     def _conclude_not_listed(self, attempt: Attempt, decision: delivery_status.DeliveryDecision) -> None:
+        """Applies the decision about an attempt that the agent did not report.
+
+        A concluded attempt gets its execution status, an unanswered one fails, a placed task ends.
+        """
         if attempt.is_concluded:
             if decision.may_have_run:
                 attempt.step = AttemptStep.ENDED
@@ -177,9 +194,8 @@
             core.counters.counts_by_event["update unknown"] += 1
             return
         if attempt.check_duplicate_update(status.uuid) or meaning.step.value <= attempt.step.value:
-            core.counters.counts_by_event["update stale"] += (
-                1  # a duplicate, or older than a status already applied
-            )
+            # A duplicate, or older than a status already applied.
+            core.counters.counts_by_event["update stale"] += 1
             return
         self._apply_status(attempt, meaning, None if payload is None else to_load_report(payload))
 
@@ -206,9 +222,12 @@
             self._record_end(attempt, meaning, load_report)
 
     def _apply_late_status(self, attempt: Attempt, meaning: StatusMeaning) -> None:
-        """Applies a status of a concluded attempt; reports it to the client if it removes an uncertainty."""
-        # The step can't tell this: a late acceptance advances it too, and the next status of that task would
-        # be taken for one of a placed task.
+        """Applies a status of a concluded attempt.
+
+        Reports it to the client if it settles whether the task ran or has ended.
+        """
+        # `attempt.step` can't be used for this: a late acceptance also advances it to ACCEPTED although the
+        # attempt was not answered as placed, and the next status would be taken for one of a placed task.
         was_placed = attempt.was_placed
         call = attempt.call
         attempt.step = meaning.step
@@ -257,6 +276,7 @@
         call = attempt.call
         attempt.step = AttemptStep.RUNNING
         self.core.dispatch_event(
+            # The value 1.0 is ignored for RUNNING.
             api.TaskObserved(call.number, attempt.machine, api.ObservationKind.RUNNING, 1.0)
         )
         if call.final_answer is not None:
--- a/glencleat/allocator/core.py
+++ b/glencleat/allocator/core.py
@@ -2,7 +2,7 @@
 
 Servers call `framework_sessions` and `agent_sessions` with parsed calls. The core owns the call table, the
 agents and the frameworks, passes events to the policy and carries out the actions that it returns. Clock and
-timers come from the event loop, or from anything with its `now`, `call_in` and `clock.wall`.
+timers come from the event loop or another implementation of `TimingPort`.
 """
 
 from __future__ import annotations
@@ -48,7 +48,8 @@
 from glencleat.allocator.status_mapping import AttemptStep, StatusAnswer
 from glencleat.mesos import messages as m
 
-WARM_UP_WAIT_FACTOR = 1.25  # of the warm-up window: what an earlier incarnation offered has left it by then
+# Multiple of the warm-up window; after this wait the attempts of an earlier incarnation have left it.
+WARM_UP_WAIT_FACTOR = 1.25
 UNKNOWN_STREAM_OFFSET = 1 << 62  # beyond any byte that was written, so that the record counts as not sent
 
 
@@ -60,7 +61,7 @@
         module: the policy.
         options: options of the process.
         timing: clock and timers.
-        seed: seed of everything random here.
+        seed: seed of the generator of the incarnation, the ids of frameworks and the uuids of statuses.
         log: takes the name of an event, and its fields.
 
     """
@@ -97,7 +98,8 @@
         self.event_dispatcher = EventDispatcher(self.module, self.now, self._execute_action)
         self.is_shutting_down = False
         self.watch_machine_list: Callable[[], None] = lambda: None  # set by the directory client
-        self.on_idle: Callable[[], None] = lambda: None  # the last open call was answered during shutdown
+        # Set by the daemon; called during shutdown when no call is open.
+        self.on_idle: Callable[[], None] = lambda: None
         self.last_now_ms = timing.now()
         min_wait_ms = WARM_UP_WAIT_FACTOR * settings.warm_up_window_ms if settings.warm_up_offers else 0.0
         self.startup_gate = StartupGate(self.last_now_ms, min_wait_ms, options.startup_grace_ms)
@@ -107,6 +109,7 @@
         self.admission_chain: list[AdmissionCheck] = [DuplicateFilter(self.call_table).decide_admission]
         self.in_process_frameworks_by_prefix: dict[str, InProcessFramework] = {}
         self.call_table.on_forget = lambda call: self.publish_event(CallForgotten(call))
+        # `status_reporter` is the port by which agent_sessions and task_adoption use the same object.
         self.framework_sessions = self.status_reporter = FrameworkSessions(self)
         self.agent_sessions = AgentSessions(self)
         timing.call_in(options.sweep_interval_ms, self._sweep)
@@ -168,7 +171,7 @@
         self.open_gate_if_ready()
 
     def request_placement(self, call: Call) -> None:
-        """Requests a placement from the policy: at once, or in the call's turn after a start."""
+        """Requests a placement: at once, or through the admission queue until that is bypassed."""
         if not self.admission_queue.is_bypassed:
             self.admission_queue.add(call)
             return
@@ -179,7 +182,7 @@
             self.dispatch_placement(call, remaining_ms)
 
     def dispatch_placement(self, call: Call, remaining_ms: float, machine: str | None = None) -> None:
-        """Passes the call to the policy; with `machine`, as one that runs there already."""
+        """Passes the call to the policy; if `machine` is given, as a task that already runs on it."""
         request = call.task_request
         call.is_placement_requested = True
         self.dispatch_event(
@@ -215,7 +218,10 @@
             self.admission_queue.begin_slow_start()
 
     def find_unready_reason(self) -> str | None:
-        """Why clients should use another allocator for now, or None; their calls are queued meanwhile."""
+        """Returns why clients should use another allocator for now, or None if this one is ready.
+
+        Calls that arrive before it is ready are queued; during shutdown no new task is accepted.
+        """
         if self.is_shutting_down:
             return "shutting down"
         if self.admission_queue.slow_start is None:
@@ -320,7 +326,10 @@
             self.fail_attempt(attempt, decision.outcome, decision.may_have_run)
 
     def fail_attempt(self, attempt: Attempt, outcome: api.Outcome, may_have_run: bool) -> None:
-        """Concludes an attempt that was not accepted; any later update of the agent about it is late."""
+        """Concludes an attempt that was not accepted.
+
+        Later updates of the agent about it are handled by `AgentSessions._apply_late_status`.
+        """
         if not may_have_run:
             attempt.has_run = False
             self.call_table.remove_from_machine(attempt)
@@ -336,7 +345,8 @@
     ) -> None:
         """Reports the end of an attempt to the policy, once.
 
-        With `over` the call is closed; `why` is the reason of the outcome, `report` the agent's load report.
+        `over` is the event's `is_call_closed`; with it the call is closed if it has a final answer. `why` is
+        the reason of the outcome, `report` the agent's load report.
         """
         call = attempt.call
         attempt.is_concluded = True
@@ -375,6 +385,7 @@
             attempt.timer = None
 
     def _migrate(self, call_number: int) -> None:
+        """Kills the task on its machine; its client requests it again (see `interface.Migrate`)."""
         attempt = self.call_table.active_calls_by_number[call_number].active_attempt()
         if attempt is not None:
             self.kill(attempt)
@@ -419,7 +430,7 @@
     # ---- answers ----
 
     def answer(self, call: Call, final_answer: FinalAnswer, answer: StatusAnswer) -> None:
-        """Gives a call its one final answer: records and counts it, and reports it to the client."""
+        """Records and counts a call's one final answer, and reports the status `answer` to the client."""
         self.call_table.record_answer(call, final_answer)
         self.counters.record_answer(call.task_request.task_class, final_answer)
         framework = self.framework_of(call)
@@ -445,7 +456,7 @@
         message: str | None = None,
         acked: bool = True,
     ) -> m.TaskStatus:
-        """Builds a status for a client; with `acked` it has a uuid, which the client acknowledges.
+        """Builds a status for a client; with `acked` it has a uuid and needs the client's acknowledgement.
 
         `machine` is None where the allocator and not an agent is the source of the status.
         """
@@ -472,7 +483,9 @@
         for member in self.membership.find_unresponsive(now):
             session: Any = member.session
             if session is None:
-                continue  # it failed in this sweep, when the end of another session bound a task to it
+                # Closing another session in this sweep made the policy bind a task to this agent, and sending
+                # it closed the session.
+                continue
             self.log("agent silent", agent=member.id, heard_ms_ago=round(now - member.last_heard_at_ms))
             session.close("no heartbeat")
         for member in self.membership.mark_lost(now):
@@ -484,7 +497,10 @@
     # ---- shutdown ----
 
     def begin_shutdown(self) -> None:
-        """Begins a graceful shutdown: accepts no new task; calls `on_idle` once every call is answered."""
+        """Begins a graceful shutdown, in which no new task is accepted.
+
+        `on_idle` is called here if no call is open, else when the last open call is answered.
+        """
         self.is_shutting_down = True
         if not self.call_table.open_task_count:
             self.on_idle()
--- a/glencleat/allocator/framework_offers.py
+++ b/glencleat/allocator/framework_offers.py
@@ -1,7 +1,7 @@
 """Resource offers of the Scheduler API, which frameworks accept or decline.
 
-An offer represents the whole pool as if it were one agent and reserves nothing: the allocator chooses the
-machine of each task itself.
+An offer represents the whole pool as if it were one agent. Its amount is nominal (the sum of one machine of
+each kind) and it reserves nothing: the allocator chooses the machine of each task itself.
 """
 
 from __future__ import annotations
@@ -51,7 +51,10 @@
         )
 
     def use_offers(self, framework: Framework, accept: m.Accept) -> bool:
-        """Records the use of an ACCEPT's offers; returns whether there is at least one and all are valid."""
+        """Records an ACCEPT of each of its offers, also if one of them is invalid.
+
+        Returns whether there is at least one and all are valid.
+        """
         core = self.core
         now_ms = core.now()
         used = [
@@ -63,7 +66,7 @@
         return bool(used) and all(used)
 
     def decline(self, framework: Framework, decline: m.Decline) -> None:
-        """Drops the offers of a DECLINE, and sends none for the time that the DECLINE requests."""
+        """Drops the offers of a DECLINE; the framework gets none for `refuse_seconds`, at most a year."""
         refuse_s = decline.filters.refuse_seconds if decline.filters is not None else DEFAULT_REFUSE_S
         refuse_ms = MS_PER_S * min(max(0.0, refuse_s), MAX_REFUSE_S)
         for offer_id in decline.offer_ids:
--- a/glencleat/allocator/pending_reasons.py
+++ b/glencleat/allocator/pending_reasons.py
@@ -1,8 +1,9 @@
-"""Why a task is not placed: the outcomes of its attempts, as the machines last reported them. Pure, bounded.
+"""Why a task is not placed: one record for each pair of outcome and reason of its attempts.
 
-The text repeats what machines reported, also where a machine rejects wrongly, so that a client can see
-which machine it was. The core records each attempt that is concluded; answers carry the text, and the REST
-API shows the records.
+The module does no I/O, and the number of pairs bounds the number of records. The text repeats a machine's
+reason without checking it and names the machine, so that a client can identify one that rejects without
+cause. The core records each attempt that is concluded before its call has a final answer; answers carry the
+text, and the REST API shows the records.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class ReasonKind(NamedTuple):
-    """Outcome and reason under which ends of attempts are counted together."""
+    """Key of a record: attempts that ended with the same outcome and reason are counted together."""
 
     outcome: api.Outcome
     outcome_reason: api.OutcomeReason
@@ -43,7 +44,10 @@
 
 @dataclass(slots=True)
 class PendingReason:
-    """One kind of end of an attempt: how often it occurred, and the machine and time of the last one."""
+    """One kind of end of an attempt: how often it occurred, and the machine and time of the last one.
+
+    `reported_at_ms` is when the core concluded that attempt, also where the machine reported nothing.
+    """
 
     outcome: api.Outcome
     outcome_reason: api.OutcomeReason
--- a/glencleat/allocator/reconciliation.py
+++ b/glencleat/allocator/reconciliation.py
@@ -4,7 +4,8 @@
 report what runs. Answers at that time would report running tasks as unknown, and all frameworks would request
 again. So nothing is answered before the startup gate opens, and from then on a bounded number per iteration
 of the event loop, with the frameworks in rotation. A request for a task that is already queued is merged.
-Requests beyond the bound are dropped: their framework gets no answer and repeats them, as the API specifies.
+Requests beyond MAX_WAITING are dropped: their framework gets no answer and repeats them, as the API
+specifies.
 """
 
 from __future__ import annotations
@@ -52,12 +53,12 @@
             if task_id in pending_ids:
                 continue
             if not self._add_pending(pending_ids, task_id):
-                break
+                break  # drops the rest of the request, which is counted once
         if not self.is_scheduled:
             self._answer_batch()  # a small request is answered before the call returns
 
     def _add_pending(self, pending_ids: PendingTaskIds, task_id: str) -> bool:
-        """Queues a task id; if the queue is full, counts the drop and returns False."""
+        """Queues a task id; if the queue is full, counts one drop and returns False."""
         if self.waiting_count >= MAX_WAITING:
             self.core.counters.counts_by_event["reconcile turned away"] += 1
             return False
--- a/glencleat/flow_control/slow_start.py
+++ b/glencleat/flow_control/slow_start.py
@@ -2,12 +2,12 @@
 
 The module does no I/O: time is an argument. Hundreds of allocators that become ready at the same moment, each
 with seconds of queued calls, would send all of them at once: hosts would answer a few, and the rest would
-time out. The first calls therefore go out within a window that all allocators together can afford, and each
-placed task lets two more go out, as in TCP's slow start. A task that comes back unplaced halves the window,
-at most once for each window.
+time out. At first an allocator therefore has only as many calls in flight as the hosts can handle if all
+allocators start together, and each placed task lets two more go out, as in TCP's slow start. A task that is
+answered as not placed halves the window; answers to tasks sent before the last halving don't halve it again.
 
-A call that can't have its turn in time is known long before its time is over. It is then answered at once, so
-that its client asks elsewhere. `docs/design-fleet.md` derives the constants.
+`estimate_wait_ms` predicts which calls would expire in the queue. The admission queue rejects these at once,
+so that their clients can try another allocator. `docs/design-fleet.md` derives the constants.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 MAX_WINDOW = 4_096.0
 
 SLOT_MS = 250.0
-"""The time over which a rate is taken."""
+"""The minimum time over which placed tasks are counted for one sample of the rate."""
 
 NEW_SLOT_WEIGHT = 0.5
 """The weight of the newest slot in the average rate."""
 
 MIN_REMAINING_MS = 200.0
-"""The part of a task's time within which the policy places nothing any more: its answer is on its way."""
+"""The admission queue rejects a task with only this time left: its answer would come too late."""
 
 GROWTH_FACTOR = 1.25
-"""A rate above this multiple of the last slot's is still growing."""
+"""A slot's rate above this multiple of the previous slot's is still growing, and gives no estimate yet."""
 
 
 class SlowStart:
@@ -61,7 +61,10 @@
         self.in_flight_count += 1
 
     def record_answer(self, now: float, was_placed: bool) -> None:
-        """Counts a task as answered, or as known to wait for capacity and not for this window."""
+        """Counts a task as no longer in flight.
+
+        It is answered, or has had no answer for so long that it waits for capacity and not for this window.
+        """
         was_sent_before_halving, self.pre_halving_count = (
             self.pre_halving_count > 0,
             max(0, self.pre_halving_count - 1),
@@ -79,7 +82,8 @@
         if self.slot_start_ms is None or now - self.slot_start_ms < SLOT_MS:
             return
         rate = self.slot_placed_count / (now - self.slot_start_ms)
-        # A growing rate shows how many tasks could go out, not how many can be placed.
+        # While the rate grows it is limited by the window and not by the hosts, so it doesn't show how many
+        # tasks can be placed.
         if self.rate_per_ms is not None:
             self.rate_per_ms += NEW_SLOT_WEIGHT * (rate - self.rate_per_ms)
         elif self.previous_rate_per_ms is not None and rate <= GROWTH_FACTOR * self.previous_rate_per_ms:
