--- a/glencleat/platform_protocol/delivery.py
+++ b/glencleat/platform_protocol/delivery.py
@@ -1,9 +1,9 @@
 """Outcomes of attempts that failed without the host's answer, and the check before an attempt is sent.
 
-No I/O; imports the interface. A connection calls `check_send` immediately before it writes the first byte of
-a set-up, because the attempt may have waited for a descriptor or a connection since the policy bound it. The
-check prevents attempts for a client that has left, to a host that drains, after the deadline, and attempts
-that could take effect a second time.
+The module does no I/O and has no state. A connection calls `check_send` immediately before it writes the
+first byte of a set-up, because the attempt may have waited for a descriptor or a connection since the policy
+bound it. The check prevents attempts for a client that has left, to a host that drains, after the deadline,
+and attempts that could take effect a second time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
     """How an attempt failed without the host's answer, as far as its connection can tell."""
 
     REFUSED = "the host refused the connection"
+    # Also any other connect error but a refusal or a lack of descriptors, and a cancellation during the
+    # connect.
     CONNECT_TIMEOUT = "the connection was not established in time"
+    # Also an attempt that `check_send` rejected, of which nothing was written.
     NOT_SENT = "the last byte was never written to the socket"
     CLIENT_GONE = "the client left before the first byte was written"
     CONNECTION_LOST = "the connection was lost after the attempt was sent"
@@ -45,7 +48,7 @@
     is_host_serving: bool  # by the machine list: neither draining nor removed
     is_in_time: bool  # before the attempt's deadline
     is_harmless: bool  # earlier attempts have not run, or a second run has no further effect
-    is_turn_valid: bool  # on a host that is warming up: bound recently enough to count in our time slice
+    is_turn_valid: bool  # False if the host warms up and the time slice of the attempt may be over
 
 
 def is_harmless_to_send(
@@ -71,8 +74,9 @@
 def is_turn_valid(is_warming_up: bool, waited_ms: float, window_ms: float) -> bool:
     """Returns whether an attempt is still within the time slice in which the policy bound it.
 
-    The policy's time slices on a host that is warming up are a quarter of its warm-up window apart; an
-    attempt that waited longer would be sent in the next slice.
+    On a host that is warming up, the policy limits starts in windows that are a quarter longer than the
+    host's warm-up window (`WINDOW_FACTOR` in `policy/warm_up.py`). An attempt that waited longer than that
+    quarter could reach the host together with those of the next window.
     """
     return not is_warming_up or window_ms <= 0.0 or waited_ms <= 0.25 * window_ms
 
--- a/glencleat/platform_protocol/setup_requests.py
+++ b/glencleat/platform_protocol/setup_requests.py
@@ -16,7 +16,10 @@
 
 
 class SetupError(Exception):
-    """A well-formed message that is not a usable set-up; the client is notified of it."""
+    """A well-formed message that is not a valid set-up.
+
+    The exchange logs the text and answers the client with a release.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,13 +31,13 @@
     name: bytes
     key: bytes | None
     description: bytes
-    timeout_ms: float  # from when the client sent it
+    timeout_ms: float  # counted from when the client sent the set-up
     is_retry: bool
     tenant: str | None
     service: str
     cores: float
     memory: float
-    machine: str | None  # on which the task already runs: the client expects no answer
+    machine: str | None  # if set, the task already runs on it, and the client expects no answer
 
 
 class SetupReader:
@@ -106,6 +109,7 @@
         if machine is not None and text is None:
             return 0.0
         is_number = text is not None and len(text) <= 10 and text.isdecimal()
+        # For a task that already runs any number is accepted, and not used.
         if text is None or not is_number or not (machine or 0 < int(text) <= MAX_TIMEOUT_MS):
             raise SetupError(f"missing or invalid timeout: {text and text[:40]!r}")
         return float(text)
--- a/glencleat/platform_protocol/value_mapping.py
+++ b/glencleat/platform_protocol/value_mapping.py
@@ -17,7 +17,8 @@
 OUTCOMES_AFTER_PLACEMENT = {
     m.ENDED: api.Outcome.COMPLETED,
     m.STOPPED: api.Outcome.STOPPED,
-}  # every other cause, here and above, means LOST
+}
+# A cause that is not in the table that applies is mapped to LOST.
 REASONS = {
     "no_cores": api.OutcomeReason.INSUFFICIENT_CORES,
     "no_memory": api.OutcomeReason.INSUFFICIENT_MEMORY,
@@ -34,12 +35,12 @@
     "served": api.ObservationKind.SERVICE_LEVEL,
     "pressure": api.ObservationKind.MACHINE_MEMORY_IN_USE,
 }
-# A load report's names in messages, where they differ from those in the settings.
+# Names of load report fields in messages -> names that `read_report` expects; other names are the same.
 REPORT_FIELDS = {"util": "busy", "queue": "q"}
 
 
 def read_reason(message: m.PlatformMessage) -> api.OutcomeReason:
-    """Returns the reason that a release gives; UNSPECIFIED if it is absent or unknown.
+    """Returns the reason in the field TOPIC of a host's message; UNSPECIFIED if it is absent or unknown.
 
     Raises:
         ProtocolError: The reason is not printable ASCII.
--- a/glencleat/platform_server/graceful_shutdown.py
+++ b/glencleat/platform_server/graceful_shutdown.py
@@ -1,9 +1,10 @@
 """Graceful shutdown, from SIGTERM to the end of the process: a table of states.
 
-The module does no I/O: time is an argument. `process.py` observes what is left by asking the operating
-system, not by what the loop has handled so far, and does what the state says. This guards against a request
-that was accepted and never answered: one in the listen backlog, unread in a socket, incomplete, held over for
-fairness, waiting for a descriptor or a connection, or with an unsent answer.
+The module does no I/O: time is an argument. `process.py` collects a `ShutdownObservation` by asking the
+operating system (backlog, sockets), not only from what the event loop has already read, and then acts as the
+table says for the state. This guards against a request that was accepted and never answered: one in the
+listen backlog, unread in a socket, incomplete, left for the next turn of a connection that used up its share
+of messages, waiting for a descriptor or a connection, or with an unsent answer.
 
     state      entered                               listener  a new set-up     a health check
     SERVING    at the start                          open      accepted         passes when ready
@@ -11,7 +12,9 @@
     CLOSING    the drain window is over              closed    refused at once  fails
     CLOSED     a later check finds nothing left      closed    -                -
 
-Each open call has its own deadline. Anything else that could delay the end does so for a bounded time.
+A check finds nothing left if there is no unanswered call, and no unhandled data or undelivered release or
+their time-outs are over. Each open call has its own deadline; undelivered releases and unhandled data delay
+the end by at most UNDELIVERED_TIMEOUT_MS and UNHANDLED_TIMEOUT_MS after the drain window.
 """
 
 from __future__ import annotations
@@ -20,15 +23,15 @@
 from enum import Enum
 
 DRAIN_WINDOW_MS = 700.0
-"""The time after SIGTERM for which the operators' page still allows new requests."""
+"""The time after SIGTERM during which the operators' page still allows clients to send new requests."""
 
 UNDELIVERED_TIMEOUT_MS = 1_000.0
 """The time after the drain window for undelivered releases: a release is due within a second."""
 
 UNHANDLED_TIMEOUT_MS = 2_500.0
-"""The time after the drain window for a client that goes on sending or reads nothing.
+"""The time after the drain window for clients that keep sending or do not read their answers.
 
-It exceeds the 2 s that an incomplete message has."""
+It exceeds the time-out of an incomplete message, 2 s."""
 
 
 class ShutdownState(Enum):
@@ -47,7 +50,7 @@
     has_unanswered_calls: bool  # open calls
     # Connections or bytes that arrived since the last check or wait for their turn, or unsent answers.
     has_unhandled_data: bool
-    has_undelivered_releases: bool  # owed to clients or hosts that have no connection
+    has_undelivered_releases: bool  # still to be sent to clients or hosts without a connection
 
 
 class GracefulShutdown:
@@ -74,7 +77,8 @@
     def update_state(self, now: float, observation: ShutdownObservation) -> ShutdownState:
         """Takes what a check has found and returns the state that results."""
         if self.state is ShutdownState.DRAINING and now >= self.drain_until_ms:
-            # The backlog has been accepted: the next check finds what those connections sent.
+            # Not CLOSED in the same check: the backlog has been accepted, and only the next check finds what
+            # those connections sent.
             self.state = ShutdownState.CLOSING
         elif self.state is ShutdownState.CLOSING:
             is_delayed = (
--- a/glencleat/platform_server/host_connection.py
+++ b/glencleat/platform_server/host_connection.py
@@ -27,7 +27,9 @@
 """The wait before the next connect after one that failed because this process had no free descriptor."""
 
 LIVENESS_CHECK_MS = 500.0
-"""The time after a connection opens within which the host has sent all releases that were unacknowledged."""
+"""The time after a connection opens within which the host resends all unacknowledged releases.
+
+Until then the only connection to a host with placed tasks is evicted after all others that may be evicted."""
 
 CLOSE_TIMEOUT_MS = 500.0
 """How long a host may take to close a connection after this process has closed its own half."""
@@ -62,7 +64,7 @@
         """A connect failed for a reason other than a lack of descriptors."""
 
     def on_connection_lost(self, host: Host, connection: HostConnection, reason: str) -> None:
-        """A connection that the pool was not closing has ended."""
+        """A connection has ended that neither `close_gracefully` nor `abort` was closing."""
 
     def mark_changed(self, host: Host) -> None:
         """The host may need maintenance earlier than planned."""
@@ -82,13 +84,13 @@
         Args:
             pool: The pool that opens it.
             host: The host to connect to.
-            is_liveness_check: It is opened in addition to another one to check that the host is alive, and
-                is kept only if it is used.
+            is_liveness_check: True for a further connection that is opened to check that the host is alive.
+                It is kept only if an attempt is sent on it, or while no other connection is healthy.
         """
         self.pool = pool
         self.host = host
         self.loop = pool.loop
-        self.address = host.address  # the host's may change before the connection opens
+        self.address = host.address  # `host.address` may change before this connection opens
         self.is_liveness_check = is_liveness_check
         # Closed by this process: nothing more is sent, and its end is no evidence about the host.
         self.is_closing = False
@@ -99,7 +101,8 @@
         self.decoder = m.MessageDecoder()
         self.waiting_attempts: list[SetupAttempt] = []  # until it is open
         self.sent_attempts: dict[SetupAttempt, int] = {}  # the stream offset at which each set-up ends
-        # A late answer to a cancelled attempt would be taken for the answer to a retry of its task.
+        # Task ids whose attempt was cancelled here. The pool doesn't send them on this connection again: a
+        # late answer would be taken for the answer to the retry.
         self.cancelled_task_ids: set[int] = set()
         # An attempt got no answer on it, and nothing was received since.
         self.is_unresponsive = False
@@ -118,11 +121,13 @@
         return self.stream is not None and not self.open_attempt_count
 
     def detect_close_by_host(self, *, has_polled: bool = True) -> bool:
-        """Whether the host has closed it: what is sent after that may be lost without notice.
+        """Checks whether the host has closed the connection, and records it.
+
+        What is sent after the close may be lost without notice.
 
         Args:
-            has_polled: The poller could have reported the close, so a system call is made only if it reported
-                something.
+            has_polled: False directly after the connect, when the poller has not run yet: the socket is then
+                always checked with a system call, else only if the poller reported it as readable.
         """
         if (
             self.stream is not None
@@ -157,7 +162,10 @@
         return EvictionPriority.NEW_ONLY_CONNECTION
 
     def read_pending(self) -> None:
-        """Does nothing: unread data is still read after the connection begins to close."""
+        """Does nothing; the `DescriptorHolder` port requires it.
+
+        While the host has placed tasks, `close_gracefully` continues to read until the host closes.
+        """
 
     def evict(self) -> None:
         """Closes it to free its descriptor."""
@@ -230,7 +238,7 @@
         stream.try_send(data)
 
     def write(self, data: bytes) -> None:
-        """Queues bytes if it is open; the reader detects a stream that breaks on them."""
+        """Queues bytes if the connection is open; after a write error `_read_messages` ends."""
         if self.stream is not None:
             self.stream.try_send(data)
 
@@ -299,7 +307,7 @@
         else:
             self.pool.on_connect_failed(self.host, refused=is_refused)
             outcome = DeliveryOutcome.REFUSED if is_refused else DeliveryOutcome.CONNECT_TIMEOUT
-        while self.waiting_attempts:  # the exchange may cancel another of them in response
+        while self.waiting_attempts:  # `on_attempt_failed` may cancel others, which removes them
             self.pool.exchange.on_attempt_failed(self.waiting_attempts.pop(0), outcome)
 
     def _read_messages(self, stream: Stream) -> Coroutine:
@@ -340,9 +348,11 @@
             self.pool.exchange.on_host_message(host.name, self, message)
         except m.ProtocolError:
             if answered_attempt is not None:
-                # A malformed answer is no answer: the attempt fails with the connection.
+                # A malformed answer is no answer: the attempt fails with the connection. Offset 0 counts as
+                # completely written, so its outcome is CONNECTION_LOST.
                 self.sent_attempts[answered_attempt] = 0
             raise
+        # Nothing can be written on a closing connection; the host sends the release again on the next one.
         if message.kind == m.RELEASE and not self.is_closing:
             self.write(m.encode(m.RELEASE_COMPLETE, message.task_id))
 
@@ -364,6 +374,7 @@
         pending_releases = self.host.pending_releases
         for task in [task for task, connection in pending_releases.items() if connection is self]:
             if self.is_closing:
-                del pending_releases[task]  # the host reads all that was written before the graceful close
+                # Not sent again: the host reads all that was written before the graceful close.
+                del pending_releases[task]
             else:
                 pending_releases[task] = None
--- a/glencleat/platform_server/host_registry.py
+++ b/glencleat/platform_server/host_registry.py
@@ -1,4 +1,7 @@
-"""The hosts of the connection pool, kept up to date by the machine list."""
+"""The hosts of the connection pool, kept up to date by the machine list.
+
+The connection pool owns the registry, which `apply_list_change` updates by a snapshot or a delta of the list.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,10 @@
         """The host may need maintenance earlier than planned."""
 
     def declare_tasks_lost(self, host: Host, reason: str, before_ms: float = NEVER) -> None:
-        """The tasks that were placed on the host before `before_ms`, in the loop's time, have ended."""
+        """Treats the tasks placed on the host before `before_ms` as lost: by default all of its tasks.
+
+        `before_ms` is a time of the event loop.
+        """
 
 
 class HostRegistry:
@@ -36,8 +42,10 @@
         """Starts empty.
 
         Args:
-            loop: Provides the time. channel: Provides the offset between the clock of the machine list's
-            sender and that of this process. random: Source of the jitter of waits between connects to a host.
+            loop: Provides the time.
+            channel: Provides the offset between the clock of the machine list's sender and that of this
+                process.
+            random: Source of the jitter of waits between connects to a host.
             observer: Notified of changes.
         """
         self.loop = loop
@@ -49,7 +57,10 @@
         self.created_host_count = 0
 
     def add_host(self, name: str) -> Host:
-        """Creates a host without an address."""
+        """Creates and registers a host without an address.
+
+        `HostMaintenance` adds hosts that have placed tasks and are not in the machine list.
+        """
         self.created_host_count += 1
         host: Host = PooledHost(
             name,
@@ -97,8 +108,8 @@
         previous_unix_ms = host.process_started_unix_ms
         host.process_started_unix_ms = started_unix_ms
         if previous_unix_ms is None or previous_unix_ms >= started_unix_ms:
-            # A start that was reported before is no news: if this process's clock is behind, it lies in the
-            # future each time.
+            # The first report, or the same start again. If this process's clock is behind, the start seems to
+            # lie in the future and is taken for now, and each report would declare newer tasks lost.
             return
         started_at_ms = estimate_start_ms(started_unix_ms - self.channel.clock_offset_ms, self.loop.now())
         self.observer.declare_tasks_lost(
--- a/glencleat/platform_server/pending_queue.py
+++ b/glencleat/platform_server/pending_queue.py
@@ -27,7 +27,7 @@
     """A bounded first-in, first-out queue of attempts. Their own time-outs bound how long they wait."""
 
     def __init__(self, loop: Loop, sender: AttemptSender) -> None:
-        """`sender` sends the queued attempts when capacity may have been freed."""
+        """`sender` sends the queued attempts when a descriptor or a connection may have become free."""
         self.loop = loop
         self.sender = sender
         self.attempts: dict[SetupAttempt, None] = {}
@@ -39,7 +39,10 @@
         return len(self.attempts)
 
     def add(self, attempt: SetupAttempt) -> bool:
-        """Adds an attempt at the end. False if the queue is full."""
+        """Adds an attempt at the end.
+
+        Returns False if the queue is full; the caller then fails the attempt as not sent.
+        """
         if len(self.attempts) >= MAX_QUEUED_ATTEMPTS:
             return False
         self.attempts[attempt] = None
@@ -51,13 +54,20 @@
         self.attempts.pop(attempt, None)
 
     def schedule_service(self) -> None:
-        """Schedules `serve` for the next round of the event loop: capacity may have been freed."""
+        """Schedules `serve` for the next round of the event loop.
+
+        Called when a descriptor or a connection may have become free.
+        """
         if self.attempts and not self.is_service_scheduled:
             self.is_service_scheduled = True
             self.loop.call_in(0.0, self.serve)
 
     def serve(self) -> None:
-        """Sends attempts in order; when no capacity is left, only those whose host has a connection."""
+        """Sends attempts in order.
+
+        After the first for which no connection can be opened, sends only those whose host has an open
+        connection.
+        """
         self.is_service_scheduled = False
         may_connect = True
         for attempt in list(self.attempts):
--- a/glencleat/platform_server/rate_limited_log.py
+++ b/glencleat/platform_server/rate_limited_log.py
@@ -1,6 +1,7 @@
 """Short lines on standard error, limited in number and length. Writing one never blocks.
 
-structlog, which the rest of the program uses, takes ten megabytes and a tenth of a second of a small core.
+It avoids structlog, which the rest of the program uses and which costs 10 MB of memory and 0.1 s of CPU time
+on a small core.
 """
 
 from __future__ import annotations
@@ -10,11 +11,14 @@
 import time
 
 MAX_LINES_PER_S, MAX_LINE_LENGTH = 20, 400
-"""Lines a second, beyond which they are only counted; characters of a line."""
+"""Maximum lines per second (further lines are dropped and counted), and maximum characters of a line."""
 
 
 class RateLimitedLog:
-    """A callable that writes a line of text with the time and the process's name."""
+    """A callable that writes a line of text with the time and the process's name.
+
+    The next line that is written states how many were dropped before it.
+    """
 
     def __init__(
         self,
