--- a/glencleat/cli/__init__.py
+++ b/glencleat/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line `glencleat COMMAND`, built with click. `main.py` holds the command group."""
+"""The command line `glencleat COMMAND`, built with click. `main.py` defines the command group."""
--- a/glencleat/cli/config_files.py
+++ b/glencleat/cli/config_files.py
@@ -1,4 +1,4 @@
-"""Reading of the files that commands take. Every fault of a file is printed before the command exits."""
+"""Reads the files that commands take. A command prints every fault of such a file before it exits."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def read_config(path: Path) -> AllocatorConfig:
-    """The allocator's configuration at `path`; exits if it has a fault."""
+    """The allocator's configuration at `path`; exits if the file has faults."""
     try:
         return load(path)
     except ConfigError as error:
@@ -33,7 +33,7 @@
 
 
 def read_script(path: Path) -> tuple[Script, AllocatorConfig]:
-    """The play's script at `path` and the configuration that it names; exits if one has a fault."""
+    """The play's script at `path` and the configuration that it names; exits if either file has faults."""
     from glencleat.emulators.script import load_script, load_shared_config
 
     try:
--- a/glencleat/cli/emulators.py
+++ b/glencleat/cli/emulators.py
@@ -26,16 +26,16 @@
 
 @click.group("standin")
 def emulator_group() -> None:
-    """Run one kind of stand-in by itself, to try an allocator by hand. SCRIPT is a play's file."""
+    """Run emulators of one kind alone, to try an allocator by hand. SCRIPT is the script of a play."""
 
 
 def emulator_arguments(command: CommandFunction) -> CommandFunction:
-    """Add the arguments and options that all emulators share."""
+    """Add the arguments and options that all commands of the group share."""
     add_places = click.argument(
         "places", nargs=-1, required=True, type=AllocatorAddressType(), metavar="NAME=HOST:PORT..."
     )
     add_script = click.argument("script", type=CONFIG_PATH)
-    add_duration = click.option("--for", "seconds", type=float, help="End after so many seconds.")
+    add_duration = click.option("--for", "seconds", type=float, help="Stop after this many seconds.")
     return add_duration(add_script(add_places(command)))
 
 
@@ -51,7 +51,7 @@
 @emulator_group.command("directory")
 @emulator_arguments
 def run_directory(script: Path, places: AllocatorAddresses, seconds: float | None) -> None:
-    """Serve SCRIPT's hosts as the machine list, at an address for each allocator (port 0: any)."""
+    """Serve SCRIPT's hosts as a machine list, at one address for each allocator (port 0: any free port)."""
     from glencleat.emulators import standalone
     from glencleat.event_loop import Loop
 
@@ -72,7 +72,7 @@
 @emulator_group.command("hosts")
 @emulator_arguments
 def run_hosts(script: Path, places: AllocatorAddresses, seconds: float | None) -> None:
-    """Run SCRIPT's hosts against the allocators' agents addresses."""
+    """Run SCRIPT's hosts, which connect to the agent addresses of the allocators."""
     from glencleat.emulators import standalone
     from glencleat.event_loop import Loop
 
@@ -86,7 +86,7 @@
 @emulator_group.command("owners")
 @emulator_arguments
 def run_owners(script: Path, places: AllocatorAddresses, seconds: float | None) -> None:
-    """Ask SCRIPT's tasks of the allocators' owners addresses, and print how the asks ended."""
+    """Request SCRIPT's tasks at the owner addresses of the allocators, and print the counts of outcomes."""
     from glencleat.emulators import standalone
     from glencleat.event_loop import Loop
 
--- a/glencleat/cli/exit_codes.py
+++ b/glencleat/cli/exit_codes.py
@@ -10,11 +10,11 @@
 
 
 class ExitCode(IntEnum):
-    """What the shell learns of a command that did not succeed."""
+    """The exit code of a command that fails."""
 
     FAILED = 1  # a check failed, or the server rejected the request
     WRONG_USE = 2  # wrong arguments, or a file that can't be used
-    UNAVAILABLE = 3  # the system refused, or the server can't be reached
+    UNAVAILABLE = 3  # a system call failed, or the server can't be reached
 
 
 def fail(message: object, code: ExitCode) -> NoReturn:
--- a/glencleat/cli/main.py
+++ b/glencleat/cli/main.py
@@ -1,7 +1,7 @@
 """The command group `glencleat`, and the commands that run an allocator or check its configuration.
 
-Other modules of this package hold the other commands. A command imports what it runs when it is called: the
-command line starts fast, and a client's command loads nothing of the allocator.
+Other modules of this package define the other commands. A command imports what it runs only when it is
+called, so that the command line starts fast and the client commands load nothing of the allocator.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from glencleat.cli.exit_codes import ExitCode, fail
 
 EXIT_CODES_HELP = (
-    "glencleat's commands. Exit codes: 0 done; 1 a check failed (a rule was broken); 2 wrong use or a file "
-    "that can't be used; 3 the system refused (an address in use, a file that can't be written)."
+    "Exit codes: 0 success; 1 a check failed (a rule was broken); 2 wrong usage, or a file that can't be "
+    "used; 3 a system call failed (an address in use, a file that can't be written)."
 )
 
 
@@ -34,9 +34,11 @@
 
 @main.command("serve")
 @click.argument("conf", type=CONFIG_PATH)
-@click.option("--ready", type=click.File("w"), help="Write the bound addresses there as one JSON line.")
+@click.option(
+    "--ready", type=click.File("w"), help="Write the bound addresses to this file as one line of JSON."
+)
 def serve(conf: Path, ready: TextIO | None) -> None:
-    """Run one allocator until SIGTERM. SIGHUP reads CONF again, whole or not at all."""
+    """Run one allocator until SIGTERM. SIGHUP reads CONF again; it takes effect as a whole or not at all."""
     from glencleat.daemon import Daemon
 
     config = read_config(conf)
@@ -61,7 +63,7 @@
 
 @main.command("node")
 def run_node() -> None:
-    """Run one allocator on the operators' platform, by the file that ROUTER_CONFIG names, until SIGTERM."""
+    """Run one allocator on the platform until SIGTERM. ROUTER_CONFIG names its configuration file."""
     from glencleat.platform_server.process import main as run_process
 
     sys.exit(run_process())
@@ -70,9 +72,9 @@
 @main.command("check-config")
 @click.argument("conf", type=CONFIG_PATH)
 def check_config(conf: Path) -> None:
-    """Check CONF: names file, line, setting and what was expected of all that is wrong."""
+    """Check CONF and print each fault: its file, line and setting, and what was expected."""
     config = read_config(conf)
-    click.echo(f"{conf}: good ({len(config.classes)} classes, {len(config.kinds)} kinds)")
+    click.echo(f"{conf}: valid ({len(config.classes)} classes, {len(config.kinds)} kinds)")
 
 
 main.add_command(emulator_group)
--- a/glencleat/cli/parameter_types.py
+++ b/glencleat/cli/parameter_types.py
@@ -1,4 +1,4 @@
-"""Types of arguments and options that click does not have."""
+"""Types of arguments and options beyond those of click."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _parse_address(text: str) -> tuple[str, int] | None:
-    """Host and port of HOST:PORT, or None if the text is no such address."""
+    """Host and port of HOST:PORT, or None if the text has another form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > MAX_PORT:
         return None
@@ -29,12 +29,12 @@
 
 
 class ServerType(click.ParamType[RestClient]):
-    """HOST:PORT of a REST server, converted to a client of it."""
+    """HOST:PORT of a REST server, converted to a client of the server."""
 
     name = "host:port"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> RestClient:
-        """A client of the server; a value that is converted already is passed through."""
+        """A client of the server; a value that was converted before is returned as it is."""
         if isinstance(value, RestClient):
             return value
         address = _parse_address(str(value))
@@ -80,14 +80,14 @@
 
 
 class LabelType(click.ParamType[tuple[str, str]]):
-    """KEY=VALUE of a label; the value may be empty."""
+    """KEY=VALUE of a label. The value may be empty."""
 
     name = "key=value"
 
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[str, str]:
-        """Key and value; a value that is converted already is passed through."""
+        """Key and value; a pair that was converted before is returned as it is."""
         if isinstance(value, tuple):
             return value
         key, equals, label_value = str(value).partition("=")
--- a/glencleat/cli/resource_watch.py
+++ b/glencleat/cli/resource_watch.py
@@ -22,16 +22,16 @@
 if TYPE_CHECKING:
     from glencleat.cli.rest_resources import Job, WatchEvent
 
-MAX_BROKEN_CONNECTIONS = 20  # in a row, after which a watch gives up
-MAX_WATCH_TIMEOUT_S = 3_600.0  # asked of the server for one connection
+MAX_BROKEN_CONNECTIONS = 20  # in a row, after which a watch fails
+MAX_WATCH_TIMEOUT_S = 3_600.0  # requested of the server for one connection
 
 
 @dataclass
 class ResourceWatch:
-    """A watch of one kind of resource, over as many connections as it takes.
+    """A watch of one kind of resource, which reconnects when a connection ends.
 
-    `resource_version` is where the next connection goes on; empty, it starts with all that there is.
-    `on_change` is called for each event but bookmarks and errors.
+    The next connection resumes after `resource_version`; if that is empty, it starts with all existing
+    resources. `on_change` is called for each event except bookmarks and errors.
     """
 
     client: RestClient
@@ -45,8 +45,8 @@
     def run_connection(self, remaining_s: float) -> None:
         """Follow events on one connection, for `remaining_s` seconds at most.
 
-        Returns when it is worth connecting anew; raises ProblemError or one of CONNECTION_ERRORS when it
-        isn't.
+        Returns if the caller can connect again; raises ProblemError or one of CONNECTION_ERRORS if it should
+        not.
         """
         try:
             for event in self.client.watch(self.kind, self.tenant, self._build_query(remaining_s)):
@@ -54,7 +54,7 @@
         except ProblemError as error:
             if error.status != HTTPStatus.GONE or not self.resource_version:
                 raise
-            click.echo(f"# {error}; all that is there follows anew", err=True)
+            click.echo(f"# {error}; the watch restarts with all existing resources", err=True)
             self.resource_version = ""
         except CONNECTION_ERRORS:
             self.broken_connections += 1
@@ -82,7 +82,7 @@
 
 
 def wait_for_job(client: RestClient, tenant: str, job: Job) -> Job:
-    """Watch a job until none of its tasks waits, or it is deleted, and return its last state.
+    """Watch a job until none of its tasks waits or the job is deleted, and return its last state.
 
     Raises ProblemError or one of CONNECTION_ERRORS when the watch fails.
     """
--- a/glencleat/cli/rest.py
+++ b/glencleat/cli/rest.py
@@ -1,8 +1,8 @@
-"""Commands of the REST interface's clients: get, watch, submit, cancel, why.
+"""Client commands of the REST interface: get, watch, submit, cancel, why.
 
-They speak HTTP to `--server` (or GLENCLEAT_SERVER) and import nothing of the allocator. Exit codes: 0 done;
-1 the server says no (a task that is rejected, a resource that is not there); 2 wrong use; 3 the server can't
-be reached.
+They speak HTTP to `--server` (or GLENCLEAT_SERVER) and import nothing of the allocator. Exit codes:
+0 success; 1 the server rejects the request (a task is rejected, a resource does not exist); 2 wrong usage;
+3 the server can't be reached.
 """
 
 from __future__ import annotations
@@ -49,16 +49,16 @@
 
 DEFAULT_SERVER = "127.0.0.1:5053"
 MAX_WATCH_S = 86_400
-RETRIED_STATUSES = (429, 503)  # the server is busy, or on its way up or down
-DEFAULT_RETRY_WAIT_S = 1.0  # where the server names none
+RETRIED_STATUSES = (429, 503)  # the server is overloaded, starting or shutting down
+DEFAULT_RETRY_WAIT_S = 1.0  # if the server sends no Retry-After
 MAX_RETRY_WAIT_S = 5.0
 MS_PER_S = 1_000.0
-CAUSES_WIDTH = 140  # columns of text where the output is no terminal
-CAUSE_TITLES = ("cause", "what is known", "count", "last by", "at")
+CAUSES_WIDTH = 140  # columns, if the output is not a terminal
+CAUSE_TITLES = ("cause", "details", "count", "last machine", "at")
 
 
 def connection_options(command: CommandFunction) -> CommandFunction:
-    """Add the options that all these commands have: server, tenant and output format."""
+    """Add the options that all these commands share: server, tenant and output format."""
     add_output = click.option(
         "-o", "output", type=click.Choice([output.value for output in OutputFormat]), default="table"
     )
@@ -67,16 +67,18 @@
         type=ServerType(),
         default=DEFAULT_SERVER,
         envvar="GLENCLEAT_SERVER",
-        help="Its REST address.",
+        help="REST address of the server.",
+    )
+    add_tenant = click.option(
+        "-t", "--tenant", envvar="GLENCLEAT_TENANT", help="Tenant of the resources; all tenants if absent."
     )
-    add_tenant = click.option("-t", "--tenant", envvar="GLENCLEAT_TENANT", help="Whose; all without it.")
     return add_server(add_tenant(add_output(command)))
 
 
 def exit_on_errors(
     command: Callable[CommandParameters, CommandResult],
 ) -> Callable[CommandParameters, CommandResult]:
-    """Turn the client's errors into a line on standard error and an exit code."""
+    """Report errors of the client as one line on standard error and an exit code."""
 
     @functools.wraps(command)
     def run(*args: CommandParameters.args, **kwargs: CommandParameters.kwargs) -> CommandResult:
@@ -95,13 +97,13 @@
 @click.command("get")
 @click.argument("kind", type=click.Choice([kind.value for kind in ResourceKind]))
 @click.argument("name", required=False)
-@click.option("-l", "--selector", default="", help="As in app=web,.state in (TASK_RUNNING).")
+@click.option("-l", "--selector", default="", help="Label selector, as in app=web,.state in (TASK_RUNNING).")
 @connection_options
 @exit_on_errors
 def get_resources(
     kind: str, name: str | None, selector: str, server: RestClient, tenant: str | None, output: str
 ) -> None:
-    """List KIND, or show the one of that NAME."""
+    """List the resources of KIND, or show the one named NAME."""
     from glencleat.cli import tables
 
     resource_kind = ResourceKind(kind)
@@ -116,8 +118,8 @@
 @click.command("watch")
 @click.argument("kind", type=click.Choice([kind.value for kind in ResourceKind]))
 @click.option("-l", "--selector", default="")
-@click.option("--since", default="", help="A resourceVersion to go on from.")
-@click.option("--for", "seconds", type=click.IntRange(1, MAX_WATCH_S), help="End after so many seconds.")
+@click.option("--since", default="", help="The resourceVersion to resume after.")
+@click.option("--for", "seconds", type=click.IntRange(1, MAX_WATCH_S), help="Stop after this many seconds.")
 @connection_options
 @exit_on_errors
 def watch_resources(
@@ -129,7 +131,7 @@
     tenant: str | None,
     output: str,
 ) -> None:
-    """Follow KIND: what is there, then each change. A watch that breaks off goes on where it was."""
+    """Print the resources of KIND, then each change. A broken connection is resumed where it ended."""
     from glencleat.cli import tables
     from glencleat.cli.resource_watch import ResourceWatch
 
@@ -150,26 +152,41 @@
 @click.command(
     "submit",
     help="Create a job from FILE (JSON; - is standard input) or from options. "
-    "It is made once, however often sent.",
+    "The job is created once, however often the request is sent.",
 )
 @click.argument("file", type=click.File("r"), required=False)
 @click.option("--class", "task_class", help="One of the allocator's classes.")
 @click.option("--service")
-@click.option("--name", help="Of the job; made if absent.")
+@click.option("--name", help="Name of the job; generated if absent.")
 @click.option("--tasks", type=click.IntRange(1), default=1, show_default=True)
 @click.option("--cores", type=float)
 @click.option(
-    "--memory", "memory_mb", type=QuantityType(MB_BY_UNIT, "512MB"), help="With its unit, as 512MB."
+    "--memory",
+    "memory_mb",
+    type=QuantityType(MB_BY_UNIT, "512MB"),
+    help="Memory of a task with its unit, as in 512MB.",
+)
+@click.option(
+    "--wait", "wait_ms", type=QuantityType(MS_BY_UNIT, "10m"), help="How long a task may wait, as in 10m."
 )
 @click.option(
-    "--wait", "wait_ms", type=QuantityType(MS_BY_UNIT, "10m"), help="How long a task may wait, as 10m."
+    "--life", "life_ms", type=QuantityType(MS_BY_UNIT, "5m"), help="Expected run time of a task, as in 5m."
 )
-@click.option("--life", "life_ms", type=QuantityType(MS_BY_UNIT, "5m"), help="Expected life, as 5m.")
-@click.option("--key", help="Names the work: what must not run twice is not taken twice.")
+@click.option("--key", help="Names the work: a non-idempotent class accepts no second task with this key.")
 @click.option("--label", "labels", type=LabelType(), multiple=True)
-@click.option("--again", is_flag=True, help="Place tasks anew that were placed and lost.")
-@click.option("--follow", is_flag=True, help="Wait until every task has its answer; 1 if one was not placed.")
-@click.option("--patience", type=float, default=30.0, show_default=True, help="Seconds to try to be taken.")
+@click.option("--again", is_flag=True, help="Place a task again if it is lost after it was placed.")
+@click.option(
+    "--follow",
+    is_flag=True,
+    help="Wait until every task has its final answer; exits with 1 if one was not placed.",
+)
+@click.option(
+    "--patience",
+    type=float,
+    default=30.0,
+    show_default=True,
+    help="Seconds for which to retry until the server accepts the job.",
+)
 @connection_options
 @exit_on_errors
 def submit_job(
@@ -181,7 +198,7 @@
     patience: float,
     **options: Unpack[JobOptions],
 ) -> None:
-    """Create a job and print it; with `follow`, once each of its tasks has an answer."""
+    """Create a job and print it; with `follow`, after each of its tasks has a final answer."""
     from glencleat.cli import tables
     from glencleat.cli.resource_watch import wait_for_job
 
@@ -198,7 +215,7 @@
 
 
 def _read_job_request(file: TextIO) -> object:
-    """The request body as the file has it; the server checks what it says."""
+    """The request body that the file holds; the server validates it."""
     try:
         return json.load(file)
     except ValueError as error:
@@ -234,9 +251,9 @@
 
 
 def _create_job(server: RestClient, tenant: str, request: object, deadline_s: float) -> Job:
-    """Create the job, and try again until `deadline_s` on the monotonic clock while the server can't take it.
+    """Create the job; while the server can't accept it, retry until `deadline_s` of the monotonic clock.
 
-    All attempts carry one idempotency key, so that the job is made once.
+    All attempts carry one idempotency key, so that the job is created once.
     """
     headers = {"idempotency-key": uuid.uuid4().hex}
     path = collection_path(ResourceKind.JOBS, tenant)
@@ -260,7 +277,7 @@
 @connection_options
 @exit_on_errors
 def cancel_resource(kind: str, name: str, server: RestClient, tenant: str | None, output: str) -> None:
-    """Stop the job or task NAME. A task that is being placed is stopped when its machine has answered."""
+    """Stop the job or task NAME. A task that is being placed is stopped once its machine has answered."""
     from glencleat.cli import tables
 
     resource_kind = ResourceKind(f"{kind}s")
@@ -274,7 +291,7 @@
 @connection_options
 @exit_on_errors
 def explain_task(task: str, server: RestClient, tenant: str | None, output: str) -> None:
-    """Say why TASK (JOB.N, or FRAMEWORK/TASK) waits, or what became of it."""
+    """Print why TASK (JOB.N, or FRAMEWORK/TASK) waits, or its outcome."""
     resource = cast("Task", server.get_resource(ResourceKind.TASKS, tenant, task))
     explanation = resource.get("why")
     if OutputFormat(output) is OutputFormat.JSON:
@@ -283,7 +300,7 @@
     place = f" on {resource['machine']}" if "machine" in resource else ""
     click.echo(f"{resource['name']}: {resource['state']}{place}")
     if explanation is None:
-        click.echo(resource.get("message") or "it does not wait")
+        click.echo(resource.get("message") or "the task does not wait")
         return
     _print_explanation(explanation)
 
--- a/glencleat/cli/rest_client.py
+++ b/glencleat/cli/rest_client.py
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from glencleat.cli.rest_resources import Resource, WatchEvent
 
-CONNECTION_ERRORS = (OSError, http.client.HTTPException)  # what a broken or refused connection raises
+CONNECTION_ERRORS = (OSError, http.client.HTTPException)  # raised by a connection that breaks or is refused
 REQUEST_TIMEOUT_S = 30.0
-RECONNECT_WAIT_S = 0.3  # after one of these errors, for callers that connect anew
-MAX_PLAIN_ERROR_CHARACTERS = 300  # shown of an error body that is no problem document
+RECONNECT_WAIT_S = 0.3  # between such an error and the caller's next connection
+MAX_PLAIN_ERROR_CHARACTERS = 300  # of an error body that is not a problem document
 
 
 class ResourceKind(StrEnum):
@@ -30,11 +30,11 @@
 
 
 class RestClientError(Exception):
-    """Root of this client's errors."""
+    """Base of the errors of this client."""
 
 
 class MissingTenantError(RestClientError):
-    """A request needs a tenant and none is given; `subject` is what was asked for."""
+    """A request needs a tenant and none is given; `subject` is what was requested."""
 
     def __init__(self, subject: str) -> None:
         super().__init__(f"{subject}: expected --tenant")
@@ -44,7 +44,7 @@
 class ProblemError(RestClientError):
     """The server rejected a request.
 
-    `status` is the HTTP status; `retry_after_s` is the wait that the server asks for, if it does.
+    `status` is the HTTP status; `retry_after_s` is the wait that the server asks for, or None.
     """
 
     def __init__(self, message: str, status: int, retry_after_s: float | None = None) -> None:
@@ -66,7 +66,7 @@
 
 @dataclass
 class RestClient:
-    """Client of one server; each request has a connection of its own."""
+    """Client of one server; each request opens a new connection."""
 
     host: str
     port: int
@@ -78,7 +78,7 @@
         body: object = None,
         headers: Mapping[str, str] | None = None,
     ) -> http.client.HTTPResponse:
-        """Send a request and return the response, its body unread.
+        """Send a request and return the response without reading its body.
 
         `body` is sent as JSON unless it is None. Raises ProblemError if the server rejects the request, and
         one of CONNECTION_ERRORS if the connection fails.
@@ -132,14 +132,14 @@
 
 
 def collection_path(kind: ResourceKind, tenant: str | None) -> str:
-    """The path of a tenant's resources of a kind; of all tenants' without `tenant`."""
+    """The path of a tenant's resources of a kind; of those of all tenants if `tenant` is None."""
     if tenant is None or kind is ResourceKind.MACHINES:
         return f"/v1/{kind}"
     return f"/v1/tenants/{quote(tenant, safe='')}/{kind}"
 
 
 def resource_path(kind: ResourceKind, tenant: str | None, name: str) -> str:
-    """The path of one resource. A task is FRAMEWORK/TASK, or JOB.N for a job's.
+    """The path of one resource. The name of a task is FRAMEWORK/TASK, or JOB.N for a task of a job.
 
     Raises MissingTenantError for a kind that belongs to a tenant when `tenant` is None.
     """
--- a/glencleat/cli/rest_resources.py
+++ b/glencleat/cli/rest_resources.py
@@ -1,8 +1,8 @@
 """Resources of the REST interface as clients read them from JSON.
 
-Only the fields that the commands read are declared. Resources stay plain dictionaries, so that `-o json`
-prints every field that the server sent. Import this module for type checking alone: building the types takes
-time that every command would pay at its start.
+Only the fields that the commands read are declared. Resources are plain dictionaries, so that `-o json`
+prints every field that the server sent. Import this module only for type checking: building the types would
+delay the start of every command.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class JobStatus(TypedDict):
-    """A job's phase, and its tasks by how they stand; counts of zero may be absent."""
+    """The phase of a job, and the counts of its tasks by state; a count of zero may be absent."""
 
     phase: str
     waiting: NotRequired[int]
@@ -38,7 +38,7 @@
 
 
 class Job(TypedDict):
-    """A set of equal tasks of a tenant."""
+    """A set of identical tasks of a tenant."""
 
     tenant: str
     name: str
@@ -48,7 +48,7 @@
 
 
 class WaitCause(TypedDict):
-    """One cause why a task waits; `atMs` is since the epoch."""
+    """One cause why a task waits; `atMs` is in Unix milliseconds."""
 
     kind: str
     text: str
@@ -58,7 +58,7 @@
 
 
 class WaitExplanation(TypedDict):
-    """Why a task waits, the weightiest cause first."""
+    """Why a task waits; the most important cause comes first."""
 
     summary: str
     causes: NotRequired[list[WaitCause]]
@@ -96,7 +96,7 @@
 
 
 class Service(TypedDict):
-    """A service of a tenant with its tasks; `zones` counts the placed ones by zone."""
+    """A service of a tenant and the counts of its tasks; `zones` counts the placed tasks by zone."""
 
     tenant: str
     name: str
@@ -110,7 +110,7 @@
 
 
 class WatchEvent(TypedDict):
-    """A line of a watch. The object of BOOKMARK has a resource version alone, that of ERROR is a problem."""
+    """A line of a watch. A BOOKMARK's object has only a resource version; an ERROR's object is a problem."""
 
     type: Literal["ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR"]
     object: Resource
--- a/glencleat/cli/tables.py
+++ b/glencleat/cli/tables.py
@@ -1,4 +1,4 @@
-"""Output of resources: tables with a column for each field that is shown, or JSON."""
+"""Prints resources as tables, with a column for each field that is shown, or as JSON."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 ResourceT = TypeVar("ResourceT")
 
-LISTING_WIDTH = 160  # columns of text where the output is no terminal
+LISTING_WIDTH = 160  # columns, if the output is not a terminal
 EVENT_TYPE_WIDTH = 8
 
 
 @dataclass(frozen=True)
 class Column(Generic[ResourceT]):
-    """A column's title, and how its text is read from a resource."""
+    """The title of a column, and the function that reads its value from a resource."""
 
     title: str
     read: Callable[[ResourceT], object]
@@ -102,12 +102,12 @@
 
 
 def open_console(fallback_width: int) -> Console:
-    """A console as wide as the terminal, or `fallback_width` columns where the output is none."""
+    """A console as wide as the terminal, or `fallback_width` columns if the output is not a terminal."""
     return Console(width=None if sys.stdout.isatty() else fallback_width)
 
 
 def print_table(titles: Iterable[str], rows: Iterable[Sequence[str]], fallback_width: int) -> None:
-    """Print rows under titles, as wide as the terminal, or `fallback_width` where there is none."""
+    """Print a table with titles and rows; see `open_console` for its width."""
     table = Table()
     for title in titles:
         table.add_column(title, overflow="fold")
@@ -129,7 +129,7 @@
 
 
 def print_event(kind: ResourceKind, event: WatchEvent, output: OutputFormat) -> None:
-    """Print a watch's event on one line."""
+    """Print an event of a watch on one line."""
     if output is OutputFormat.JSON:
         click.echo(json.dumps(event))
         return
